--- a/src/main/java/saffronferry/Book.java
+++ b/src/main/java/saffronferry/Book.java
@@ -16,7 +16,7 @@
 
 /** What the module remembers of workers, jobs and peers. Data only: {@link Dispatcher} decides. */
 final class Book {
-    private Book() { }
+    private Book() {}
 
     static boolean sameGroup(Group group, Worker a, Worker b) {
         return switch (group) {
@@ -40,11 +40,11 @@
         int zone;
         int cell;
         WorkerState state;
-        long coldSince;          // 0 = warm
+        long coldSince; // 0 = warm
         final ColdBudget cold = new ColdBudget();
-        int mine;                // slots our jobs take there
-        int others;              // slots that peers say their jobs take there
-        double speed = 1;        // running time over the class's mean
+        int mine; // slots our jobs take there
+        int others; // slots that peers say their jobs take there
+        double speed = 1; // running time over the class's mean
         long restUntil;
         boolean suspect;
         long trialAt;
@@ -54,17 +54,17 @@
         long probedAt;
         long fullAt;
         int fulls;
-        int errors;              // in a row
-        int resets;              // since the last sign of life
-        int seat = -1;           // zone whose dispatchers fill it; -1: none, or it is gone
-        int dealtTo = -1;        // dispatcher of our zone that fills it while it is warm
-        int lender = -1;         // dispatcher that offered a slot there last
-        boolean ours;            // this dispatcher fills it first
-        double lately;           // slots taken, averaged over about the age of a report
+        int errors; // in a row
+        int resets; // since the last sign of life
+        int seat = -1; // zone whose dispatchers fill it; -1: none, or it is gone
+        int dealtTo = -1; // dispatcher of our zone that fills it while it is warm
+        int lender = -1; // dispatcher that offered a slot there last
+        boolean ours; // this dispatcher fills it first
+        double lately; // slots taken, averaged over about the age of a report
         int takenThen;
         long takenAt;
         int openAt = -1;
-        boolean borrowed;        // these three: as Fleet has it in its indexes
+        boolean borrowed; // these three: as Fleet has it in its indexes
         boolean watched;
         boolean counts;
         final ArrayList<Attempt> attempts = new ArrayList<>(4);
@@ -86,7 +86,7 @@
         long lastNote;
         boolean ended;
         boolean neverRan;
-        boolean failed;          // the worker said so
+        boolean failed; // the worker said so
         boolean cancelled;
 
         Attempt(Job job, Worker worker, int number, long sentAt) {
@@ -118,6 +118,7 @@
         boolean streaming;
         /** A worker broke under it: one of much work must not push cold ones over in turn. */
         boolean broke;
+
         HeldQueue queue;
         Job next;
         Job previous;
@@ -198,6 +199,7 @@
         private static final long LENT_APART = 5_000;
         /** So often a lender is told of all our jobs on its workers, and for so long that counts. */
         private static final long HOLDS_TOLD = 500_000;
+
         private static final long HOLDS_KEPT = 1_600_000;
         private static final int PERIODS_KEPT = 6; // messages get lost: a peer is silent only after these
 
@@ -215,13 +217,13 @@
         boolean[] lent = new boolean[0]; // which of them are parts of a cold worker's budget
         long offeredAt;
         final Loan borrowed = new Loan(); // what it lent us
-        long lentTo;             // when we lent it, by our clock
+        long lentTo; // when we lent it, by our clock
         private final Lent out = new Lent();
-        long lentInAll;          // slot time, since our start
+        long lentInAll; // slot time, since our start
         long backInAll;
         long borrowedInAll;
-        private long lentAt;     // the stamp of what it lent us
-        private long holdsDue;   // when to tell it next of all our jobs on its workers; 0: it knows
+        private long lentAt; // the stamp of what it lent us
+        private long holdsDue; // when to tell it next of all our jobs on its workers; 0: it knows
 
         Peer(int number) {
             this.number = number;
@@ -248,8 +250,10 @@
             }
             m.hears = new BitSet();
             for (Peer y : peers) {
-                m.hears.set(y.number, shares.isSelf(y.number) || y.heard > 0 && y.zone == zone
-                        && m.at - y.heard <= y.horizon() - ColdShares.LEASE);
+                m.hears.set(
+                        y.number,
+                        shares.isSelf(y.number)
+                                || y.heard > 0 && y.zone == zone && m.at - y.heard <= y.horizon() - ColdShares.LEASE);
             }
             m.word = shares.word(m.hears, m.at);
         }
@@ -408,7 +412,7 @@
         }
 
         /** Our part of the traffic of our zone, and of all: of those whom we hear, ourselves included. */
-        record Traffic(double ofZone, double ofAll) { }
+        record Traffic(double ofZone, double ofAll) {}
 
         static Traffic traffic(Peer[] peers, int self, int ourZone, double rate) {
             double zone = rate;
@@ -424,8 +428,9 @@
                 }
             }
             // where nobody has traffic: even parts
-            return new Traffic(zone > 0 ? rate / zone : 1.0 / near, heard * 2 > peers.length && all > 0
-                    ? rate / all * heard / peers.length : 1.0 / peers.length);
+            return new Traffic(
+                    zone > 0 ? rate / zone : 1.0 / near,
+                    heard * 2 > peers.length && all > 0 ? rate / all * heard / peers.length : 1.0 / peers.length);
         }
 
         /** The first peer of the zone from a place in the list on, or null. */
@@ -473,7 +478,7 @@
         }
 
         /** Slots that its jobs take at a worker, and when it said so. */
-        private record Hold(Worker worker, int slots, long told) { }
+        private record Hold(Worker worker, int slots, long told) {}
     }
 
     /** Jobs by request id, open addressing: no boxing, and nothing ever depends on its order. */
--- a/src/main/java/saffronferry/Contract.java
+++ b/src/main/java/saffronferry/Contract.java
@@ -16,21 +16,43 @@
  */
 public interface Contract {
     /** Whether a request may be repeated once it may have run. */
-    enum Effect { SAFE, KEYED, UNSAFE }
+    enum Effect {
+        SAFE,
+        KEYED,
+        UNSAFE
+    }
 
     /** Among which workers repeats of a keyed request are discarded. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** State of a worker in the list. */
-    enum WorkerState { IN_SERVICE, DRAINING, GONE }
+    enum WorkerState {
+        IN_SERVICE,
+        DRAINING,
+        GONE
+    }
 
     /** What a list event carries: changes, the whole list, or the whole list as it was before a restart. */
-    enum ListKind { CHANGES, WHOLE, WARM_COPY }
+    enum ListKind {
+        CHANGES,
+        WHOLE,
+        WARM_COPY
+    }
 
     /** How an attempt or a probe ended; {@code neverRan} is proof that the job did not run. */
     enum Outcome {
-        OK(false), ERROR(false), FULL(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), NOT_SENT(true);
+        OK(false),
+        ERROR(false),
+        FULL(true),
+        TIMEOUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        NOT_SENT(true);
 
         public final boolean neverRan;
 
@@ -43,22 +65,50 @@
      * A class of request. Wanted within {@code aim} plus {@code stretch} times the job's running time. {@code
      * keyTtl}: so long after an attempt another one may be decided on, within the group.
      */
-    record JobClass(String name, long aim, double stretch, long deadline, double worth, double lateWorth,
-                    Effect effect, Group group, long keyTtl, int kind) { }
+    record JobClass(
+            String name,
+            long aim,
+            double stretch,
+            long deadline,
+            double worth,
+            double lateWorth,
+            Effect effect,
+            Group group,
+            long keyTtl,
+            int kind) {}
 
     /** A tenant and the requests a second, over all dispatchers, within its share; 0 = no limit known. */
-    record Tenant(String name, double allowancePerS) { }
+    record Tenant(String name, double allowancePerS) {}
 
     /**
      * Settings of one dispatcher; {@code maxRetryAfter} 0: clients are not told when to come back. {@code
      * mostUnasked}: so long may one go without asking for the list once a call has failed.
      */
-    record Settings(long seed, int self, int peers, int zone, int zones, int kinds, List<JobClass> classes,
-                    List<Tenant> tenants, int maxAttempts, boolean parallel,
-                    boolean mayCancel, boolean mayProbe, boolean reports, boolean mayTell,
-                    boolean listOnDemand, boolean tellsStart, long progressEvery, long cold, double coldShare,
-                    double fallMultiple, long maxRetryAfter, double peerPrice, double probePrice,
-                    long mostUnasked) {
+    record Settings(
+            long seed,
+            int self,
+            int peers,
+            int zone,
+            int zones,
+            int kinds,
+            List<JobClass> classes,
+            List<Tenant> tenants,
+            int maxAttempts,
+            boolean parallel,
+            boolean mayCancel,
+            boolean mayProbe,
+            boolean reports,
+            boolean mayTell,
+            boolean listOnDemand,
+            boolean tellsStart,
+            long progressEvery,
+            long cold,
+            double coldShare,
+            double fallMultiple,
+            long maxRetryAfter,
+            double peerPrice,
+            double probePrice,
+            long mostUnasked) {
         public Settings {
             require(peers >= 1, "peers", peers);
             require(zone >= 0 && zone < zones, "zone", zone);
@@ -81,13 +131,13 @@
     }
 
     /** One line of the worker list. {@code startedAt} 0 = long ago. */
-    record WorkerInfo(String address, WorkerState state, int kind, int zone, long startedAt, int cell) { }
+    record WorkerInfo(String address, WorkerState state, int kind, int zone, long startedAt, int cell) {}
 
     /** A client's request. */
-    record Request(long id, int jobClass, int tenant, long validUntil, int slots, boolean repeat) { }
+    record Request(long id, int jobClass, int tenant, long validUntil, int slots, boolean repeat) {}
 
     /** A worker's own report; NaN for what it does not tell. {@code held}: requests waiting or running. */
-    record Report(double held, double queued, double freeSlots) { }
+    record Report(double held, double queued, double freeSlots) {}
 
     /** Everything the module is told. */
     interface Events {
@@ -125,8 +175,7 @@
         void note(long now, long id, int attempt, boolean started);
 
         /** An attempt ended. {@code over}: the request has its final answer. {@code report} may be null. */
-        void attemptEnded(long now, long id, int attempt, Outcome outcome, long took, boolean over,
-                          Report report);
+        void attemptEnded(long now, long id, int attempt, Outcome outcome, long took, boolean over, Report report);
 
         /** The client left; nothing more is owed. */
         void clientGone(long now, long id);
--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -80,10 +80,14 @@
         queues = new HeldQueue[settings.classes().size()][];
         for (int c = 0; c < queues.length; c++) {
             queues[c] = new HeldQueue[BOUND + 1];
-            for (int rank = 0; rank <= BOUND; rank++) { queues[c][rank] = new HeldQueue(); }
+            for (int rank = 0; rank <= BOUND; rank++) {
+                queues[c][rank] = new HeldQueue();
+            }
         }
         peers = new Peer[settings.peers()];
-        for (int i = 0; i < peers.length; i++) { peers[i] = new Peer(i); }
+        for (int i = 0; i < peers.length; i++) {
+            peers[i] = new Peer(i);
+        }
         shares = new ColdShares(settings.self(), settings.peers());
         homes = new Homes(settings.zones(), settings.zone(), shares);
         coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
@@ -98,7 +102,8 @@
     }
 
     // ---- ordinary path: place, hold, spill ----
-    @Override public void request(long clock, Request q) {
+    @Override
+    public void request(long clock, Request q) {
         now = clock;
         JobClass spec = s.classes().get(q.jobClass());
         arrivals++;
@@ -111,9 +116,13 @@
             end(j);
             return;
         }
-        if (!queuedBefore(j) && sendTo(j, choose(j))) { return; }
+        if (!queuedBefore(j) && sendTo(j, choose(j))) {
+            return;
+        }
         p = acceptance();
-        if (random.nextDouble() >= p && spill(j)) { return; }
+        if (random.nextDouble() >= p && spill(j)) {
+            return;
+        }
         // danger: the next housekeeping may come after the client has left
         if (q.validUntil() <= now + 2 * TICK || rankOf(j) == LATE && !roomForLate()) {
             end(j);
@@ -121,12 +130,16 @@
             hold(j, false);
             drain();
             // others offer what they have free once we tell that a job waits
-            if (j.queue != null) { nextExchange = Math.min(nextExchange, lastExchange + period / 4); }
+            if (j.queue != null) {
+                nextExchange = Math.min(nextExchange, lastExchange + period / 4);
+            }
         }
     }
 
     /** Older jobs of the same or a better rank go first; then a new one has no claim on a slot. */
-    private boolean queuedBefore(Job j) { return queues[j.request.jobClass()][rankOf(j)].head != null; }
+    private boolean queuedBefore(Job j) {
+        return queues[j.request.jobClass()][rankOf(j)].head != null;
+    }
 
     private int rankOf(Job j) {
         // danger: clients refused come back at once; most are late by now and must not push out new ones
@@ -134,9 +147,13 @@
     }
 
     /** P = m/(N+m): N slots asked by held jobs, m the zone's slots times our share of its traffic. */
-    private double acceptance() { return accept(heldSlots, Math.max(zoneSlots * share, 1)); }
+    private double acceptance() {
+        return accept(heldSlots, Math.max(zoneSlots * share, 1));
+    }
 
-    static double accept(double n, double m) { return m / (n + m); }
+    static double accept(double n, double m) {
+        return m / (n + m);
+    }
 
     private boolean roomForLate() {
         return Arrays.stream(queues).mapToInt(of -> of[LATE].slots).sum() < zoneSlots * share * LATE_ROOM;
@@ -154,7 +171,9 @@
         for (int i = 0; i < Math.min(OFFER_LOOKS, peers.length); i++) {
             Peer y = peers[(from + i) % peers.length];
             Worker w = y.zone == s.zone() ? offered(j, y) : null;
-            if (w != null) { return w; }
+            if (w != null) {
+                return w;
+            }
         }
         return null;
     }
@@ -166,7 +185,9 @@
         double bestScore = 0;
         // danger: deaf ones take all warm workers for free; a cold one, seldom asked, would stay idle
         for (Worker w : fleet.coldOurs()) {
-            if (w.openAt >= 0 && w.cold.small() && usable(j, w)) { return w; }
+            if (w.openAt >= 0 && w.cold.small() && usable(j, w)) {
+                return w;
+            }
         }
         for (int k = 0; k < fleet.groups(); k++) {
             int n = j.spec.kind() < 0 || j.spec.kind() == k ? fleet.openIn(k) : 0;
@@ -183,7 +204,9 @@
     }
 
     private boolean usable(Job j, Worker w) {
-        return fits(j, w) && free(w) >= j.request.slots() && maySend(j, w)
+        return fits(j, w)
+                && free(w) >= j.request.slots()
+                && maySend(j, w)
                 && (w.coldSince == 0 || !j.broke && coldCovers(w, cost(j, w), heldSlots > 0));
     }
 
@@ -196,7 +219,9 @@
         int all = 0;
         for (int k = 0; k < fleet.groups(); k++) {
             boolean fits = known.weight[k] == 0 || 2 * known.ours(k) >= j.request.slots();
-            if (fleet.present(k) > 0 && fits && (j.spec.kind() < 0 || j.spec.kind() == k)) { return false; }
+            if (fleet.present(k) > 0 && fits && (j.spec.kind() < 0 || j.spec.kind() == k)) {
+                return false;
+            }
             all += fleet.present(k);
         }
         return all > 0;
@@ -219,7 +244,9 @@
         Arrays.fill(blocked, false);
         while (heldSlots > 0 && mayOpen) {
             Job j = nextHeld();
-            if (j == null) { return; }
+            if (j == null) {
+                return;
+            }
             Worker w = choose(j);
             if (w != null) {
                 sendTo(j, w);
@@ -231,7 +258,9 @@
         }
     }
 
-    private boolean kindOpen(int kind) { return fleet.open(kind) || now < offersUntil; }
+    private boolean kindOpen(int kind) {
+        return fleet.open(kind) || now < offersUntil;
+    }
 
     /** Best rank first; in it the earliest latest start, or in overload the most worth a second. */
     private Job nextHeld() {
@@ -240,16 +269,22 @@
             Job best = null;
             double bestScore = 0;
             for (int c = 0; c < queues.length; c++) {
-                if (rank != LATE) { retireLate(c, rank); }
+                if (rank != LATE) {
+                    retireLate(c, rank);
+                }
                 Job j = queues[c][rank].head;
-                if (j == null || blocked[c] || !kindOpen(j.spec.kind())) { continue; }
+                if (j == null || blocked[c] || !kindOpen(j.spec.kind())) {
+                    continue;
+                }
                 double score = overload ? j.spec.worth() / known.mean[c] : -(j.arrived + (double) slack(c));
                 if (best == null || score > bestScore) {
                     best = j;
                     bestScore = score;
                 }
             }
-            if (best != null) { return best; }
+            if (best != null) {
+                return best;
+            }
         }
         return null;
     }
@@ -260,7 +295,11 @@
             Job next = j.next;
             boolean keep = j.inFlight > 0 || roomForLate() && j.spec.lateWorth() > 0;
             // no slot will be idle for more of them: an early refusal costs less than a late one
-            if (keep) { j.queue.moveTo(j, queues[c][LATE]); } else { end(j); }
+            if (keep) {
+                j.queue.moveTo(j, queues[c][LATE]);
+            } else {
+                end(j);
+            }
             j = next;
         }
     }
@@ -275,12 +314,16 @@
     /** Offers the job to a neighbour drawn with weight 1 - (1-R_y)/(1-P); false if none has a slot for it. */
     private boolean spill(Job j) {
         double sum = 0;
-        for (Peer y : peers) { sum += weight(j, y); }
+        for (Peer y : peers) {
+            sum += weight(j, y);
+        }
         double at = random.nextDouble() * sum;
         for (Peer y : peers) {
             double w = weight(j, y);
             at -= w;
-            if (w > 0 && at < 0) { return sendTo(j, offered(j, y)); }
+            if (w > 0 && at < 0) {
+                return sendTo(j, offered(j, y));
+            }
         }
         return false;
     }
@@ -291,16 +334,24 @@
         return isNeighbour(y) && y.p >= SPILL_P && offerFor(j, y) >= 0 ? drawWeight(p, y.r) : 0;
     }
 
-    static double drawWeight(double p, double r) { return p >= 1 ? 0 : Math.max(0, 1 - (1 - r) / (1 - p)); }
+    static double drawWeight(double p, double r) {
+        return p >= 1 ? 0 : Math.max(0, 1 - (1 - r) / (1 - p));
+    }
 
-    private boolean isNeighbour(Peer y) { return y.zone >= 0 && y.zone != s.zone() && fresh(y); }
+    private boolean isNeighbour(Peer y) {
+        return y.zone >= 0 && y.zone != s.zone() && fresh(y);
+    }
 
-    private boolean fresh(Peer y) { return y.heard > 0 && now - y.heard <= y.horizon(); }
+    private boolean fresh(Peer y) {
+        return y.heard > 0 && now - y.heard <= y.horizon();
+    }
 
     /** A high P says that nobody waits, not that a slot is free: only a slot that y offered is used, once. */
     private Worker offered(Job j, Peer y) {
         int i = offerFor(j, y);
-        if (i < 0) { return null; }
+        if (i < 0) {
+            return null;
+        }
         y.use(i, j.request.slots(), cost(j, y.offers[i]));
         y.offers[i].lender = y.number;
         fleet.touch(y.offers[i]);
@@ -311,9 +362,12 @@
     private int offerFor(Job j, Peer y) {
         for (int i = 0; i < y.offers.length && now - y.offeredAt < OFFER_LIFE; i++) {
             Worker w = y.offers[i];
-            if (w != null && y.enough(i, j.request.slots(), cost(j, w)) && fits(j, w)
+            if (w != null
+                    && y.enough(i, j.request.slots(), cost(j, w))
+                    && fits(j, w)
                     && (w.coldSince == 0 || y.lent[i] && !j.broke)
-                    && !(w.suspect && now < w.trialAt) && maySend(j, w)) {
+                    && !(w.suspect && now < w.trialAt)
+                    && maySend(j, w)) {
                 return i;
             }
         }
@@ -321,14 +375,20 @@
     }
 
     private boolean sendTo(Job j, Worker w) {
-        if (w == null || !mayOpen) { return false; }
+        if (w == null || !mayOpen) {
+            return false;
+        }
         Attempt a = new Attempt(j, w, j.tries, now);
         unhold(j);
         j.add(a);
         w.attempts.add(a);
         w.mine += j.request.slots();
-        if (w.ours) { w.cold.send(cost(j, w), s.tellsStart() ? now : 0); }
-        if (w.suspect) { awaitTrial(w); }
+        if (w.ours) {
+            w.cold.send(cost(j, w), s.tellsStart() ? now : 0);
+        }
+        if (w.suspect) {
+            awaitTrial(w);
+        }
         refresh(w);
         tellLender(w);
         out.send(j.request.id(), w.address);
@@ -336,7 +396,9 @@
     }
 
     // ---- slot learning ----
-    private int kindIndex(int kind) { return kind < 0 ? known.slots.length - 1 : kind; }
+    private int kindIndex(int kind) {
+        return kind < 0 ? known.slots.length - 1 : kind;
+    }
 
     private double free(Worker w) {
         // on trial: one job at a time
@@ -348,7 +410,9 @@
     private void refresh(Worker w) {
         int taken = w.mine + w.others;
         w.lately += (w.takenThen - w.lately) * (1 - Math.exp((w.takenAt - now) / REPORT_AGE));
-        if (w.takenThen == 0 && taken > 0) { w.busySince = now; }
+        if (w.takenThen == 0 && taken > 0) {
+            w.busySince = now;
+        }
         w.takenThen = taken;
         w.takenAt = now;
         fleet.place(w, w.ours && w.state == WorkerState.IN_SERVICE && !w.suspect && free(w) >= 1);
@@ -356,7 +420,9 @@
 
     private void learn(Worker w, Report report) {
         double x0 = report.freeSlots();
-        if (Double.isNaN(x0)) { return; }
+        if (Double.isNaN(x0)) {
+            return;
+        }
         refresh(w);
         int k = kindIndex(w.kind);
         known.learnIdle(k, x0);
@@ -381,11 +447,16 @@
         }
     }
 
-    @Override public void probed(long clock, String address, Outcome outcome, Report report) {
+    @Override
+    public void probed(long clock, String address, Outcome outcome, Report report) {
         now = clock;
         Worker w = fleet.get(address);
-        if (w != null && outcome == Outcome.CONNECT_FAILED) { broken(w, false); }
-        if (w != null && report != null) { learn(w, report); }
+        if (w != null && outcome == Outcome.CONNECT_FAILED) {
+            broken(w, false);
+        }
+        if (w != null && report != null) {
+            learn(w, report);
+        }
         if (w != null && report == null && known.weight[kindIndex(w.kind)] == 0) {
             w.probedAt = now - MAX_PERIOD + PROBE_AGAIN;
         }
@@ -397,7 +468,9 @@
         Message m = new Message(type, s.zone(), p, r, rate, period);
         m.at = now;
         m.cold = coldHere;
-        if (coldHere || now < wordUntil) { Peer.word(peers, shares, s.zone(), m); }
+        if (coldHere || now < wordUntil) {
+            Peer.word(peers, shares, s.zone(), m);
+        }
         return m;
     }
 
@@ -411,7 +484,9 @@
     }
 
     private void tell(int peer, Message m) {
-        if (!s.mayTell() || peer == s.self()) { return; }
+        if (!s.mayTell() || peer == s.self()) {
+            return;
+        }
         talk.spent(m.size());
         out.tell(peer, m.bytes());
     }
@@ -419,7 +494,9 @@
     /** The next so many peers of our zone, before others those that have cold workers' budgets to lend. */
     private void tellZone(int most, Message m) {
         int[] first = fleet.guardians(shares, coldHere ? Math.max(most - 1, LEAST_FAN) : 0, ticks);
-        for (int guardian : first) { tell(guardian, m); }
+        for (int guardian : first) {
+            tell(guardian, m);
+        }
         int fan = Math.max(Math.min(LEAST_FAN, most), most - first.length);
         for (int i = 0; i < peers.length && fan > 0; i++) {
             turn = (turn + 1) % peers.length;
@@ -435,13 +512,17 @@
     private void tellNeighbours() {
         neighbour = 1 + neighbour % Math.max(1, s.zones() - 1);
         Peer y = Peer.anyOf((s.zone() + neighbour) % s.zones(), peers, random.nextInt(peers.length));
-        if (y != null && y.zone != s.zone()) { tell(y.number, offers().undated()); }
+        if (y != null && y.zone != s.zone()) {
+            tell(y.number, offers().undated());
+        }
     }
 
     /** Product of 1-P over neighbours. */
     private double notAccepting() {
         double product = 1;
-        for (Peer y : peers) { product *= isNeighbour(y) ? 1 - y.p : 1; }
+        for (Peer y : peers) {
+            product *= isNeighbour(y) ? 1 - y.p : 1;
+        }
         return product;
     }
 
@@ -465,27 +546,34 @@
     private Message lend(Peer y, Message m) {
         double part = Peer.whole(known.longest());
         for (Worker w : y.mayLend(m, now, s.zone()) ? fleet.coldOurs() : List.<Worker>of()) {
-            if (w.openAt >= 0 && coldCovers(w, part, true)) { y.lend(w, part, m, now); }
+            if (w.openAt >= 0 && coldCovers(w, part, true)) {
+                y.lend(w, part, m, now);
+            }
         }
         return m;
     }
 
     /** Danger: a cold worker's parts that nobody here waits for lie idle beside jobs held elsewhere. */
     private void giveBack(Peer y, boolean wanted) {
-        if (!y.lentInVain(wanted, now, OFFER_LIFE)) { return; }
+        if (!y.lentInVain(wanted, now, OFFER_LIFE)) {
+            return;
+        }
         tell(y.number, y.giveBack(message(Message.Type.RETURNS)));
     }
 
     /** A job on a slot that another dispatcher fills: it must hear of it at once, and of its end. */
     private void tellLender(Worker w) {
-        if (w.ours || w.lender < 0) { return; }
+        if (w.ours || w.lender < 0) {
+            return;
+        }
         Message m = message(Message.Type.BORROWS);
         m.add(w.hash, w.mine);
         tell(w.lender, m);
         peers[w.lender].toldOfHold(now);
     }
 
-    @Override public void peerMessage(long clock, int peer, byte[] bytes) {
+    @Override
+    public void peerMessage(long clock, int peer, byte[] bytes) {
         now = clock;
         Message m = Message.read(bytes, now);
         if (m == null || peer < 0 || peer >= peers.length || peer == s.self() || m.zone >= s.zones()) {
@@ -493,10 +581,14 @@
         }
         Peer y = peers[peer];
         // danger: a silence of days (one of us was stopped) must not count as the pace at which it speaks
-        if (y.heard > 0 && !fresh(y)) { y.forget(this::refresh); }
+        if (y.heard > 0 && !fresh(y)) {
+            y.forget(this::refresh);
+        }
         boolean stranger = y.heard == 0;
         y.hear(m, now, MAX_PERIOD);
-        if (m.cold && m.zone == s.zone()) { wordUntil = now + ColdShares.LEASE; } // our list may be late
+        if (m.cold && m.zone == s.zone()) {
+            wordUntil = now + ColdShares.LEASE;
+        } // our list may be late
         shares.says(peer, m.zone != s.zone(), m.word, m.hears, m.elsewhere, m.at, now);
         heardIn[m.zone] = now;
         // a message that offers nothing while P is below one asks: who has a free slot answers with an offer
@@ -521,7 +613,9 @@
         r = 1 - (1 - p) * notAccepting();
         drain();
         giveBack(y, heldSlots > 0);
-        if (isNeighbour(y) && m.type == Message.Type.OFFERS && m.entries > 0) { spillHeld(); }
+        if (isNeighbour(y) && m.type == Message.Type.OFFERS && m.entries > 0) {
+            spillHeld();
+        }
     }
 
     /** Danger: a zone that lost its workers would hold and refuse while a neighbour's stand idle. */
@@ -530,7 +624,9 @@
         for (int rank : new int[] {IN_SHARE, LATE}) { // what lies beyond a share is not worth a crossing
             for (HeldQueue[] of : queues) {
                 Job j = of[rank].head;
-                while (j != null && random.nextDouble() >= p && spill(j)) { j = of[rank].head; }
+                while (j != null && random.nextDouble() >= p && spill(j)) {
+                    j = of[rank].head;
+                }
             }
         }
     }
@@ -538,7 +634,9 @@
     /** A peer that fell silent (restart, cut, death) no longer holds slots here. */
     private void forgetSilentPeers() {
         for (Peer y : peers) {
-            if (y.heard > 0 && !fresh(y)) { y.forget(this::refresh); }
+            if (y.heard > 0 && !fresh(y)) {
+                y.forget(this::refresh);
+            }
             y.dropOldHolds(now, this::refresh);
         }
     }
@@ -551,15 +649,21 @@
         // danger: who does not fill a worker would take it for cold for good, and use no slot offered there
         homesMark = fleet.warmUp(now - s.cold()) ? 0 : homesMark; // it goes from its guardian to its owner
         coldHere = fleet.anyCold();
-        for (int k = 0; k < fleet.groups(); k++) { zoneSlots += fleet.counted(k) * known.ours(k); }
+        for (int k = 0; k < fleet.groups(); k++) {
+            zoneSlots += fleet.counted(k) * known.ours(k);
+        }
     }
 
     // ---- health ----
     private void checkHealth() {
         int step = Math.min(fleet.owned(), 1 + fleet.owned() / 8);
         for (Worker w : fleet.watched(checkTurn, step)) {
-            if (w.suspect && w.attempts.isEmpty() && now >= w.trialAt) { clear(w, w.failedTrials); }
-            if (!w.suspect && Silence.nats(w, now, known, s) > SUSPECT_NATS) { suspect(w); }
+            if (w.suspect && w.attempts.isEmpty() && now >= w.trialAt) {
+                clear(w, w.failedTrials);
+            }
+            if (!w.suspect && Silence.nats(w, now, known, s) > SUSPECT_NATS) {
+                suspect(w);
+            }
         }
         checkTurn += step;
     }
@@ -571,8 +675,12 @@
         refresh(w);
         for (Attempt a : new ArrayList<>(w.attempts)) {
             Job j = a.job;
-            if (j.over || j.streaming || j.spec.effect() == Effect.UNSAFE || j.tries >= s.maxAttempts()
-                    || a.cancelled || now > j.request.validUntil() - 3 * TICK) {
+            if (j.over
+                    || j.streaming
+                    || j.spec.effect() == Effect.UNSAFE
+                    || j.tries >= s.maxAttempts()
+                    || a.cancelled
+                    || now > j.request.validUntil() - 3 * TICK) {
                 continue;
             }
             if (s.parallel() && j.queue == null && mayRepeat(j)) {
@@ -589,15 +697,21 @@
     }
 
     // Danger: what all of a fleet, or all refused at once, wait equally long for comes back in step, for ever
-    private long spread(long least) { return least + random.nextLong(least / 4 + 1); }
+    private long spread(long least) {
+        return least + random.nextLong(least / 4 + 1);
+    }
 
     /** Danger: a count that wraps turns a shift, an index or a rate into nonsense. It stays at its end. */
-    static int next(int count) { return Math.min(count, Integer.MAX_VALUE - 1) + 1; }
+    static int next(int count) {
+        return Math.min(count, Integer.MAX_VALUE - 1) + 1;
+    }
 
     private void sign(Worker w) {
         w.lastSign = now;
         w.resets = 0;
-        if (w.suspect && w.errors < ERRORS) { clear(w, 0); }
+        if (w.suspect && w.errors < ERRORS) {
+            clear(w, 0);
+        }
     }
 
     private void clear(Worker w, int failedTrials) {
@@ -609,8 +723,12 @@
 
     /** Danger: a worker that broke a connection may have restarted; it is cold before the list says so. */
     private void broken(Worker w, boolean restarted) {
-        if (restarted) { chill(now, w); }
-        if (!w.suspect) { suspect(w); }
+        if (restarted) {
+            chill(now, w);
+        }
+        if (!w.suspect) {
+            suspect(w);
+        }
     }
 
     // ---- ends of attempts and requests ----
@@ -619,18 +737,22 @@
         return j != null && number >= 0 && number < j.tries ? j.attempts[number] : null;
     }
 
-    @Override public void note(long clock, long id, int number, boolean started) {
+    @Override
+    public void note(long clock, long id, int number, boolean started) {
         now = clock;
         Attempt a = attempt(id, number);
         if (a != null) {
-            if (started && a.startedAt == 0) { a.worker.cold.growth.started(now, a.sentAt); }
+            if (started && a.startedAt == 0) {
+                a.worker.cold.growth.started(now, a.sentAt);
+            }
             a.startedAt = started ? now : a.startedAt;
             a.lastNote = now;
             sign(a.worker);
         }
     }
 
-    @Override public void streamStarted(long clock, long id, int number) {
+    @Override
+    public void streamStarted(long clock, long id, int number) {
         now = clock;
         Attempt a = attempt(id, number);
         if (a != null) {
@@ -640,11 +762,13 @@
         }
     }
 
-    @Override public void attemptEnded(long clock, long id, int number, Outcome outcome, long took,
-            boolean over, Report report) {
+    @Override
+    public void attemptEnded(long clock, long id, int number, Outcome outcome, long took, boolean over, Report report) {
         now = clock;
         Attempt a = attempt(id, number);
-        if (a == null || a.ended) { return; }
+        if (a == null || a.ended) {
+            return;
+        }
         Job j = a.job;
         Worker w = a.worker;
         a.ended = true;
@@ -655,12 +779,20 @@
         w.attempts.remove(a);
         w.mine -= j.request.slots();
         observe(a, outcome, took);
-        if (report != null) { learn(w, report); }
+        if (report != null) {
+            learn(w, report);
+        }
         refresh(w);
         tellLender(w);
-        if (j.over && j.inFlight == 0) { jobs.remove(id); }
-        if (!j.over && over) { finish(j); }
-        if (!j.over && j.inFlight == 0) { again(j); }
+        if (j.over && j.inFlight == 0) {
+            jobs.remove(id);
+        }
+        if (!j.over && over) {
+            finish(j);
+        }
+        if (!j.over && j.inFlight == 0) {
+            again(j);
+        }
         drain();
     }
 
@@ -679,7 +811,9 @@
             case ERROR -> {
                 sign(w);
                 // danger: a worker that fails each job at once is always free and would draw all of them
-                if (++w.errors >= ERRORS) { suspect(w); }
+                if (++w.errors >= ERRORS) {
+                    suspect(w);
+                }
             }
             case FULL -> {
                 // danger: a worker that drains before the list says so turns everything away
@@ -691,26 +825,40 @@
             case CONNECT_FAILED -> broken(w, false);
             // danger: one broken connection is no broken worker; that one breaks all, and gives no other sign
             case RESET -> {
-                if (++w.resets >= RESETS) { broken(w, true); }
+                if (++w.resets >= RESETS) {
+                    broken(w, true);
+                }
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /** Nothing of the job is in flight any more: hold it for another attempt, or end it. */
     private void again(Job j) {
-        if (j.queue != null) { return; }
+        if (j.queue != null) {
+            return;
+        }
         boolean repeatable = j.spec.effect() != Effect.UNSAFE || j.nothingMayHaveRun();
-        boolean can = repeatable && j.tries < s.maxAttempts() && now < j.request.validUntil() - 3 * TICK
-                && mayRepeat(j);
-        if (can) { hold(j, true); } else { end(j); }
+        boolean can =
+                repeatable && j.tries < s.maxAttempts() && now < j.request.validUntil() - 3 * TICK && mayRepeat(j);
+        if (can) {
+            hold(j, true);
+        } else {
+            end(j);
+        }
     }
 
     /** Takes a repeat out of the budget, at once: many jobs may be held for it before any is sent. */
-    private boolean mayRepeat(Job j) { return j.nothingMayHaveRun() || repeats.take(); }
+    private boolean mayRepeat(Job j) {
+        return j.nothingMayHaveRun() || repeats.take();
+    }
 
     private void end(Job j) {
-        if (mayRefuse(j)) { out.refuse(j.request.id(), comeBack(j)); } else { out.fail(j.request.id()); }
+        if (mayRefuse(j)) {
+            out.refuse(j.request.id(), comeBack(j));
+        } else {
+            out.fail(j.request.id());
+        }
         finish(j);
     }
 
@@ -729,8 +877,12 @@
             leaving.removeIf(x -> x.over);
             goneByNow = 0;
         }
-        if (j.inFlight == 0) { jobs.remove(j.request.id()); }
-        for (int i = 0; i < j.tries && !j.streaming; i++) { cancel(j.attempts[i]); }
+        if (j.inFlight == 0) {
+            jobs.remove(j.request.id());
+        }
+        for (int i = 0; i < j.tries && !j.streaming; i++) {
+            cancel(j.attempts[i]);
+        }
     }
 
     private void cancel(Attempt a) {
@@ -740,32 +892,45 @@
         }
     }
 
-    @Override public void clientGone(long clock, long id) {
+    @Override
+    public void clientGone(long clock, long id) {
         now = clock;
         Job j = jobs.get(id);
-        if (j != null && !j.over) { finish(j); }
+        if (j != null && !j.over) {
+            finish(j);
+        }
     }
 
     // ---- the rules' guards ----
     private static boolean mayRefuse(Job j) {
-        return j.spec.effect() == Effect.SAFE || j.nothingMayHaveRun()
+        return j.spec.effect() == Effect.SAFE
+                || j.nothingMayHaveRun()
                 || j.spec.effect() == Effect.KEYED && j.spec.group() == Group.ALL;
     }
 
     /** May the job be sent to this worker now? Every path passes here. */
     private boolean maySend(Job j, Worker w) {
-        if (j.over || j.streaming || j.tries >= s.maxAttempts() || w.state != WorkerState.IN_SERVICE
+        if (j.over
+                || j.streaming
+                || j.tries >= s.maxAttempts()
+                || w.state != WorkerState.IN_SERVICE
                 || j.inFlight > 0 && !s.parallel()) {
             return false;
         }
         for (int i = 0; i < j.tries; i++) {
             Attempt a = j.attempts[i];
-            if (a.ended && a.neverRan) { continue; }
+            if (a.ended && a.neverRan) {
+                continue;
+            }
             // danger: the worker that failed it has a free slot at once, and would get all its attempts
-            if (a.failed && a.worker == w && anotherFor(j, w)) { return false; }
-            if (j.spec.effect() == Effect.UNSAFE || a.worker == w && !a.ended) { return false; }
-            if (j.spec.effect() == Effect.KEYED && (now >= a.sentAt + j.spec.keyTtl() - TICK
-                    || !Book.sameGroup(j.spec.group(), a.worker, w))) {
+            if (a.failed && a.worker == w && anotherFor(j, w)) {
+                return false;
+            }
+            if (j.spec.effect() == Effect.UNSAFE || a.worker == w && !a.ended) {
+                return false;
+            }
+            if (j.spec.effect() == Effect.KEYED
+                    && (now >= a.sentAt + j.spec.keyTtl() - TICK || !Book.sameGroup(j.spec.group(), a.worker, w))) {
                 return false;
             }
         }
@@ -774,7 +939,9 @@
 
     private boolean anotherFor(Job j, Worker w) {
         for (Worker x : fleet.here()) {
-            if (x != w && x.state == WorkerState.IN_SERVICE && !x.suspect
+            if (x != w
+                    && x.state == WorkerState.IN_SERVICE
+                    && !x.suspect
                     && (j.spec.effect() != Effect.KEYED || Book.sameGroup(j.spec.group(), w, x))) {
                 return true;
             }
@@ -792,7 +959,9 @@
     }
 
     /** Slot time a job is expected to take there, on its own. */
-    private double cost(Job j, Worker w) { return known.cost(j.request, kindIndex(w.kind)); }
+    private double cost(Job j, Worker w) {
+        return known.cost(j.request, kindIndex(w.kind));
+    }
 
     private void chill(long start, Worker w) {
         fleet.chill(w, start);
@@ -801,16 +970,27 @@
     }
 
     // ---- list of workers ----
-    @Override public void workers(long clock, ListKind kind, List<WorkerInfo> entries) {
+    @Override
+    public void workers(long clock, ListKind kind, List<WorkerInfo> entries) {
         now = clock;
         boolean first = !begun;
         begun = true;
         boolean changed = kind != ListKind.CHANGES; // what a whole list does not name is gone
-        if (changed) { fleet.goneAll(); }
-        for (WorkerInfo e : entries) { changed |= take(e, first); }
-        if (changed) { arrange(); }
-        if (first) { begin(); }
-        if (kind != ListKind.WARM_COPY) { calls.served(); }
+        if (changed) {
+            fleet.goneAll();
+        }
+        for (WorkerInfo e : entries) {
+            changed |= take(e, first);
+        }
+        if (changed) {
+            arrange();
+        }
+        if (first) {
+            begin();
+        }
+        if (kind != ListKind.WARM_COPY) {
+            calls.served();
+        }
     }
 
     private boolean take(WorkerInfo e, boolean first) {
@@ -831,7 +1011,9 @@
             w.suspect = false;
             w.failedTrials = 0;
         }
-        if (moved) { fleet.touch(w); }
+        if (moved) {
+            fleet.touch(w);
+        }
         return moved;
     }
 
@@ -849,7 +1031,9 @@
                 mark = (int) Book.mix(mark, 1 + y.number * s.zones() + how);
             }
         }
-        for (int z = 0; z < heardIn.length; z++) { mark = (int) Book.mix(mark, served(z) ? z : ~z); }
+        for (int z = 0; z < heardIn.length; z++) {
+            mark = (int) Book.mix(mark, served(z) ? z : ~z);
+        }
         if (mark != homesMark) {
             homesMark = mark;
             arrange();
@@ -860,16 +1044,23 @@
     private void arrange() {
         int[] near = Arrays.stream(peers)
                 .filter(y -> y.number == s.self() || y.heard > 0 && y.zone == s.zone())
-                .mapToInt(y -> y.number).toArray();
+                .mapToInt(y -> y.number)
+                .toArray();
         BitSet served = new BitSet();
-        for (int z = 0; z < heardIn.length; z++) { served.set(z, !settled || served(z)); }
+        for (int z = 0; z < heardIn.length; z++) {
+            served.set(z, !settled || served(z));
+        }
         int[] counted = Arrays.stream(near).filter(y -> shares.counts(y, now)).toArray();
         for (Worker w : fleet.arrange(homes, homes.hear(near, counted, served), known)) {
-            if (w.seat == s.zone()) { own(w, homes.owner(w)); }
+            if (w.seat == s.zone()) {
+                own(w, homes.owner(w));
+            }
             for (int i = 0; w.others > 0 && i < peers.length; i++) {
                 // its process took the jobs with it, or who fills it now hears of them: nobody will tell us
                 boolean elsewhere = !w.ours && peers[i].zone == s.zone();
-                if (elsewhere || w.state == WorkerState.GONE) { peers[i].hold(w, 0, now); }
+                if (elsewhere || w.state == WorkerState.GONE) {
+                    peers[i].hold(w, 0, now);
+                }
             }
             refresh(w);
         }
@@ -879,7 +1070,9 @@
         // danger: it changes hands with jobs on it, and who fills it now would count their slots as free
         boolean unknown = w.mine > 0 && w.lender != owner;
         w.lender = w.ours ? -1 : unknown ? owner : w.lender;
-        if (unknown) { tellLender(w); }
+        if (unknown) {
+            tellLender(w);
+        }
     }
 
     private void begin() {
@@ -889,47 +1082,70 @@
         learnShares();
         // a random phase: timers of a fleet that starts together must not run in step
         nextExchange = now + random.nextLong(MIN_PERIOD);
-        for (Peer y : peers) { tell(y.number, message(Message.Type.OFFERS)); }
+        for (Peer y : peers) {
+            tell(y.number, message(Message.Type.OFFERS));
+        }
         out.timer(TICK_TOKEN, 1 + random.nextLong(TICK));
         probeCredit = Math.min(12, fleet.owned());
         for (int i = 0; i < 3; i++) {
             probeTurn = random.nextInt(1 << 20);
             probeSome();
         }
-        if (s.listOnDemand()) { call(calls.first(random)); }
+        if (s.listOnDemand()) {
+            call(calls.first(random));
+        }
     }
 
     // Danger: attempts that cannot be opened end at once and use up all tries
-    @Override public void room(long clock, boolean open) {
+    @Override
+    public void room(long clock, boolean open) {
         now = clock;
         mayOpen = open;
         drain();
     }
 
-    @Override public void workersUnavailable(long clock, WatchEnd how) {
+    @Override
+    public void workersUnavailable(long clock, WatchEnd how) {
         now = clock;
         call(calls.again(random, how));
     }
 
     private void call(long after) {
-        if (after > 0) { out.timer(SUBSCRIBE_TOKEN, calls.after(after, now)); } else { out.subscribe(); }
+        if (after > 0) {
+            out.timer(SUBSCRIBE_TOKEN, calls.after(after, now));
+        } else {
+            out.subscribe();
+        }
     }
 
-    long looks() { return fleet.looks(); }
+    long looks() {
+        return fleet.looks();
+    }
 
-    @Override public void allowances(long clock, List<Tenant> tenants) {
+    @Override
+    public void allowances(long clock, List<Tenant> tenants) {
         now = clock;
         allowances.follow(tenants);
     }
 
-    @Override public int avoided() { return fleet.avoided(); }
+    @Override
+    public int avoided() {
+        return fleet.avoided();
+    }
 
-    @Override public Sharing sharing() { return fleet.sharing(peers, shares, now); }
+    @Override
+    public Sharing sharing() {
+        return fleet.sharing(peers, shares, now);
+    }
 
     // ---- another process of this dispatcher, to replace or to be replaced by ----
-    @Override public Beside beside() { return new Beside(fleet.jobs(), known.told()); }
+    @Override
+    public Beside beside() {
+        return new Beside(fleet.jobs(), known.told());
+    }
 
-    @Override public void beside(long clock, Beside other) {
+    @Override
+    public void beside(long clock, Beside other) {
         now = clock;
         known.take(other.learned());
         processes = other.equals(Beside.NOBODY) ? 1 : 2;
@@ -942,10 +1158,15 @@
     }
 
     // ---- time ----
-    @Override public void timer(long clock, long token) {
+    @Override
+    public void timer(long clock, long token) {
         now = clock;
-        if (token == SUBSCRIBE_TOKEN && calls.isDue(now)) { out.subscribe(); }
-        if (token != TICK_TOKEN) { return; }
+        if (token == SUBSCRIBE_TOKEN && calls.isDue(now)) {
+            out.subscribe();
+        }
+        if (token != TICK_TOKEN) {
+            return;
+        }
         double seconds = (now - lastTick) / 1e6;
         // danger: a rate that starts from nothing makes most requests after a start look beyond their share
         double over = Math.min(RATE_SPAN, (now - bornAt) / 1e6);
@@ -959,13 +1180,17 @@
             learnHomes();
             learnShares();
         }
-        for (Worker w : fleet.coldOurs()) { coldCovers(w, 0, heldSlots > 0); }
+        for (Worker w : fleet.coldOurs()) {
+            coldCovers(w, 0, heldSlots > 0);
+        }
         checkHealth();
         endLeaving();
         drain();
         for (Peer y : peers) {
             giveBack(y, heldSlots > 0);
-            if (!y.holdsDue(now)) { continue; }
+            if (!y.holdsDue(now)) {
+                continue;
+            }
             tell(y.number, y.holds(now, fleet.borrowed(), message(Message.Type.HOLDS)));
         }
         placeBound();
@@ -985,7 +1210,9 @@
         for (int c = 0; c < queues.length; c++) {
             Job j = queues[c][IN_SHARE].head;
             boolean pressed = j != null && now - j.arrived > slack(c) / 2;
-            if (pressed && random.nextDouble() >= acceptance()) { spill(j); }
+            if (pressed && random.nextDouble() >= acceptance()) {
+                spill(j);
+            }
         }
     }
 
@@ -1007,7 +1234,9 @@
             Job j = of[BOUND].head;
             for (int i = 0; j != null && i < 32; i++) {
                 Job next = j.next;
-                if (!sendTo(j, choose(j)) && hopeless(j)) { end(j); }
+                if (!sendTo(j, choose(j)) && hopeless(j)) {
+                    end(j);
+                }
                 j = next;
             }
         }
@@ -1015,7 +1244,9 @@
 
     /** Danger: an answer must not wait for the deadline when no worker of the job's group is left. */
     private boolean hopeless(Job j) {
-        return j.inFlight == 0 && j.spec.effect() == Effect.KEYED && !j.nothingMayHaveRun()
+        return j.inFlight == 0
+                && j.spec.effect() == Effect.KEYED
+                && !j.nothingMayHaveRun()
                 && fleet.all().stream().noneMatch(w -> maySend(j, w));
     }
 }
--- a/src/main/java/saffronferry/Fleet.java
+++ b/src/main/java/saffronferry/Fleet.java
@@ -29,21 +29,25 @@
     Worker[] ours = new Worker[0];
     /** Cold workers, and of these the ones of our zone, and of these our own; in the order of the ring. */
     private final TreeSet<Worker> cold = new TreeSet<>(Fleet::byHash);
+
     private final TreeSet<Worker> coldHere = new TreeSet<>(Fleet::byHash);
     private final TreeSet<Worker> coldOurs = new TreeSet<>(Fleet::byHash);
     /** Our own that have jobs of ours or are suspect: silence means nothing at others. */
     private final TreeSet<Worker> watched = new TreeSet<>(Fleet::byHash);
     /** Others' workers that have jobs of ours. */
     private final TreeSet<Worker> borrowed = new TreeSet<>(Fleet::byHash);
+
     private final Set<Worker> gone = new HashSet<>();
     /** Whose place may have changed since the last arrangement; and whether all are. */
     private Set<Worker> touched = new HashSet<>();
+
     private boolean allTouched;
     private int usableChanges;
     /** Workers looked at since the start: a test holds that what happens often looks at few. */
     private long looks;
     /** Workers of our zone, and of these those that count: in service and not suspect; by group. */
     private final int[] present;
+
     private final int[] counted;
     private final int zone;
     private final Worker[][] open;
@@ -122,7 +126,8 @@
     /** How many in service are given no jobs for now, but for a trial. */
     int avoided() {
         return (int) byAddress.values().stream()
-                .filter(w -> w.suspect && w.state == WorkerState.IN_SERVICE).count();
+                .filter(w -> w.suspect && w.state == WorkerState.IN_SERVICE)
+                .count();
     }
 
     /** What is shared now of this zone's workers, and with whom. */
@@ -145,8 +150,16 @@
         for (Worker w : coldOurs) {
             part += shares.part(now, w.hash, w.zone == zone);
         }
-        return new Sharing(peers.length, heard, counted, coldHere.size(), guarded,
-                guarded == 0 ? 0 : part / guarded, lent, back, borrowed);
+        return new Sharing(
+                peers.length,
+                heard,
+                counted,
+                coldHere.size(),
+                guarded,
+                guarded == 0 ? 0 : part / guarded,
+                lent,
+                back,
+                borrowed);
     }
 
     /** A worker has started anew then. */
@@ -164,7 +177,7 @@
     /** Takes workers that started before a time for warm; whether there was one. */
     boolean warmUp(long before) {
         boolean any = false;
-        for (Iterator<Worker> each = looked(cold).iterator(); each.hasNext();) {
+        for (Iterator<Worker> each = looked(cold).iterator(); each.hasNext(); ) {
             Worker w = each.next();
             if (w.coldSince <= before) {
                 w.coldSince = 0;
@@ -322,7 +335,7 @@
     /** Danger: each release replaces workers by new ones; those that are gone must not fill memory. */
     private void forgetGone() {
         boolean many = byAddress.size() > MANY;
-        for (Iterator<Worker> each = gone.iterator(); many && each.hasNext();) {
+        for (Iterator<Worker> each = gone.iterator(); many && each.hasNext(); ) {
             Worker w = each.next();
             if (w.attempts.isEmpty()) {
                 each.remove();
--- a/src/main/java/saffronferry/Homes.java
+++ b/src/main/java/saffronferry/Homes.java
@@ -31,8 +31,8 @@
      * @return whether it differs from before: then any worker may change hands
      */
     boolean hear(int[] near, int[] counted, BitSet served) {
-        boolean same = Arrays.equals(near, this.near) && Arrays.equals(counted, this.counted)
-                && served.equals(this.served);
+        boolean same =
+                Arrays.equals(near, this.near) && Arrays.equals(counted, this.counted) && served.equals(this.served);
         this.near = near;
         this.counted = counted;
         this.served = served;
--- a/src/main/java/saffronferry/Lessons.java
+++ b/src/main/java/saffronferry/Lessons.java
@@ -17,6 +17,7 @@
      * Learned slots of a worker, by kind, the last one for unknown kinds, and on how many reports each rests.
      */
     final double[] slots;
+
     final double[] weight;
     /** How often the usable slots of a kind have changed: workers at rest may be open by other ones still. */
     int usableChanges;
@@ -26,6 +27,7 @@
     final double[] pace;
     /** Running time by class, lately and at its best, and from how many jobs that is known. */
     final double[] mean;
+
     final double[] base;
     final int[] ended;
 
--- a/src/main/java/saffronferry/Message.java
+++ b/src/main/java/saffronferry/Message.java
@@ -7,6 +7,7 @@
 final class Message {
     /** Largest message. */
     static final int MOST_BYTES = 256;
+
     private static final int HEADER = 7;
     private static final int ENTRY = 4;
     private static final long PERIOD_UNIT = 10_000;
@@ -17,6 +18,7 @@
     private static final int COLD = 0x20;
     /** And here whether after the words it says who is of another zone than its own. */
     private static final int ELSEWHERE = 0x10;
+
     private static final int FLAGS = DATED | COLD | ELSEWHERE;
     private static final int STAMP = 3; // two bytes of time, one of the word's length
     private static final int RETURN_STAMP = 2;
@@ -34,7 +36,12 @@
      * with which they were lent; or all slots that its jobs take at the receiver's workers. Versions before
      * do not know the last two, and leave them out.
      */
-    enum Type { OFFERS, BORROWS, RETURNS, HOLDS }
+    enum Type {
+        OFFERS,
+        BORROWS,
+        RETURNS,
+        HOLDS
+    }
 
     final Type type;
     final int zone;
@@ -141,7 +148,9 @@
         b[3] = (byte) (coded >> 8);
         b[4] = (byte) coded;
         b[5] = (byte) Math.min(255, period / PERIOD_UNIT);
-        b[6] = (byte) (type.ordinal() | (word == null ? 0 : DATED) | (cold ? COLD : 0)
+        b[6] = (byte) (type.ordinal()
+                | (word == null ? 0 : DATED)
+                | (cold ? COLD : 0)
                 | (word == null || elsewhere == null ? 0 : ELSEWHERE));
         int at = HEADER;
         if (type == Type.RETURNS) {
@@ -194,8 +203,12 @@
         if (b.length < from || word > MOST_WORD || (b.length - from) % ENTRY != 0) {
             return null;
         }
-        Message m = new Message(Type.values()[b[6] & ~FLAGS], b[0] & 0xFF, (b[1] & 0xFF) / 255.0,
-                (b[2] & 0xFF) / 255.0, ((b[3] & 0xFF) << 8 | b[4] & 0xFF) / RATE_UNIT,
+        Message m = new Message(
+                Type.values()[b[6] & ~FLAGS],
+                b[0] & 0xFF,
+                (b[1] & 0xFF) / 255.0,
+                (b[2] & 0xFF) / 255.0,
+                ((b[3] & 0xFF) << 8 | b[4] & 0xFF) / RATE_UNIT,
                 (b[5] & 0xFF) * PERIOD_UNIT);
         m.cold = (b[6] & COLD) != 0;
         if (dated) {
--- a/src/main/java/saffronferry/News.java
+++ b/src/main/java/saffronferry/News.java
@@ -12,35 +12,35 @@
 public sealed interface News {
     /** A call attempt ended; {@code answered}: the RPC has its final answer, from this attempt or before. */
     record AttemptEnded(long rpc, int attempt, Outcome outcome, long took, boolean answered, Report load)
-            implements News { }
+            implements News {}
 
     /** A subchannel says that the attempt's job has started, or else that some of it is done. */
-    record AttemptMoved(long rpc, int attempt, boolean started) implements News { }
+    record AttemptMoved(long rpc, int attempt, boolean started) implements News {}
 
     /** The client has gone away: no answer is owed any more. */
-    record ClientGone(long rpc) implements News { }
+    record ClientGone(long rpc) implements News {}
 
     /** A probe ended; the load may be null. */
-    record Probed(String subchannel, Outcome outcome, Report load) implements News { }
+    record Probed(String subchannel, Outcome outcome, Report load) implements News {}
 
     /**
      * The tenants from now on: who was there keeps the index, and who is new is behind. One that is gone
      * stays, with no limit known.
      */
-    record AllowancesChanged(List<Tenant> tenants) implements News { }
+    record AllowancesChanged(List<Tenant> tenants) implements News {}
 
     /** A datagram of a peer, by its number. */
-    record PeerSaid(int peer, byte[] bytes) implements News { }
+    record PeerSaid(int peer, byte[] bytes) implements News {}
 
     /** A resolver result: the whole list, changes to it, or the copy that a start is given. */
-    record Resolved(ListKind kind, List<WorkerInfo> entries) implements News { }
+    record Resolved(ListKind kind, List<WorkerInfo> entries) implements News {}
 
     /** Whether there are descriptors for further call attempts; at the start there are. */
-    record Room(boolean open) implements News { }
+    record Room(boolean open) implements News {}
 
     /** What another process of the same dispatcher tells; {@link Beside#NOBODY} once it is gone. */
-    record RunsBeside(Beside other) implements News { }
+    record RunsBeside(Beside other) implements News {}
 
     /** The watch, or the call for one, failed or ended. */
-    record WatchLost(WatchEnd how) implements News { }
+    record WatchLost(WatchEnd how) implements News {}
 }
--- a/src/main/java/saffronferry/RepeatBudget.java
+++ b/src/main/java/saffronferry/RepeatBudget.java
@@ -10,9 +10,11 @@
     private static final double PART = 0.2;
     /** All together, a second and at once, beside the fifth. */
     private static final double FLEET_PER_S = 20;
+
     private static final double FLEET_MOST = 100;
     /** One dispatcher, few as it may have: the jobs of one worker that fails must find a repeat each. */
     private static final double LEAST_PER_S = 0.5;
+
     private static final double LEAST_MOST = 5;
     private static final double ALONE_PER_S = 5;
     private static final double ALONE_MOST = 25;
--- a/src/main/java/saffronferry/Silence.java
+++ b/src/main/java/saffronferry/Silence.java
@@ -9,7 +9,7 @@
     private static final double NOTICE_NATS = 2; // how strong: the slot may not have been free
     private static final double NO_PROGRESS_NATS = 8; // nothing told in three times the time between notes
 
-    private Silence() { }
+    private Silence() {}
 
     /** What the running times of their classes make of all our jobs there staying unanswered, in nats. */
     static double nats(Worker w, long now, Lessons known, Contract.Settings s) {
--- a/src/main/java/saffronferry/adapter/LineReader.java
+++ b/src/main/java/saffronferry/adapter/LineReader.java
@@ -263,8 +263,7 @@
         }
         int to = fieldEnd(field);
         for (int i = 0; pos < to; i++) {
-            boolean empty = buffer[pos] == ','
-                    || buffer[pos] == '-' && (pos + 1 == to || buffer[pos + 1] == ',');
+            boolean empty = buffer[pos] == ',' || buffer[pos] == '-' && (pos + 1 == to || buffer[pos + 1] == ',');
             double value = Double.NaN;
             if (empty) {
                 pos += buffer[pos] == ',' ? 1 : 2;
--- a/src/main/java/saffronferry/adapter/Main.java
+++ b/src/main/java/saffronferry/adapter/Main.java
@@ -1,19 +1,19 @@
 package saffronferry.adapter;
 
 import java.io.EOFException;
-import java.io.FileOutputStream;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
+import java.io.FileOutputStream;
 import java.io.IOException;
 
 /** The command {@code adapter}: speaks the simulator's wire on standard input and output. */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     public static void run() {
         try {
-            new Wire(new LineReader(new FileInputStream(FileDescriptor.in)),
-                    new FileOutputStream(FileDescriptor.out)).run();
+            new Wire(new LineReader(new FileInputStream(FileDescriptor.in)), new FileOutputStream(FileDescriptor.out))
+                    .run();
         } catch (WireException | EOFException e) {
             System.err.println("saffronferry: " + e.getMessage());
             System.exit(1);
--- a/src/main/java/saffronferry/adapter/Wire.java
+++ b/src/main/java/saffronferry/adapter/Wire.java
@@ -12,17 +12,39 @@
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.settings.SettingsReader;
 import saffronferry.fleet.WatchEnd;
+import saffronferry.settings.SettingsReader;
 
 /** Turns the lines of the wire into events of the instances and their actions into reply lines. */
 final class Wire {
-    private static final byte[][] MESSAGES = words("call", "result", "timer", "pong", "memo", "heartbeat",
-            "dropped", "members", "at", "turn", "go", "inventory", "first", "spawn", "crash_now");
-    private static final byte[][] OUTCOMES = words("delivered", "app_error", "shed", "expired", "dial_failed",
-            "dropped", "revoked", "unused");
-    private static final Outcome[] OUTCOME_OF = {Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT,
-        Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.CANCELLED, Outcome.NOT_SENT};
+    private static final byte[][] MESSAGES = words(
+            "call",
+            "result",
+            "timer",
+            "pong",
+            "memo",
+            "heartbeat",
+            "dropped",
+            "members",
+            "at",
+            "turn",
+            "go",
+            "inventory",
+            "first",
+            "spawn",
+            "crash_now");
+    private static final byte[][] OUTCOMES =
+            words("delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused");
+    private static final Outcome[] OUTCOME_OF = {
+        Outcome.OK,
+        Outcome.ERROR,
+        Outcome.FULL,
+        Outcome.TIMEOUT,
+        Outcome.CONNECT_FAILED,
+        Outcome.RESET,
+        Outcome.CANCELLED,
+        Outcome.NOT_SENT
+    };
     private static final byte[][] MODES = words("in_service", "terminating", "terminated");
     private static final byte[][] LISTS = words("incr", "total", "warm_copy", "lost");
     private static final int TABLES = 16;
@@ -37,8 +59,7 @@
         List<String> zones;
     }
 
-    private record Row(String kind, WorkerState state, String address, String zone, long startedAt,
-                       int cell) { }
+    private record Row(String kind, WorkerState state, String address, String zone, long startedAt, int cell) {}
 
     private final LineReader in;
     private final OutputStream out;
@@ -58,7 +79,9 @@
     }
 
     private static byte[][] words(String... words) {
-        return Arrays.stream(words).map(w -> w.getBytes(StandardCharsets.US_ASCII)).toArray(byte[][]::new);
+        return Arrays.stream(words)
+                .map(w -> w.getBytes(StandardCharsets.US_ASCII))
+                .toArray(byte[][]::new);
     }
 
     void run() throws IOException {
@@ -166,8 +189,13 @@
         if (table.resolved == null || !table.kinds.equals(names.kinds) || !table.zones.equals(names.zones)) {
             List<WorkerInfo> list = new ArrayList<>(table.rows.size());
             for (Row r : table.rows) {
-                list.add(new WorkerInfo(r.address, r.state, names.kinds.indexOf(r.kind),
-                        names.zones.indexOf(r.zone), r.startedAt, r.cell));
+                list.add(new WorkerInfo(
+                        r.address,
+                        r.state,
+                        names.kinds.indexOf(r.kind),
+                        names.zones.indexOf(r.zone),
+                        r.startedAt,
+                        r.cell));
             }
             table.resolved = List.copyOf(list);
             table.kinds = names.kinds;
@@ -196,7 +224,10 @@
             if (!broken) {
                 StackTraceElement[] trace = e.getStackTrace();
                 broken = true;
-                replyOf(to.number).text("crash ").free(e + (trace.length > 0 ? " at " + trace[0] : "")).end();
+                replyOf(to.number)
+                        .text("crash ")
+                        .free(e + (trace.length > 0 ? " at " + trace[0] : ""))
+                        .end();
             }
         }
     }
@@ -214,8 +245,7 @@
         int slots = in.absent() ? 1 : (int) in.whole("coresNeeded");
         in.skip(); // memory
         long bits = in.absent() ? 0 : in.whole("attrs");
-        to.module.request(now,
-                new Request(id, jobClass, tenant, validUntil, slots, (bits & REPEAT_BIT) != 0));
+        to.module.request(now, new Request(id, jobClass, tenant, validUntil, slots, (bits & REPEAT_BIT) != 0));
     }
 
     private Outcome outcome() {
@@ -251,7 +281,7 @@
                 case 0 -> held = values[i];
                 case 1 -> queued = values[i];
                 case 2 -> freeSlots = values[i];
-                default -> { }
+                default -> {}
             }
         }
         return new Report(held, queued, freeSlots);
--- a/src/main/java/saffronferry/agree/Agreement.java
+++ b/src/main/java/saffronferry/agree/Agreement.java
@@ -11,8 +11,17 @@
  * @param refused changes that were not taken: faulty, ahead of the clock, too old or too many
  * @param dropped datagrams that were forged, garbled, late or of another version
  */
-public record Agreement(State state, int held, int marks, long digest, long newest, long behind,
-        long bytesOut, long bytesIn, long refused, long dropped) {
+public record Agreement(
+        State state,
+        int held,
+        int marks,
+        long digest,
+        long newest,
+        long behind,
+        long bytesOut,
+        long bytesIn,
+        long refused,
+        long dropped) {
     /** Where a dispatcher stands. */
     public enum State {
         /** It hears others. */
--- a/src/main/java/saffronferry/agree/Changeable.java
+++ b/src/main/java/saffronferry/agree/Changeable.java
@@ -13,6 +13,7 @@
 
     /** Where the table of names is in a configuration, and what of an entry may change. */
     public final String path;
+
     public final String field;
 
     Changeable(String path, String field) {
@@ -53,7 +54,8 @@
 
     /** A number in the one form in which it is agreed upon. */
     public static String text(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
                 : Double.toString(value);
     }
 }
--- a/src/main/java/saffronferry/agree/Frame.java
+++ b/src/main/java/saffronferry/agree/Frame.java
@@ -19,14 +19,20 @@
     /**
      * Changes; digests of all ranges; of the leaves of some ranges; hashes of what some leaves hold, and
      * in answer to these what the other holds there. */
-    enum Kind { CHANGES, RANGES, LEAVES, HELD, HELD_TOO }
+    enum Kind {
+        CHANGES,
+        RANGES,
+        LEAVES,
+        HELD,
+        HELD_TOO
+    }
 
     private byte[] b = new byte[MOST_BYTES];
     private int at = HEADER;
     private Change group;
     private int countAt;
 
-    private Frame() { }
+    private Frame() {}
 
     /** A datagram to be filled. */
     static Frame of(Kind kind, int salt, long now) {
@@ -113,10 +119,12 @@
 
     /** False where there is no room for it. Changes of one stamp, origin and incarnation share these. */
     boolean add(Change c) {
-        boolean same = group != null && group.stamp() == c.stamp() && group.origin() == c.origin()
-                && group.incarnation() == c.incarnation() && (b[countAt] & 0xFF) < 255;
-        int length = 3 + c.key().name().length() + (c.removes() ? 0 : c.value().length())
-                + (same ? 0 : GROUP);
+        boolean same = group != null
+                && group.stamp() == c.stamp()
+                && group.origin() == c.origin()
+                && group.incarnation() == c.incarnation()
+                && (b[countAt] & 0xFF) < 255;
+        int length = 3 + c.key().name().length() + (c.removes() ? 0 : c.value().length()) + (same ? 0 : GROUP);
         if (size() + length > MOST_BYTES) {
             return false;
         }
@@ -153,7 +161,8 @@
         String name = text((int) take(1));
         int length = (int) take(1);
         String value = length == REMOVAL ? null : text(length);
-        return what == null ? null
+        return what == null
+                ? null
                 : new Change(new Key(what, name), value, group.stamp(), group.origin(), group.incarnation());
     }
 
--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -26,24 +26,29 @@
     static final long SILENCE = 10_000_000;
     /** A new change is pushed to so many at once, and to one with each tick from then on. */
     private static final int AT_ONCE = 3;
+
     private static final int MOST_PUSHES = 10;
     /** So much of the cap goes into pushing what has come within {@link #HOT}; the rest is repair's. */
     private static final double PUSHED_SECONDS = 1.5;
     /** Where changes wait, digests leave the bucket filled to this part. */
     private static final double YIELDS = 0.75;
+
     private static final int TYPICAL_CHANGE = 22; // bytes, where many share a stamp
     private static final int PER_TICK = 6;
     /** More than so many lately learned are a burst: no datagram holds what is recent. */
     private static final int MANY = 32;
     /** Where much is to be had from others: after a start, and while a datagram brings several changes. */
     private static final long BULK_PERIOD = TICK;
+
     private static final long BULK = 2_000_000;
     private static final int SEVERAL = 2;
     /** While something has changed lately, and else. */
     private static final long HOT_PERIOD = 500_000;
+
     private static final long QUIET_PERIOD = 2_000_000;
     /** For so long after a difference digests are sent at the shorter period. */
     private static final long HOT = 10_000_000;
+
     private static final int MOST_RECENT = 1024;
     private static final int RANGES_TOLD = 13;
     private static final int MOST_OWED = 16;
@@ -64,12 +69,12 @@
      * @param peers of the fleet, itself included
      * @param bytesPerS what it may say of settings in any second
      */
-    public record Setup(int self, int peers, int bytesPerS, byte[] secret, long seed) { }
+    public record Setup(int self, int peers, int bytesPerS, byte[] secret, long seed) {}
 
-    private record Recent(Key key, long at) { }
+    private record Recent(Key key, long at) {}
 
     /** What a peer is to be told: it asked, and lacks these. */
-    private record Owed(int peer, long until, ArrayDeque<Key> keys) { }
+    private record Owed(int peer, long until, ArrayDeque<Key> keys) {}
 
     /** A change that is being passed on. */
     private static final class Rumour {
@@ -157,8 +162,7 @@
         }
         if (now >= nextDigest && (now >= bulkUntil || tokens > depth / 2)) {
             tell(anyPeer(), ranges(now), now);
-            long period = !caughtUp || now < bulkUntil ? BULK_PERIOD
-                    : now < hotUntil ? HOT_PERIOD : QUIET_PERIOD;
+            long period = !caughtUp || now < bulkUntil ? BULK_PERIOD : now < hotUntil ? HOT_PERIOD : QUIET_PERIOD;
             nextDigest = now + period - random.nextLong(period / 4);
         }
         for (int i = 0; i < PER_TICK; i++) {
@@ -181,8 +185,12 @@
     public void hear(long now, int peer, byte[] bytes) {
         bytesIn += bytes.length;
         Frame f = Frame.read(bytes);
-        if (peer == setup.self() || !Frame.speaksOfSettings(bytes) || f.isLater() || !f.sealed(seal)
-                || Math.abs(f.age(now)) > LATEST || f.kind() == null) {
+        if (peer == setup.self()
+                || !Frame.speaksOfSettings(bytes)
+                || f.isLater()
+                || !f.sealed(seal)
+                || Math.abs(f.age(now)) > LATEST
+                || f.kind() == null) {
             dropped++;
             return;
         }
@@ -249,7 +257,7 @@
         }
         Frame f = Frame.of(Frame.Kind.CHANGES, 0, now);
         Set<Key> seen = new HashSet<>();
-        for (Iterator<Recent> i = recent.descendingIterator(); i.hasNext();) {
+        for (Iterator<Recent> i = recent.descendingIterator(); i.hasNext(); ) {
             Change c = map.get(i.next().key());
             if (c != null && leaves.test(c.leaf()) && seen.add(c.key()) && !f.add(c)) {
                 break;
@@ -280,7 +288,7 @@
         Frame held = Frame.of(kind, random.nextInt(1 << 16), now);
         int[] each = leaves.stream().toArray();
         int from = random.nextInt(each.length); // who asks several peers asks each for other leaves
-        for (int i = 0; i < each.length && addHeld(held, each[(from + i) % each.length]);) {
+        for (int i = 0; i < each.length && addHeld(held, each[(from + i) % each.length]); ) {
             i++;
         }
         tell(peer, held, now);
@@ -401,7 +409,8 @@
     /** Says what one peer is owed, as much as a datagram holds. */
     private void answer(long now) {
         // guards against telling what the peer has had from others by now
-        while (!owed.isEmpty() && (owed.peekFirst().until() < now || owed.peekFirst().keys().isEmpty())) {
+        while (!owed.isEmpty()
+                && (owed.peekFirst().until() < now || owed.peekFirst().keys().isEmpty())) {
             owed.pollFirst();
         }
         if (owed.isEmpty()) {
@@ -490,9 +499,19 @@
     }
 
     public Agreement agreement(long now) {
-        Agreement.State state = setup.peers() > 1 && now - lastHeard > SILENCE ? Agreement.State.ALONE
+        Agreement.State state = setup.peers() > 1 && now - lastHeard > SILENCE
+                ? Agreement.State.ALONE
                 : caughtUp ? Agreement.State.IN_TOUCH : Agreement.State.CATCHING_UP;
-        return new Agreement(state, map.size(), map.marks(), map.digest(), map.newest(),
-                differsSince == 0 ? 0 : Math.max(1, now - differsSince), bytesOut, bytesIn, refused, dropped);
+        return new Agreement(
+                state,
+                map.size(),
+                map.marks(),
+                map.digest(),
+                map.newest(),
+                differsSince == 0 ? 0 : Math.max(1, now - differsSince),
+                bytesOut,
+                bytesIn,
+                refused,
+                dropped);
     }
 }
--- a/src/main/java/saffronferry/agree/LwwMap.java
+++ b/src/main/java/saffronferry/agree/LwwMap.java
@@ -17,6 +17,7 @@
     static final int RANGE = LEAVES / RANGES;
     /** Some 200 bytes each: all of them below a megabyte. */
     static final int MOST_KEYS = 4096;
+
     static final int MOST_MARKS = 2048;
     /** How long a removal is remembered: longer than an operator takes to mend a dispatcher's old file. */
     static final long MARK_AGE = 7L * 86_400 * 1_000_000;
@@ -24,15 +25,22 @@
     static final long MOST_AHEAD = 1_000_000;
 
     /** What became of a change. */
-    enum Merged { TAKEN, KNOWN, OLDER, REFUSED }
+    enum Merged {
+        TAKEN,
+        KNOWN,
+        OLDER,
+        REFUSED
+    }
 
     private final Map<Key, Change> held = new HashMap<>();
     private final TreeSet<Change> marks = new TreeSet<>(Comparator.comparingLong(Change::stamp)
-            .thenComparing(c -> c.key().what()).thenComparing(c -> c.key().name()));
+            .thenComparing(c -> c.key().what())
+            .thenComparing(c -> c.key().name()));
     private final long[] leaves = new long[LEAVES];
     private final List<Map<Key, Change>> byLeaf = new ArrayList<>();
     /** The newest stamp of a mark dropped: what is older and unknown may be what that mark removed. */
     private long floor;
+
     private long newest;
 
     LwwMap() {
@@ -49,8 +57,10 @@
         if (c.stamp() > now + MOST_AHEAD || Changeable.fault(c.key().name(), c.value()) != null) {
             return Merged.REFUSED;
         }
-        if (mine == null && (c.stamp() <= floor || held.size() - marks.size() >= MOST_KEYS
-                || c.removes() && c.stamp() <= now - MARK_AGE)) {
+        if (mine == null
+                && (c.stamp() <= floor
+                        || held.size() - marks.size() >= MOST_KEYS
+                        || c.removes() && c.stamp() <= now - MARK_AGE)) {
             // guards against an old copy that brings back what was removed, and memory against a flood
             return Merged.REFUSED;
         }
--- a/src/main/java/saffronferry/cli/ConfigCommand.java
+++ b/src/main/java/saffronferry/cli/ConfigCommand.java
@@ -18,10 +18,8 @@
         spec.commandLine().usage(spec.commandLine().getOut());
     }
 
-    @Command(name = "check",
-            description = "Reads a configuration as serve does and says what is wrong with it.")
-    int check(@Parameters(paramLabel = "FILE",
-    description = "a JSON file as BALANCER_CONFIG names it") Path file) {
+    @Command(name = "check", description = "Reads a configuration as serve does and says what is wrong with it.")
+    int check(@Parameters(paramLabel = "FILE", description = "a JSON file as BALANCER_CONFIG names it") Path file) {
         Config.check(file);
         spec.commandLine().getOut().println(file + ": fine");
         return 0;
--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -45,17 +45,17 @@
     }
 
     @Command(name = "run", description = "Plays a scenario's days, one for each seed.")
-    int play(@Parameters(paramLabel = "SCENARIO.toml") Path file,
-            @Option(names = "--seeds", defaultValue = "1-4",
-            description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
-            String seeds,
-            @Option(names = "--policy", defaultValue = "networked-queues",
-            description = "${DEFAULT-VALUE} by default")
-            String policy,
+    int play(
+            @Parameters(paramLabel = "SCENARIO.toml") Path file,
+            @Option(names = "--seeds", defaultValue = "1-4", description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
+                    String seeds,
+            @Option(names = "--policy", defaultValue = "networked-queues", description = "${DEFAULT-VALUE} by default")
+                    String policy,
             @Option(names = "--set", paramLabel = "KEY=VALUE", description = SET) List<String> set,
             @Option(names = "--out", paramLabel = "DIR", description = "where result.json goes") Path dir,
             @Option(names = "--threads", description = "days at once; as many as there are cores by default")
-            Integer threads) throws Exception {
+                    Integer threads)
+            throws Exception {
         Scenario scenario = read(file, set);
         Policy chosen = Policy.of(policy);
         List<Day> days = Lab.run(scenario, chosen, seeds(seeds), threads(threads));
@@ -64,17 +64,18 @@
         return broken(days);
     }
 
-    @Command(name = "compare",
+    @Command(
+            name = "compare",
             description = "Plays the same days with several policies and compares them pair by pair.")
-    int compare(@Parameters(paramLabel = "SCENARIO.toml") Path file,
-            @Option(names = "--policy",
-            description = "give it once for each; all by default") List<String> policies,
-            @Option(names = "--seeds", defaultValue = "1-8",
-            description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
-            String seeds,
+    int compare(
+            @Parameters(paramLabel = "SCENARIO.toml") Path file,
+            @Option(names = "--policy", description = "give it once for each; all by default") List<String> policies,
+            @Option(names = "--seeds", defaultValue = "1-8", description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
+                    String seeds,
             @Option(names = "--set", paramLabel = "KEY=VALUE", description = SET) List<String> set,
             @Option(names = "--threads", description = "days at once; as many as there are cores by default")
-            Integer threads) throws Exception {
+                    Integer threads)
+            throws Exception {
         Scenario scenario = read(file, set);
         Map<Policy, List<Day>> all = new LinkedHashMap<>();
         for (String label : policies == null ? Policy.labels() : policies) {
@@ -93,20 +94,30 @@
         return broken(all.values().stream().flatMap(List::stream).toList());
     }
 
-    @Command(name = "sweep", description = "Plays the same days with several values of one key, or of "
-            + "several keys that change together.")
-    int sweep(@Parameters(paramLabel = "SCENARIO.toml") Path file,
-            @Option(names = "--set", required = true, paramLabel = "KEY=V1,V2,...",
-                    description = "a key as lab explain prints it, and its values; given again, the first "
-                    + "value of each key goes with the first of the others") List<String> set,
-            @Option(names = "--policy", defaultValue = "networked-queues",
-                    description = "${DEFAULT-VALUE} by default") String policy,
-            @Option(names = "--seeds", defaultValue = "1-4",
-                    description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})") String seeds,
+    @Command(
+            name = "sweep",
+            description =
+                    "Plays the same days with several values of one key, or of " + "several keys that change together.")
+    int sweep(
+            @Parameters(paramLabel = "SCENARIO.toml") Path file,
+            @Option(
+                            names = "--set",
+                            required = true,
+                            paramLabel = "KEY=V1,V2,...",
+                            description = "a key as lab explain prints it, and its values; given again, the first "
+                                    + "value of each key goes with the first of the others")
+                    List<String> set,
+            @Option(names = "--policy", defaultValue = "networked-queues", description = "${DEFAULT-VALUE} by default")
+                    String policy,
+            @Option(names = "--seeds", defaultValue = "1-4", description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
+                    String seeds,
             @Option(names = "--threads", description = "days at once; as many as there are cores by default")
-            Integer threads,
-            @Option(names = "--out", paramLabel = "RESULT.json",
-                    description = "where each play's sizes and figures go, for scale-fit") Path result)
+                    Integer threads,
+            @Option(
+                            names = "--out",
+                            paramLabel = "RESULT.json",
+                            description = "where each play's sizes and figures go, for scale-fit")
+                    Path result)
             throws Exception {
         Policy chosen = Policy.of(policy);
         Map<String, List<Day>> all = new LinkedHashMap<>();
@@ -124,21 +135,23 @@
         }
         table(all);
         if (result != null) {
-            Files.writeString(result, Sweep.json(read(file, List.of()).name(), plays).toString(1) + "\n");
+            Files.writeString(
+                    result, Sweep.json(read(file, List.of()).name(), plays).toString(1) + "\n");
             out().println("wrote " + result);
         }
         return broken(all.values().stream().flatMap(List::stream).toList());
     }
 
-    @Command(name = "explore", description = "Drives three dispatchers' shares through every order of "
-            + "faults to a depth, as built and in wrong ways; 3 where a bound broke as built, or held in "
-            + "a wrong way.")
-    int explore(@Option(names = "--depth", defaultValue = "8", description = "steps (${DEFAULT-VALUE})")
-            int depth,
-            @Option(names = "--faults", defaultValue = "2", description = "in one story (${DEFAULT-VALUE})")
-            int faults,
+    @Command(
+            name = "explore",
+            description = "Drives three dispatchers' shares through every order of "
+                    + "faults to a depth, as built and in wrong ways; 3 where a bound broke as built, or held in "
+                    + "a wrong way.")
+    int explore(
+            @Option(names = "--depth", defaultValue = "8", description = "steps (${DEFAULT-VALUE})") int depth,
+            @Option(names = "--faults", defaultValue = "2", description = "in one story (${DEFAULT-VALUE})") int faults,
             @Option(names = "--states", defaultValue = "3000000", description = "at most (${DEFAULT-VALUE})")
-            int states) {
+                    int states) {
         boolean right = true;
         for (SharesModel.Variant v : SharesModel.Variant.values()) {
             right &= explored(new SharesModel(v, faults), depth, states, v == SharesModel.Variant.AS_BUILT);
@@ -152,9 +165,15 @@
     private <S> boolean explored(Model<S> model, int depth, int states, boolean asBuilt) {
         long begun = System.nanoTime();
         Explorer.Result seen = Explorer.explore(model, depth, states);
-        out().printf(Locale.ROOT, "%s: %d states, depth %d%s, %.1f s: %s%n", model, seen.states(),
-                seen.depth(), seen.whole() ? "" : " not whole", (System.nanoTime() - begun) / 1e9,
-                seen.broken() == null ? "held" : seen.broken());
+        out().printf(
+                        Locale.ROOT,
+                        "%s: %d states, depth %d%s, %.1f s: %s%n",
+                        model,
+                        seen.states(),
+                        seen.depth(),
+                        seen.whole() ? "" : " not whole",
+                        (System.nanoTime() - begun) / 1e9,
+                        seen.broken() == null ? "held" : seen.broken());
         seen.story().forEach(step -> out().println("  " + step));
         out().flush();
         return asBuilt == (seen.broken() == null);
@@ -205,22 +224,50 @@
     }
 
     private void table(Map<String, List<Day>> all) {
-        out().printf(Locale.ROOT, "%-24s %5s %6s %6s %6s %6s %9s %8s %8s %9s %10s %6s %6s %7s%n", "",
-                "days", "goal", "whole", "10 s", "tenant", "p99 s", "tries", "messages", "us/RPC", "events/s",
-                "cold x", "used", "broken");
-        all.forEach((label, days) -> out().printf(Locale.ROOT,
-                "%-24s %5d %6.3f %6.3f %6.3f %6.3f %9.3f %8.2f %8.2f %9.1f %10.0f %6.2f %6.2f %7d%n", label,
-                days.size(),
-                mean(days, "goal"), mean(days, "worth_served"), mean(days, "worst_10_s"),
-                mean(days, "worst_tenant"),
-                days.stream().mapToDouble(d ->
-                d.json().getJSONObject("latency_s").getDouble("p99")).average().orElse(0),
-                sum(days, "attempts") / sum(days, "requests"),
-                (sum(days, "datagrams") + sum(days, "probes")) / sum(days, "requests"),
-                days.stream().mapToDouble(Day::decisionMicros).average().orElse(0),
-                days.stream().mapToDouble(d -> d.events() / d.seconds()).average().orElse(0),
-                days.stream().mapToDouble(d -> d.json().getDouble("cold_multiple")).max().orElse(0),
-                mean(days, "cold_used"), days.stream().mapToInt(Day::brokenInAll).sum()));
+        out().printf(
+                        Locale.ROOT,
+                        "%-24s %5s %6s %6s %6s %6s %9s %8s %8s %9s %10s %6s %6s %7s%n",
+                        "",
+                        "days",
+                        "goal",
+                        "whole",
+                        "10 s",
+                        "tenant",
+                        "p99 s",
+                        "tries",
+                        "messages",
+                        "us/RPC",
+                        "events/s",
+                        "cold x",
+                        "used",
+                        "broken");
+        all.forEach((label, days) -> out().printf(
+                        Locale.ROOT,
+                        "%-24s %5d %6.3f %6.3f %6.3f %6.3f %9.3f %8.2f %8.2f %9.1f %10.0f %6.2f %6.2f %7d%n",
+                        label,
+                        days.size(),
+                        mean(days, "goal"),
+                        mean(days, "worth_served"),
+                        mean(days, "worst_10_s"),
+                        mean(days, "worst_tenant"),
+                        days.stream()
+                                .mapToDouble(
+                                        d -> d.json().getJSONObject("latency_s").getDouble("p99"))
+                                .average()
+                                .orElse(0),
+                        sum(days, "attempts") / sum(days, "requests"),
+                        (sum(days, "datagrams") + sum(days, "probes")) / sum(days, "requests"),
+                        days.stream().mapToDouble(Day::decisionMicros).average().orElse(0),
+                        days.stream()
+                                .mapToDouble(d -> d.events() / d.seconds())
+                                .average()
+                                .orElse(0),
+                        days.stream()
+                                .mapToDouble(d -> d.json().getDouble("cold_multiple"))
+                                .max()
+                                .orElse(0),
+                        mean(days, "cold_used"),
+                        days.stream().mapToInt(Day::brokenInAll).sum()));
     }
 
     private static double mean(List<Day> days, String key) {
@@ -240,7 +287,8 @@
     }
 
     private int broken(List<Day> days) {
-        List<RuleChecker.Broken> all = days.stream().flatMap(d -> d.broken().stream()).toList();
+        List<RuleChecker.Broken> all =
+                days.stream().flatMap(d -> d.broken().stream()).toList();
         all.stream().limit(3).forEach(b -> spec.commandLine().getErr().println(b));
         return all.isEmpty() ? 0 : Main.BROKEN;
     }
--- a/src/main/java/saffronferry/cli/ScaleCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleCommand.java
@@ -22,11 +22,14 @@
 import saffronferry.scale.Scale.Play;
 
 /** Hollow dispatchers: what each of a large fleet costs. */
-@Command(name = "scale", description = "Plays a scenario with hollow dispatchers in virtual time and "
-        + "measures what each costs; 3 where a limit of [limits], or a rule, was broken.")
+@Command(
+        name = "scale",
+        description = "Plays a scenario with hollow dispatchers in virtual time and "
+                + "measures what each costs; 3 where a limit of [limits], or a rule, was broken.")
 final class ScaleCommand implements Callable<Integer> {
     /** What a play's line says by itself. */
     private static final Set<String> TOLD = Set.of("fleet.dispatchers", "fleet.workers");
+
     private static final String CLEAR = "\r\033[K";
 
     @Spec
@@ -35,8 +38,11 @@
     @Parameters(paramLabel = "SCENARIO.toml")
     private Path file;
 
-    @Option(names = "--set", paramLabel = "KEY=V1,V2,...", description = "a key as lab explain prints it, "
-            + "and its values, each played; with several of these every pairing is")
+    @Option(
+            names = "--set",
+            paramLabel = "KEY=V1,V2,...",
+            description = "a key as lab explain prints it, "
+                    + "and its values, each played; with several of these every pairing is")
     private List<String> set;
 
     @Option(names = "--seed", defaultValue = "1", description = "${DEFAULT-VALUE} by default")
@@ -50,8 +56,11 @@
         List<Map<String, String>> settings = settings(set == null ? List.of() : set);
         List<Scenario> scenarios = new ArrayList<>();
         for (Map<String, String> each : settings) { // all before the first play: a late word would cost it
-            scenarios.add(LabCommand.read(file, each.entrySet().stream()
-                    .map(e -> e.getKey() + "=" + e.getValue()).toList()));
+            scenarios.add(LabCommand.read(
+                    file,
+                    each.entrySet().stream()
+                            .map(e -> e.getKey() + "=" + e.getValue())
+                            .toList()));
         }
         head();
         List<Play> plays = new ArrayList<>();
@@ -65,9 +74,11 @@
                 Files.writeString(out, Scale.json(file.toString(), seed, plays).toString(1) + "\n");
             }
         }
-        plays.forEach(play -> play.broken().forEach(line -> spec.commandLine().getErr()
-                .println(play.scenario().dispatchers() + " dispatchers, " + play.scenario().workers()
-                + " workers: " + line)));
+        plays.forEach(play -> play.broken()
+                .forEach(line -> spec.commandLine()
+                        .getErr()
+                        .println(play.scenario().dispatchers() + " dispatchers, "
+                                + play.scenario().workers() + " workers: " + line)));
         return plays.stream().allMatch(play -> play.broken().isEmpty()) ? 0 : Main.BROKEN;
     }
 
@@ -95,7 +106,7 @@
     /** A line that is written over; none where nobody looks. */
     private LongConsumer progress(String play, Scenario scenario) {
         if (System.console() == null) {
-            return second -> { };
+            return second -> {};
         }
         PrintWriter err = spec.commandLine().getErr();
         long[] last = {Long.MIN_VALUE};
@@ -103,8 +114,14 @@
             if (second != last[0]) {
                 last[0] = second;
                 long day = scenario.length() / 1_000_000;
-                err.printf(Locale.ROOT, CLEAR + "%s: %d dispatchers, %d workers, %d s of %d s%s", play,
-                        scenario.dispatchers(), scenario.workers(), Math.min(second, day), day,
+                err.printf(
+                        Locale.ROOT,
+                        CLEAR + "%s: %d dispatchers, %d workers, %d s of %d s%s",
+                        play,
+                        scenario.dispatchers(),
+                        scenario.workers(),
+                        Math.min(second, day),
+                        day,
                         second > day ? ", its last requests" : "");
                 err.flush();
             }
@@ -116,9 +133,26 @@
     }
 
     private void head() {
-        out().printf(Locale.ROOT, "%11s %7s %5s %6s %6s %6s %8s %8s %8s %9s %9s %6s %8s %8s %8s %6s %7s%n",
-                "dispatchers", "workers", "zones", "goal", "used", "cold x", "pick us", "tick us", "dgram us",
-                "us/RPC", "messages", "core %", "bytes/s", "worst s", "start kB", "MB", "broken");
+        out().printf(
+                        Locale.ROOT,
+                        "%11s %7s %5s %6s %6s %6s %8s %8s %8s %9s %9s %6s %8s %8s %8s %6s %7s%n",
+                        "dispatchers",
+                        "workers",
+                        "zones",
+                        "goal",
+                        "used",
+                        "cold x",
+                        "pick us",
+                        "tick us",
+                        "dgram us",
+                        "us/RPC",
+                        "messages",
+                        "core %",
+                        "bytes/s",
+                        "worst s",
+                        "start kB",
+                        "MB",
+                        "broken");
         out().flush();
     }
 
@@ -128,15 +162,27 @@
             spec.commandLine().getErr().print(CLEAR);
             spec.commandLine().getErr().flush();
         }
-        out().printf(Locale.ROOT,
-                "%11d %7d %5d %6.3f %6.3f %6.2f %8.2f %8.1f %8.2f %9.1f %9.2f %6.2f %8.0f %8.0f %8.0f %6.2f"
-                + " %7d%n",
-                play.scenario().dispatchers(), play.scenario().workers(), play.scenario().zones().size(),
-                f.get("goal_share"), f.get("cold_used_share"), f.get("cold_multiple"), f.get("pick_us"),
-                f.get("tick_us"), f.get("datagram_us"), f.get("decision_us_per_request"),
-                f.get("messages_per_request"), f.get("decision_core_percent"), f.get("control_bytes_per_s"),
-                f.get("control_bytes_worst_per_s"), f.get("start_control_bytes") / 1e3,
-                f.get("heap_mb_per_dispatcher"), play.broken().size());
+        out().printf(
+                        Locale.ROOT,
+                        "%11d %7d %5d %6.3f %6.3f %6.2f %8.2f %8.1f %8.2f %9.1f %9.2f %6.2f %8.0f %8.0f %8.0f %6.2f"
+                                + " %7d%n",
+                        play.scenario().dispatchers(),
+                        play.scenario().workers(),
+                        play.scenario().zones().size(),
+                        f.get("goal_share"),
+                        f.get("cold_used_share"),
+                        f.get("cold_multiple"),
+                        f.get("pick_us"),
+                        f.get("tick_us"),
+                        f.get("datagram_us"),
+                        f.get("decision_us_per_request"),
+                        f.get("messages_per_request"),
+                        f.get("decision_core_percent"),
+                        f.get("control_bytes_per_s"),
+                        f.get("control_bytes_worst_per_s"),
+                        f.get("start_control_bytes") / 1e3,
+                        f.get("heap_mb_per_dispatcher"),
+                        play.broken().size());
         out().flush();
     }
 }
--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -22,21 +22,29 @@
 import saffronferry.scale.fit.Source;
 
 /** A straight line through what was measured, its spread, a forecast, and whether a line is the form. */
-@Command(name = "scale-fit", description = "Fits a figure of a result file over a size and forecasts it; "
-        + "says whether a straight line is the right form.")
+@Command(
+        name = "scale-fit",
+        description = "Fits a figure of a result file over a size and forecasts it; "
+                + "says whether a straight line is the right form.")
 final class ScaleFitCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
+
     @Parameters(paramLabel = "RESULT.json", description = "as lab sweep --out leaves it")
     private Path file;
+
     @Option(names = "--figure", required = true, description = "a key of the plays' figures")
     private String figure;
+
     @Option(names = "--over", required = true, description = "dispatchers, workers, or another size")
     private String over;
+
     @Option(names = "--at", required = true, paramLabel = "SIZE", description = "the size to forecast for")
     private double at;
+
     @Option(names = "--where", paramLabel = "KEY=VALUE,...", description = "only plays with these values")
     private String where;
+
     @Option(names = "--out", paramLabel = "FILE", description = "where the JSON goes")
     private Path out;
 
@@ -48,8 +56,7 @@
         try {
             comparison = Comparison.of(points);
         } catch (IllegalArgumentException e) {
-            throw new IllegalArgumentException(
-                    file + ": " + figure + " over " + over + ": " + e.getMessage());
+            throw new IllegalArgumentException(file + ": " + figure + " over " + over + ": " + e.getMessage());
         }
         table(comparison);
         if (out != null) {
@@ -61,24 +68,43 @@
     private void table(Comparison comparison) {
         PrintWriter to = spec.commandLine().getOut();
         Fit line = comparison.of(Form.LINE);
-        to.printf(Locale.ROOT, "%s over %s, %d plays from %s to %s; forecast at %s%s%n", figure, over,
-                line.plays(), plain(line.least()), plain(line.most()), plain(at), stretch(line));
-        to.printf("%-10s %12s %12s %12s %12s %12s %10s %12s %12s%n", "", "at 0", "slope", "its s.e.",
-                "residual", "left out", "AIC", "forecast", "+- 95 %");
+        to.printf(
+                Locale.ROOT,
+                "%s over %s, %d plays from %s to %s; forecast at %s%s%n",
+                figure,
+                over,
+                line.plays(),
+                plain(line.least()),
+                plain(line.most()),
+                plain(at),
+                stretch(line));
+        to.printf(
+                "%-10s %12s %12s %12s %12s %12s %10s %12s %12s%n",
+                "", "at 0", "slope", "its s.e.", "residual", "left out", "AIC", "forecast", "+- 95 %");
         for (Fit f : comparison.fits()) {
-            to.printf(Locale.ROOT, "%-10s %12.5g %12.5g %12.5g %12.5g %12.5g %10.2f %12.5g %12.5g%s%n",
-                    f.form().label(), f.intercept(), f.slope(), f.slopeStandardError(), f.residualError(),
-                    f.errorLeftOut(), f.aic(), f.at(at), f.halfWidth(at),
+            to.printf(
+                    Locale.ROOT,
+                    "%-10s %12.5g %12.5g %12.5g %12.5g %12.5g %10.2f %12.5g %12.5g%s%n",
+                    f.form().label(),
+                    f.intercept(),
+                    f.slope(),
+                    f.slopeStandardError(),
+                    f.residualError(),
+                    f.errorLeftOut(),
+                    f.aic(),
+                    f.at(at),
+                    f.halfWidth(at),
                     f == comparison.best() ? "  best" : "");
         }
-        to.println(comparison.best() == line ? "a straight line is the best of these forms"
-                : comparison.best().form().label() + " fits better than a straight line");
+        to.println(
+                comparison.best() == line
+                        ? "a straight line is the best of these forms"
+                        : comparison.best().form().label() + " fits better than a straight line");
         to.flush();
     }
 
     private String stretch(Fit line) {
-        return at <= line.most() ? ""
-                : String.format(Locale.ROOT, ", %.1f times the largest", at / line.most());
+        return at <= line.most() ? "" : String.format(Locale.ROOT, ", %.1f times the largest", at / line.most());
     }
 
     private static String plain(double size) {
@@ -88,14 +114,27 @@
     private JSONObject json(Comparison comparison) {
         JSONArray forms = new JSONArray();
         for (Fit f : comparison.fits()) {
-            forms.put(new JSONObject().put("form", f.form().label()).put("intercept", f.intercept())
-                    .put("slope", f.slope()).put("slope_standard_error", f.slopeStandardError())
-                    .put("residual_error", f.residualError()).put("error_left_out", f.errorLeftOut())
-                    .put("aic", f.aic()).put("forecast", f.at(at)).put("half_width_95", f.halfWidth(at)));
+            forms.put(new JSONObject()
+                    .put("form", f.form().label())
+                    .put("intercept", f.intercept())
+                    .put("slope", f.slope())
+                    .put("slope_standard_error", f.slopeStandardError())
+                    .put("residual_error", f.residualError())
+                    .put("error_left_out", f.errorLeftOut())
+                    .put("aic", f.aic())
+                    .put("forecast", f.at(at))
+                    .put("half_width_95", f.halfWidth(at)));
         }
         Fit line = comparison.of(Form.LINE);
-        return new JSONObject().put("file", file.getFileName().toString()).put("figure", figure)
-                .put("over", over).put("at", at).put("least", line.least()).put("most", line.most())
-                .put("plays", line.plays()).put("best", comparison.best().form().label()).put("forms", forms);
+        return new JSONObject()
+                .put("file", file.getFileName().toString())
+                .put("figure", figure)
+                .put("over", over)
+                .put("at", at)
+                .put("least", line.least())
+                .put("most", line.most())
+                .put("plays", line.plays())
+                .put("best", comparison.best().form().label())
+                .put("forms", forms);
     }
 }
--- a/src/main/java/saffronferry/fleet/CallPace.java
+++ b/src/main/java/saffronferry/fleet/CallPace.java
@@ -22,6 +22,7 @@
     private static final long EACH_FIRST = 150_000;
     /** A failure shows that the line is too long already, with calls in it that nobody waits for any more. */
     private static final long EACH_AGAIN = 500_000;
+
     private static final double GROWTH = 1.5;
     private static final long AGAIN = 300_000; // half of it at least, before asking again; doubles once
     /** Of the 6 s after which a change counts as told: the call itself may wait in line for the rest. */
@@ -30,9 +31,11 @@
     private static final long SILENT = 1_500_000;
     /** While discovery is down: so soon after its return all have called, so far apart if there is time. */
     private static final long DOWN = 4_500_000;
+
     private static final long EACH_BACK = 250_000;
     /** So many waits in vain after that are no sign of a line that lasts: all have come back at once. */
     private static final int COMING_BACK = 2;
+
     private static final int MOST_FAILURES = 16;
     /** Timers run on another clock than ours, and may come up a little before their time. */
     private static final long EARLY = 50_000;
@@ -66,15 +69,13 @@
         boolean lasting = late && comingBack == 0;
         comingBack = late ? Math.max(0, comingBack - 1) : COMING_BACK;
         // danger: a watch that ends is no failed call, and does not allow what that allows
-        long most = how == WatchEnd.SILENT ? SILENT : how == WatchEnd.DOWN ? DOWN
-                : lasting ? longest : IN_TIME;
+        long most = how == WatchEnd.SILENT ? SILENT : how == WatchEnd.DOWN ? DOWN : lasting ? longest : IN_TIME;
         double grown = line * (late ? EACH_AGAIN * (lasting ? Math.pow(GROWTH, failures) : 1) : EACH_BACK);
         failures = lasting ? Math.min(failures + 1, MOST_FAILURES) : Math.max(failures, 1);
         watching = false;
         long spread = (long) Math.min(most - 2 * pause, grown);
         // a few need no spread: what they wait is lost of the time in which a change has to be told
-        return pause / 2 + random.nextLong(line == 0 ? pause / 2 : pause)
-                + (spread > 0 ? random.nextLong(spread) : 0);
+        return pause / 2 + random.nextLong(line == 0 ? pause / 2 : pause) + (spread > 0 ? random.nextLong(spread) : 0);
     }
 
     /** A timer is set for the next call; of several the last one counts. */
--- a/src/main/java/saffronferry/fleet/ColdShares.java
+++ b/src/main/java/saffronferry/fleet/ColdShares.java
@@ -89,8 +89,7 @@
      * @param elsewhere who it says is of another zone than its own, or null
      * @param at when it has said so, by the one clock
      */
-    public void says(int dispatcher, boolean other, BitSet word, BitSet hears, BitSet elsewhere, long at,
-            long now) {
+    public void says(int dispatcher, boolean other, BitSet word, BitSet hears, BitSet elsewhere, long at, long now) {
         if (elsewhere != null && !other) {
             this.elsewhere.or(elsewhere);
             this.elsewhere.clear(words.length, Math.max(words.length, this.elsewhere.length()));
@@ -160,7 +159,10 @@
 
     /** Whether another's part at a worker is left to us now; {@link #part} sums these up. */
     public boolean leftToUs(int k, long now, int worker) {
-        return k != self && !elsewhere.get(k) && stands(k, now) && words[k].get(k)
+        return k != self
+                && !elsewhere.get(k)
+                && stands(k, now)
+                && words[k].get(k)
                 && guardian(worker, words[k]) == self;
     }
 
@@ -180,8 +182,10 @@
     public String state(long now) {
         StringBuilder all = new StringBuilder().append(near);
         for (int k = 0; k < words.length; k++) {
-            all.append(' ').append(now - saidAt[k] > LEASE ? "-" : words[k] + "," + (now - saidAt[k]))
-                    .append(hearsUs[k] ? 'h' : '.').append(Math.min(now - namedAt[k], LEASE + 1));
+            all.append(' ')
+                    .append(now - saidAt[k] > LEASE ? "-" : words[k] + "," + (now - saidAt[k]))
+                    .append(hearsUs[k] ? 'h' : '.')
+                    .append(Math.min(now - namedAt[k], LEASE + 1));
         }
         return all.append(elsewhere).toString();
     }
--- a/src/main/java/saffronferry/fleet/Growth.java
+++ b/src/main/java/saffronferry/fleet/Growth.java
@@ -16,6 +16,7 @@
     public static final long AT_ONCE = 150_000;
     /** After a job that had to wait nothing grows for so long. */
     private static final long REST = 2 * PACE;
+
     private static final double MOST = 1 << 10;
     /** Of what all together may send: two thirds of what the rule allows, where that is half of it. */
     private static final double BEYOND = 4.0 / 3;
--- a/src/main/java/saffronferry/fleet/Lent.java
+++ b/src/main/java/saffronferry/fleet/Lent.java
@@ -16,10 +16,11 @@
     private static final long BACK_WITHIN = 2_000_000;
     /** To one dispatcher, at all workers: more are not lent within that time. */
     private static final int MOST = 64;
+
     private static final int STAMP_BITS = 12; // a message's stamp counts some four milliseconds, in 16 bits
     private static final int STAMP = 0xFFFF;
 
-    private record Part(int worker, long at, double work) { }
+    private record Part(int worker, long at, double work) {}
 
     private final List<Part> out = new ArrayList<>();
 
--- a/src/main/java/saffronferry/fleet/Owners.java
+++ b/src/main/java/saffronferry/fleet/Owners.java
@@ -10,7 +10,7 @@
  * comes or goes a small part changes hands.
  */
 public final class Owners {
-    private Owners() { }
+    private Owners() {}
 
     /**
      * Shares workers out.
--- a/src/main/java/saffronferry/fleet/Sharing.java
+++ b/src/main/java/saffronferry/fleet/Sharing.java
@@ -14,8 +14,8 @@
  * @param back of that, what came back unused
  * @param borrowed slot time that it was lent
  */
-public record Sharing(int peers, int heard, int counted, int cold, int guarded, double part, long lent,
-        long back, long borrowed) {
+public record Sharing(
+        int peers, int heard, int counted, int cold, int guarded, double part, long lent, long back, long borrowed) {
     /** What it falls back to. */
     public enum Fallback {
         /** It hears all others. */
--- a/src/main/java/saffronferry/lab/Lab.java
+++ b/src/main/java/saffronferry/lab/Lab.java
@@ -20,7 +20,7 @@
     /** Of the result's JSON; raised when a key changes its meaning or goes. */
     public static final int SCHEMA = 1;
 
-    private Lab() { }
+    private Lab() {}
 
     /** The days of one policy, in the order of the seeds. */
     public static List<Day> run(Scenario scenario, Policy policy, List<Long> seeds, int threads)
@@ -50,9 +50,11 @@
     public static JSONObject json(Scenario scenario, Policy policy, List<Day> days) {
         JSONArray all = new JSONArray();
         days.forEach(day -> all.put(day.json()));
-        return new JSONObject().put("schema", SCHEMA).put("scenario", scenario.name())
-                .put("policy", policy.label()).put("goal",
-                days.stream().mapToDouble(Day::goal).average().orElse(0))
+        return new JSONObject()
+                .put("schema", SCHEMA)
+                .put("scenario", scenario.name())
+                .put("policy", policy.label())
+                .put("goal", days.stream().mapToDouble(Day::goal).average().orElse(0))
                 .put("days", all);
     }
 }
--- a/src/main/java/saffronferry/lab/PairedDifference.java
+++ b/src/main/java/saffronferry/lab/PairedDifference.java
@@ -31,8 +31,10 @@
         for (double d : differences) {
             squares += (d - mean) * (d - mean);
         }
-        double half = n < 2 ? Double.POSITIVE_INFINITY : TDistribution.of(n - 1)
-                .inverseCumulativeProbability((1 + CONFIDENCE) / 2) * Math.sqrt(squares / (n - 1) / n);
+        double half = n < 2
+                ? Double.POSITIVE_INFINITY
+                : TDistribution.of(n - 1).inverseCumulativeProbability((1 + CONFIDENCE) / 2)
+                        * Math.sqrt(squares / (n - 1) / n);
         return new PairedDifference(n, mean, half);
     }
 
@@ -43,7 +45,6 @@
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%s (%+.4f, 95 %% within %.4f, %d days)", verdict(), mean,
-                halfWidth, days);
+        return String.format(Locale.ROOT, "%s (%+.4f, 95 %% within %.4f, %d days)", verdict(), mean, halfWidth, days);
     }
 }
--- a/src/main/java/saffronferry/lab/Sweep.java
+++ b/src/main/java/saffronferry/lab/Sweep.java
@@ -9,7 +9,7 @@
 
 /** Days at several sizes: which keys change together, and each play as an entry of a result file. */
 public final class Sweep {
-    private Sweep() { }
+    private Sweep() {}
 
     /**
      * The values of several keys that change together.
@@ -27,8 +27,8 @@
             }
             String[] values = each.substring(equals + 1).split(",");
             if (!steps.isEmpty() && steps.size() != values.length) {
-                throw new IllegalArgumentException("--set: " + each.substring(0, equals) + " has "
-                        + values.length + " values, the first key " + steps.size());
+                throw new IllegalArgumentException("--set: " + each.substring(0, equals) + " has " + values.length
+                        + " values, the first key " + steps.size());
             }
             for (int i = 0; i < values.length; i++) {
                 if (i == steps.size()) {
@@ -56,8 +56,7 @@
         double bytes = json.getLong("datagram_bytes") - json.getLong("start_datagram_bytes");
         JSONObject figures = new JSONObject()
                 .put("decision_us_request", rounded(day.decisionMicros()))
-                .put("decision_core_percent",
-                        rounded(day.decisionMicros() * requests / dispatcherSeconds / 1e4))
+                .put("decision_core_percent", rounded(day.decisionMicros() * requests / dispatcherSeconds / 1e4))
                 .put("start_decision_ms", rounded(day.startMicros() / dispatchers / 1e3))
                 .put("start_datagrams", rounded(json.getLong("start_datagrams") / dispatchers))
                 .put("start_datagram_bytes", rounded(json.getLong("start_datagram_bytes") / dispatchers))
@@ -66,20 +65,28 @@
                 .put("datagram_bytes_per_s", rounded(bytes / dispatcherSeconds))
                 .put("probes_request", rounded(json.getLong("probes") / requests))
                 .put("requests_per_s", rounded(requests / dispatcherSeconds))
-                .put("goal", json.getDouble("goal")).put("cold_used", json.getDouble("cold_used"))
+                .put("goal", json.getDouble("goal"))
+                .put("cold_used", json.getDouble("cold_used"))
                 .put("cold_multiple", json.getDouble("cold_multiple"))
                 .put("attempts_request", rounded(json.getLong("attempts") / requests));
         JSONArray broken = new JSONArray();
         day.broken().forEach(b -> broken.put(b.rule()));
-        return new JSONObject().put("seed", json.getLong("seed")).put("dispatchers", scenario.dispatchers())
-                .put("workers", scenario.workers()).put("zones", scenario.zones().size())
-                .put("seconds", seconds).put("figures", figures).put("limits", new JSONObject())
+        return new JSONObject()
+                .put("seed", json.getLong("seed"))
+                .put("dispatchers", scenario.dispatchers())
+                .put("workers", scenario.workers())
+                .put("zones", scenario.zones().size())
+                .put("seconds", seconds)
+                .put("figures", figures)
+                .put("limits", new JSONObject())
                 .put("broken", broken);
     }
 
     /** A result file. */
     public static JSONObject json(String scenario, JSONArray plays) {
-        return new JSONObject().put("scenario", scenario).put("seed", plays.getJSONObject(0).getLong("seed"))
+        return new JSONObject()
+                .put("scenario", scenario)
+                .put("seed", plays.getJSONObject(0).getLong("seed"))
                 .put("plays", plays);
     }
 
--- a/src/main/java/saffronferry/lab/check/RuleChecker.java
+++ b/src/main/java/saffronferry/lab/check/RuleChecker.java
@@ -26,17 +26,23 @@
     public record Broken(String rule, long at, int dispatcher, String what, List<String> story) {
         @Override
         public String toString() {
-            return String.format(Locale.ROOT, "rule broken: %s, at %.6f s, by dispatcher %d: %s%n  %s", rule,
-                    at / 1e6, dispatcher, what, String.join(System.lineSeparator() + "  ", story));
+            return String.format(
+                    Locale.ROOT,
+                    "rule broken: %s, at %.6f s, by dispatcher %d: %s%n  %s",
+                    rule,
+                    at / 1e6,
+                    dispatcher,
+                    what,
+                    String.join(System.lineSeparator() + "  ", story));
         }
     }
 
     /** Names one RPC: ids may come again in a dispatcher's next life. */
-    public record Id(int dispatcher, int life, long rpc) { }
+    public record Id(int dispatcher, int life, long rpc) {}
 
-    private record Told(WorkerState state, long at) { }
+    private record Told(WorkerState state, long at) {}
 
-    private record Arrival(long at, double work, boolean informed) { }
+    private record Arrival(long at, double work, boolean informed) {}
 
     private static final class Attempt {
         final String worker;
@@ -83,6 +89,7 @@
     private final List<Broken> broken = new ArrayList<>();
     /** The one made last: a list tells thousands the same at one time, and hundreds hear it. */
     private Told last = new Told(WorkerState.GONE, Long.MIN_VALUE);
+
     private double mostCold;
     private int count;
     private int judged;
@@ -154,27 +161,46 @@
         o.tell(now, "attempt " + o.attempts.size() + " sent to " + worker);
         Attempt doubt = o.doubt();
         if (doubt != null && !mayRepeat(o, doubt, zone, cell, now)) {
-            breaks("duplicate", now, id.dispatcher(), "RPC " + id.rpc() + " of " + o.spec.name()
-                    + " goes to " + worker
-                    + " though attempt at " + doubt.worker + " may have run", o);
+            breaks(
+                    "duplicate",
+                    now,
+                    id.dispatcher(),
+                    "RPC " + id.rpc() + " of " + o.spec.name()
+                            + " goes to " + worker
+                            + " though attempt at " + doubt.worker + " may have run",
+                    o);
         }
         if (o.attempts.size() >= scenario.rules().mostTries()) {
             breaks("tries", now, id.dispatcher(), "RPC " + id.rpc() + " has too many attempts", o);
         }
         Told t = told.getOrDefault(id.dispatcher(), Map.of()).get(worker);
         if (t == null) {
-            breaks("unlisted", now, id.dispatcher(), worker + " is sent RPC " + id.rpc()
-                    + ", but no list has named it", o);
-        } else if (t.state != WorkerState.IN_SERVICE && now > t.at + scenario.rules().drain()) {
-            breaks("drain", now, id.dispatcher(), worker + " is sent RPC " + id.rpc()
-                    + String.format(Locale.ROOT,
-                    " %.3f s after the word that it is %s", (now - t.at) / 1e6, t.state), o);
+            breaks(
+                    "unlisted",
+                    now,
+                    id.dispatcher(),
+                    worker + " is sent RPC " + id.rpc() + ", but no list has named it",
+                    o);
+        } else if (t.state != WorkerState.IN_SERVICE
+                && now > t.at + scenario.rules().drain()) {
+            breaks(
+                    "drain",
+                    now,
+                    id.dispatcher(),
+                    worker + " is sent RPC " + id.rpc()
+                            + String.format(
+                                    Locale.ROOT, " %.3f s after the word that it is %s", (now - t.at) / 1e6, t.state),
+                    o);
         }
         Long since = bans.getOrDefault(id.dispatcher(), Map.of()).get(worker);
         if (since != null && now > since) {
-            breaks("ban", now, id.dispatcher(), worker + " is sent RPC " + id.rpc()
-                    + String.format(Locale.ROOT,
-                    " %.3f s after an operator took it out", (now - since) / 1e6), o);
+            breaks(
+                    "ban",
+                    now,
+                    id.dispatcher(),
+                    worker + " is sent RPC " + id.rpc()
+                            + String.format(Locale.ROOT, " %.3f s after an operator took it out", (now - since) / 1e6),
+                    o);
         }
         o.attempts.add(new Attempt(worker, zone, cell, now));
     }
@@ -183,8 +209,10 @@
         return switch (o.spec.effect()) {
             case SAFE -> true;
             case UNSAFE -> false;
-            case KEYED -> now <= doubt.sentAt + o.spec.keyTtl() && (o.spec.group() == Group.ALL
-                    || zone == doubt.zone && (o.spec.group() == Group.ZONE || cell == doubt.cell));
+            case KEYED ->
+                now <= doubt.sentAt + o.spec.keyTtl()
+                        && (o.spec.group() == Group.ALL
+                                || zone == doubt.zone && (o.spec.group() == Group.ZONE || cell == doubt.cell));
         };
     }
 
@@ -211,11 +239,11 @@
         if (how.equals("served") && o.attempts.stream().noneMatch(a -> a.served)) {
             breaks("invented", now, id.dispatcher(), "RPC " + id.rpc() + " is served, but by no worker", o);
         }
-        boolean harmless = o.doubt() == null || o.spec.effect() == Effect.SAFE
+        boolean harmless = o.doubt() == null
+                || o.spec.effect() == Effect.SAFE
                 || o.spec.effect() == Effect.KEYED && o.spec.group() == Group.ALL;
         if (refused && !harmless) {
-            breaks("duplicate", now, id.dispatcher(), "RPC " + id.rpc()
-                    + " is refused though it may have run", o);
+            breaks("duplicate", now, id.dispatcher(), "RPC " + id.rpc() + " is refused though it may have run", o);
         }
         if (now > o.validUntil + scenario.rules().slack()) {
             breaks("lost", now, id.dispatcher(), "RPC " + id.rpc() + " is answered after its time", o);
@@ -234,9 +262,13 @@
 
     /** A dispatcher is told a worker's state. */
     public void told(long now, int dispatcher, String worker, WorkerState state) {
-        told.computeIfAbsent(dispatcher, d -> new HashMap<>()).compute(worker, (w, old) ->
-                old != null && old.state != WorkerState.IN_SERVICE && state != WorkerState.IN_SERVICE ? old
-                        : same(state, now));
+        told.computeIfAbsent(dispatcher, d -> new HashMap<>())
+                .compute(
+                        worker,
+                        (w, old) ->
+                                old != null && old.state != WorkerState.IN_SERVICE && state != WorkerState.IN_SERVICE
+                                        ? old
+                                        : same(state, now));
     }
 
     private Told same(WorkerState state, long now) {
@@ -246,7 +278,8 @@
 
     /** A dispatcher is told a whole list: who is not in it is gone. */
     public void toldWhole(long now, int dispatcher, Collection<String> named) {
-        List.copyOf(told.getOrDefault(dispatcher, Map.of()).keySet()).stream().filter(w -> !named.contains(w))
+        List.copyOf(told.getOrDefault(dispatcher, Map.of()).keySet()).stream()
+                .filter(w -> !named.contains(w))
                 .forEach(w -> told(now, dispatcher, w, WorkerState.GONE));
     }
 
@@ -259,8 +292,8 @@
      * Work reaches a worker that is cold and can do so much a second now; true if that makes it fall over.
      * {@code informed}: the sender has been told of its start.
      */
-    public boolean reachesCold(long now, String worker, double capacity, double work, int dispatcher,
-            boolean informed) {
+    public boolean reachesCold(
+            long now, String worker, double capacity, double work, int dispatcher, boolean informed) {
         Deque<Arrival> window = arrivals.computeIfAbsent(worker, w -> new ArrayDeque<>());
         window.add(new Arrival(now, work / 1e6, informed));
         while (window.peek().at < now - scenario.rules().fall()) {
@@ -269,19 +302,33 @@
         double sum = window.stream().mapToDouble(Arrival::work).sum();
         mostCold = Math.max(mostCold, sum / (capacity * scenario.rules().fall() / 1e6));
         double mean = scenario.meanWork() / 1e6;
-        double budget = scenario.rules().fallMultiple() * capacity * scenario.rules().fall() / 1e6;
+        double budget =
+                scenario.rules().fallMultiple() * capacity * scenario.rules().fall() / 1e6;
         // beyond a budget of N calls, 2 x root of N + 2 are put down to chance, however many send
         double slack = Math.min(MOST_CHANCE, 2 * Math.sqrt(budget / mean) + 2) * mean;
         if (sum <= budget + slack) {
             return false;
         }
-        double known = window.stream().filter(Arrival::informed).mapToDouble(Arrival::work).sum();
+        double known = window.stream()
+                .filter(Arrival::informed)
+                .mapToDouble(Arrival::work)
+                .sum();
         if (known >= sum * 2 / 3) {
-            breaks("cold", now, dispatcher, String.format(Locale.ROOT,
-                    "%s falls over: %.2f s of work in %.1f s "
-                    + "with a capacity of %.2f; %d jobs, the largest of %.2f s", worker, sum,
-                    scenario.rules().fall() / 1e6, capacity, window.size(),
-                    window.stream().mapToDouble(Arrival::work).max().orElse(0)), null);
+            breaks(
+                    "cold",
+                    now,
+                    dispatcher,
+                    String.format(
+                            Locale.ROOT,
+                            "%s falls over: %.2f s of work in %.1f s "
+                                    + "with a capacity of %.2f; %d jobs, the largest of %.2f s",
+                            worker,
+                            sum,
+                            scenario.rules().fall() / 1e6,
+                            capacity,
+                            window.size(),
+                            window.stream().mapToDouble(Arrival::work).max().orElse(0)),
+                    null);
         }
         window.clear();
         return true;
--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -38,7 +38,7 @@
     }
 
     /** What is under way: a part to the borrower, or the word that it comes back. */
-    private record Part(long at, boolean back) { }
+    private record Part(long at, boolean back) {}
 
     /** Where both stand. The lender's bucket is told by what was spent of it and when: it is filled anew. */
     static final class State {
@@ -50,6 +50,7 @@
         int mine; // jobs that the borrower may send
         /** By the lender: when, and 0 it is spent, 1 it comes back; with that, the part's stamp. */
         final List<long[]> spending = new ArrayList<>();
+
         final List<Long> lends = new ArrayList<>();
         final List<Part> under = new ArrayList<>();
 
@@ -181,8 +182,17 @@
 
     @Override
     public String key(State s) {
-        StringBuilder key = new StringBuilder().append(s.now).append(' ').append(s.lentAt).append(' ')
-                .append(s.takenAt).append(' ').append(s.sent).append(' ').append(s.mine).append(' ')
+        StringBuilder key = new StringBuilder()
+                .append(s.now)
+                .append(' ')
+                .append(s.lentAt)
+                .append(' ')
+                .append(s.takenAt)
+                .append(' ')
+                .append(s.sent)
+                .append(' ')
+                .append(s.mine)
+                .append(' ')
                 .append(s.borrowerSince);
         s.spending.forEach(at -> key.append(' ').append(at[0]).append(at[1] == 0 ? "" : "b" + at[2]));
         s.under.forEach(p -> key.append(p.back ? '<' : '|').append(p.at));
--- a/src/main/java/saffronferry/lab/explore/Explorer.java
+++ b/src/main/java/saffronferry/lab/explore/Explorer.java
@@ -13,7 +13,7 @@
  * hash: of a million states two are taken for one with a chance of 3 in 100 million.
  */
 public final class Explorer {
-    private Explorer() { }
+    private Explorer() {}
 
     /**
      * What was seen.
@@ -24,7 +24,7 @@
      * @param broken the bound that broke, or null
      * @param story the steps to it
      */
-    public record Result(long states, int depth, boolean whole, String broken, List<String> story) { }
+    public record Result(long states, int depth, boolean whole, String broken, List<String> story) {}
 
     private record Node<S>(S state, Node<S> before, String what) {
         List<String> story() {
--- a/src/main/java/saffronferry/lab/explore/Model.java
+++ b/src/main/java/saffronferry/lab/explore/Model.java
@@ -5,7 +5,7 @@
 /** A small system that can be driven step by step. Its states are never changed: a step makes a new one. */
 public interface Model<S> {
     /** What may happen next, told in a few words, and the state after it. */
-    record Step<S>(String what, S after) { }
+    record Step<S>(String what, S after) {}
 
     /** Where all stories begin. */
     S initial();
--- a/src/main/java/saffronferry/lab/explore/SharesModel.java
+++ b/src/main/java/saffronferry/lab/explore/SharesModel.java
@@ -27,6 +27,7 @@
 
     /** Time between two looks, and between two exchanges; two fit in a lease. */
     static final long TICK = 450_000;
+
     private static final long LATE = 2 * TICK;
     private static final int N = 3;
     private static final int WORKER = 0x51f3a7;
@@ -34,6 +35,7 @@
     private static final int SELVES = 0b100010001;
     /** Looks in a row at which a part may be found with two: as many as fit in a lease. */
     private static final int MOST_DOUBLE = 2;
+
     private static final int QUIET = 8;
 
     private final Variant variant;
@@ -55,7 +57,7 @@
         first = s;
     }
 
-    private record Datagram(int from, int to, BitSet word, BitSet hears, long at, long due) { }
+    private record Datagram(int from, int to, BitSet word, BitSet hears, long at, long due) {}
 
     /** Where all three stand. */
     static final class State {
@@ -152,7 +154,9 @@
         StringBuilder all = new StringBuilder();
         for (int pair = 0; pair < N * N; pair++) {
             if (pair / N != pair % N && (links >> pair & 1) != 0) {
-                all.append(all.length() > 0 ? " " : "").append((char) ('A' + pair / N)).append('>')
+                all.append(all.length() > 0 ? " " : "")
+                        .append((char) ('A' + pair / N))
+                        .append('>')
                         .append((char) ('A' + pair % N));
             }
         }
@@ -175,9 +179,18 @@
         for (Datagram d : coming) {
             if (d.due <= s.now && d.to != s.stopped) {
                 s.heard[d.to][d.from] = s.now;
-                s.shares[d.to].says(d.from, false, d.word, d.hears, null,
-                        variant == Variant.AGE_FROM_RECEIPT ? s.now : d.at, s.now);
-            } else if (s.under.stream().filter(u -> u.from == d.from && u.to == d.to).count() < 2) {
+                s.shares[d.to].says(
+                        d.from,
+                        false,
+                        d.word,
+                        d.hears,
+                        null,
+                        variant == Variant.AGE_FROM_RECEIPT ? s.now : d.at,
+                        s.now);
+            } else if (s.under.stream()
+                            .filter(u -> u.from == d.from && u.to == d.to)
+                            .count()
+                    < 2) {
                 s.under.add(d); // late, or in the socket of one that is stopped
             }
         }
@@ -212,8 +225,10 @@
     /** One of them looks whom it hears, and whose parts it may use. */
     private void look(State s, int i) {
         ColdShares c = s.shares[i];
-        c.near(IntStream.range(0, N).filter(j -> j == i || s.heard[i][j] > 0
-                && s.now - s.heard[i][j] <= 2 * ColdShares.LEASE && c.counts(j, s.now)).toArray());
+        c.near(IntStream.range(0, N)
+                .filter(j -> j == i
+                        || s.heard[i][j] > 0 && s.now - s.heard[i][j] <= 2 * ColdShares.LEASE && c.counts(j, s.now))
+                .toArray());
         boolean guards = c.guardian(WORKER) == i;
         for (int k = 0; k < N; k++) {
             boolean heard = s.heard[i][k] > 0 && s.now - s.heard[i][k] <= ColdShares.LEASE;
@@ -223,7 +238,9 @@
     }
 
     private static int users(State s, int k) {
-        return (int) IntStream.range(0, N).filter(i -> i != s.stopped && s.using[i][k]).count();
+        return (int) IntStream.range(0, N)
+                .filter(i -> i != s.stopped && s.using[i][k])
+                .count();
     }
 
     private static void count(State s) {
@@ -254,7 +271,12 @@
     @Override
     public String key(State s) {
         StringBuilder key = new StringBuilder();
-        key.append(s.faults).append(' ').append(s.links).append(' ').append(s.stopped).append(' ')
+        key.append(s.faults)
+                .append(' ')
+                .append(s.links)
+                .append(' ')
+                .append(s.stopped)
+                .append(' ')
                 .append(s.quiet);
         for (int i = 0; i < N; i++) {
             key.append('|').append(s.shares[i].state(s.now)).append(s.doubled[i]);
@@ -263,8 +285,13 @@
                 key.append(s.using[i][j] ? 'u' : '.').append(Math.min(s.now - s.left[i][j], LATE + TICK));
             }
         }
-        s.under.forEach(d -> key.append(d.from).append(d.to).append(d.word).append(d.hears)
-                .append(Math.min(s.now - d.at, 2 * ColdShares.LEASE)).append(':').append(s.now - d.due));
+        s.under.forEach(d -> key.append(d.from)
+                .append(d.to)
+                .append(d.word)
+                .append(d.hears)
+                .append(Math.min(s.now - d.at, 2 * ColdShares.LEASE))
+                .append(':')
+                .append(s.now - d.due));
         return key.toString();
     }
 
--- a/src/main/java/saffronferry/lab/policy/Policy.java
+++ b/src/main/java/saffronferry/lab/policy/Policy.java
@@ -10,7 +10,12 @@
 
 /** The policies that can be compared, all under the same rules and behind the same facade. */
 public enum Policy {
-    NETWORKED_QUEUES, RANDOM, ROUND_ROBIN, LEAST_OUTSTANDING, TWO_CHOICES, JOIN_IDLE_QUEUE,
+    NETWORKED_QUEUES,
+    RANDOM,
+    ROUND_ROBIN,
+    LEAST_OUTSTANDING,
+    TWO_CHOICES,
+    JOIN_IDLE_QUEUE,
     /** Sees the true load of every worker: no real dispatcher can; it shows what is left to gain. */
     SIGHTED;
 
@@ -21,9 +26,11 @@
 
     /** The policy of a name, or an error that lists them. */
     public static Policy of(String label) {
-        return Arrays.stream(values()).filter(p -> p.label().equals(label)).findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no policy " + label + "; there are "
-                        + String.join(", ", labels())));
+        return Arrays.stream(values())
+                .filter(p -> p.label().equals(label))
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException(
+                        "no policy " + label + "; there are " + String.join(", ", labels())));
     }
 
     public static List<String> labels() {
@@ -42,27 +49,31 @@
                 yield new TextbookBrain(settings, random, (all, r) -> all.get(turn[0]++ % all.size()));
             }
             case LEAST_OUTSTANDING -> new TextbookBrain(settings, random, Policy::leastOutstanding);
-            case TWO_CHOICES -> new TextbookBrain(settings, random, (all, r) -> {
-                Known a = all.get(r.nextInt(all.size()));
-                Known b = all.get(r.nextInt(all.size()));
-                return a.outstanding <= b.outstanding ? a : b;
-            });
-            case JOIN_IDLE_QUEUE -> new TextbookBrain(settings, random, (all, r) -> {
-                List<Known> idle = all.stream().filter(w -> w.outstanding == 0).toList();
-                return idle.isEmpty() ? all.get(r.nextInt(all.size())) : idle.get(r.nextInt(idle.size()));
-            });
-            case SIGHTED -> new TextbookBrain(settings, random, (all, r) -> {
-                Known best = null;
-                double least = Double.MAX_VALUE;
-                for (Known w : all) {
-                    double load = truth.applyAsDouble(w.address) + (w.zone == settings.zone() ? 0 : 0.01);
-                    if (load < least) {
-                        least = load;
-                        best = w;
+            case TWO_CHOICES ->
+                new TextbookBrain(settings, random, (all, r) -> {
+                    Known a = all.get(r.nextInt(all.size()));
+                    Known b = all.get(r.nextInt(all.size()));
+                    return a.outstanding <= b.outstanding ? a : b;
+                });
+            case JOIN_IDLE_QUEUE ->
+                new TextbookBrain(settings, random, (all, r) -> {
+                    List<Known> idle =
+                            all.stream().filter(w -> w.outstanding == 0).toList();
+                    return idle.isEmpty() ? all.get(r.nextInt(all.size())) : idle.get(r.nextInt(idle.size()));
+                });
+            case SIGHTED ->
+                new TextbookBrain(settings, random, (all, r) -> {
+                    Known best = null;
+                    double least = Double.MAX_VALUE;
+                    for (Known w : all) {
+                        double load = truth.applyAsDouble(w.address) + (w.zone == settings.zone() ? 0 : 0.01);
+                        if (load < least) {
+                            least = load;
+                            best = w;
+                        }
                     }
-                }
-                return best;
-            });
+                    return best;
+                });
         };
     }
 
--- a/src/main/java/saffronferry/lab/policy/TextbookBrain.java
+++ b/src/main/java/saffronferry/lab/policy/TextbookBrain.java
@@ -49,13 +49,14 @@
         }
     }
 
-    private record Attempt(Known worker, long sentAt) { }
+    private record Attempt(Known worker, long sentAt) {}
 
     private static final class Open {
         final Request request;
         final List<Attempt> attempts = new ArrayList<>();
         /** The first attempt that may have run, or null. */
         Attempt doubt;
+
         int out;
 
         Open(Request request) {
@@ -90,8 +91,8 @@
     }
 
     private void send(long now, Open o, List<Step> steps) {
-        Known worker = o.attempts.size() < settings.maxAttempts() && now < o.request.validUntil()
-                ? choose(now, o) : null;
+        Known worker =
+                o.attempts.size() < settings.maxAttempts() && now < o.request.validUntil() ? choose(now, o) : null;
         if (worker == null) {
             end(o, steps);
             return;
@@ -108,8 +109,12 @@
         if (o.doubt != null && spec.effect() != Effect.SAFE) {
             Known first = o.doubt.worker();
             boolean may = spec.effect() == Effect.KEYED && now < o.doubt.sentAt() + spec.keyTtl();
-            among = !may ? List.of() : usable.stream().filter(w -> spec.group() == Group.ALL
-                    || w.zone == first.zone && (spec.group() == Group.ZONE || w.cell == first.cell)).toList();
+            among = !may
+                    ? List.of()
+                    : usable.stream()
+                            .filter(w -> spec.group() == Group.ALL
+                                    || w.zone == first.zone && (spec.group() == Group.ZONE || w.cell == first.cell))
+                            .toList();
         }
         if (spec.kind() >= 0) {
             among = among.stream().filter(w -> w.kind == spec.kind()).toList();
@@ -128,7 +133,8 @@
     private void end(Open o, List<Step> steps) {
         open.remove(o.request.id());
         JobClass spec = settings.classes().get(o.request.jobClass());
-        boolean harmless = o.doubt == null || spec.effect() == Effect.SAFE
+        boolean harmless = o.doubt == null
+                || spec.effect() == Effect.SAFE
                 || spec.effect() == Effect.KEYED && spec.group() == Group.ALL;
         steps.add(harmless ? new Step.Refuse(o.request.id(), 0) : new Step.Fail(o.request.id()));
     }
@@ -172,7 +178,8 @@
 
     private void resolved(News.Resolved r) {
         if (r.kind() != ListKind.CHANGES) {
-            workers.keySet().retainAll(r.entries().stream().map(WorkerInfo::address).toList());
+            workers.keySet()
+                    .retainAll(r.entries().stream().map(WorkerInfo::address).toList());
         }
         for (WorkerInfo info : r.entries()) {
             Known old = workers.get(info.address());
@@ -180,7 +187,9 @@
             now.outstanding = old == null ? 0 : old.outstanding;
             workers.put(info.address(), now);
         }
-        usable = workers.values().stream().filter(w -> w.state == WorkerState.IN_SERVICE).toList();
+        usable = workers.values().stream()
+                .filter(w -> w.state == WorkerState.IN_SERVICE)
+                .toList();
     }
 
     @Override
--- a/src/main/java/saffronferry/lab/scenario/Draw.java
+++ b/src/main/java/saffronferry/lab/scenario/Draw.java
@@ -28,8 +28,14 @@
             long at = from + random.nextLong(latest - from);
             long lasts = SHORTEST + random.nextLong(LONGEST - SHORTEST);
             double part = 0.05 + (MOST_PART - 0.05) * random.nextDouble();
-            all.add(new Trouble(kind, at, lasts, part, size(kind, random),
-                    zones.get(random.nextInt(zones.size())), tenants.get(random.nextInt(tenants.size())),
+            all.add(new Trouble(
+                    kind,
+                    at,
+                    lasts,
+                    part,
+                    size(kind, random),
+                    zones.get(random.nextInt(zones.size())),
+                    tenants.get(random.nextInt(tenants.size())),
                     link(random)));
         }
         all.sort((a, b) -> Long.compare(a.at(), b.at()));
@@ -46,8 +52,12 @@
     }
 
     private static Link link(SplittableRandom random) {
-        return new Link(SHAPES.get(random.nextInt(SHAPES.size())), random.nextInt(4) == 0,
-                LOSSES[random.nextInt(LOSSES.length)], random.nextInt(3) == 0 ? 1 : 0,
-                random.nextInt(3) == 0 ? 500_000 : 0, random.nextInt(3) == 0 ? 1_000_000 : 0);
+        return new Link(
+                SHAPES.get(random.nextInt(SHAPES.size())),
+                random.nextInt(4) == 0,
+                LOSSES[random.nextInt(LOSSES.length)],
+                random.nextInt(3) == 0 ? 1 : 0,
+                random.nextInt(3) == 0 ? 500_000 : 0,
+                random.nextInt(3) == 0 ? 1_000_000 : 0);
     }
 }
--- a/src/main/java/saffronferry/lab/scenario/Limits.java
+++ b/src/main/java/saffronferry/lab/scenario/Limits.java
@@ -12,8 +12,7 @@
     /** Every figure that may have a limit, with its unit. */
     public static final Map<String, String> FIGURES = figures();
     /** Of these, those that must not be under their limit; the others must not be over it. */
-    private static final Set<String> LEAST =
-            Set.of("goal_share", "served_share", "cold_used_share");
+    private static final Set<String> LEAST = Set.of("goal_share", "served_share", "cold_used_share");
 
     public Limits {
         stated = Map.copyOf(stated);
--- a/src/main/java/saffronferry/lab/scenario/PeerLinks.java
+++ b/src/main/java/saffronferry/lab/scenario/PeerLinks.java
@@ -19,7 +19,9 @@
 
     /** The troubles' times count from {@code start}, in microseconds. */
     public PeerLinks(Scenario scenario, long start) {
-        cuts = scenario.troubles().stream().filter(t -> t.kind().equals("peer_cut")).toList();
+        cuts = scenario.troubles().stream()
+                .filter(t -> t.kind().equals("peer_cut"))
+                .toList();
         dispatchers = scenario.dispatchers();
         this.scenario = scenario;
         this.start = start;
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -30,13 +30,27 @@
 public final class ScenarioReader {
     private static final Map<String, Effect> EFFECTS =
             Map.of("repeatable", Effect.SAFE, "by_key", Effect.KEYED, "once", Effect.UNSAFE);
-    private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE, "cell",
-            Group.CELL);
+    private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL);
     /** Kinds of trouble; docs/operations/laboratory.md says what part and size mean for each. */
-    public static final List<String> TROUBLES = List.of("slow", "hung", "crash", "zone_loss", "deploy",
-            "replace", "dispatcher_restart", "dispatcher_stop", "dispatcher_term", "dispatcher_hup",
-            "tenant_burst", "stale_reports", "discovery_outage", "list_withheld", "list_disorder",
-            "peer_cut", "rack_loss", "region_loss");
+    public static final List<String> TROUBLES = List.of(
+            "slow",
+            "hung",
+            "crash",
+            "zone_loss",
+            "deploy",
+            "replace",
+            "dispatcher_restart",
+            "dispatcher_stop",
+            "dispatcher_term",
+            "dispatcher_hup",
+            "tenant_burst",
+            "stale_reports",
+            "discovery_outage",
+            "list_withheld",
+            "list_disorder",
+            "peer_cut",
+            "rack_loss",
+            "region_loss");
     /** Between whom datagrams are troubled. */
     public static final List<String> SHAPES = List.of("all", "half", "alone", "mute", "deaf", "regions");
 
@@ -72,8 +86,8 @@
             String key = at < 0 ? each : each.substring(0, at).trim();
             TomlParseResult parsed = Toml.parse("value = " + each.substring(at + 1));
             if (at <= 0 || parsed.hasErrors()) {
-                throw new ScenarioException(List.of(new Problem(file, 0, 0, key, "no TOML value: "
-                        + each.substring(at + 1))));
+                throw new ScenarioException(
+                        List.of(new Problem(file, 0, 0, key, "no TOML value: " + each.substring(at + 1))));
             }
             instead.put(key, parsed.get("value"));
         }
@@ -82,8 +96,8 @@
         List<String> keys = reader.values.stream().map(Section.Value::key).toList();
         for (String key : instead.keySet()) {
             if (!keys.contains(key) && reader.problems.isEmpty()) {
-                reader.problems.add(new Problem(file, 0, 0, key, "is no key of this scenario"
-                        + Section.near(key, keys)));
+                reader.problems.add(
+                        new Problem(file, 0, 0, key, "is no key of this scenario" + Section.near(key, keys)));
             }
         }
         if (!reader.problems.isEmpty()) {
@@ -109,8 +123,9 @@
         if (!reader.problems.isEmpty()) {
             throw new ScenarioException(reader.problems);
         }
-        return reader.values.stream().map(v -> v.key() + " = " + v.value() + "  # " + v.unit()
-                + (v.given() ? "" : "; the default")).toList();
+        return reader.values.stream()
+                .map(v -> v.key() + " = " + v.value() + "  # " + v.unit() + (v.given() ? "" : "; the default"))
+                .toList();
     }
 
     private static long micros(double seconds) {
@@ -146,23 +161,38 @@
         if (tenants.isEmpty()) {
             tenants.add(new Tenant("all", 1, 1));
         }
-        Scenario result = new Scenario(name, length, zones, workers, cell, dispatchers, List.copyOf(kinds),
-                List.copyOf(classes), List.copyOf(tenants), load(top.section("load")),
+        Scenario result = new Scenario(
+                name,
+                length,
+                zones,
+                workers,
+                cell,
+                dispatchers,
+                List.copyOf(kinds),
+                List.copyOf(classes),
+                List.copyOf(tenants),
+                load(top.section("load")),
                 clients(top.section("clients")),
-                network(top.section("network")), discovery(top.section("discovery")),
+                network(top.section("network")),
+                discovery(top.section("discovery")),
                 reports(top.section("reports")),
-                rules(top.section("rules")), prices(top.section("prices")),
-                troubles(top, zones, tenants, length), draw(top.section("draw"), length),
-                bounds(top.section("bounds")), regions, limits(top.section("limits")));
+                rules(top.section("rules")),
+                prices(top.section("prices")),
+                troubles(top, zones, tenants, length),
+                draw(top.section("draw"), length),
+                bounds(top.section("bounds")),
+                regions,
+                limits(top.section("limits")));
         top.done();
         return result;
     }
 
     private Kind kind(Section s) {
-        Kind k = new Kind(s.text("name", "box", List.of()), s.number("share", 1, 0, 1e6,
-                "relative number of workers"),
-                s.whole("cores", 4, 1, 1024, "cores"), s.number("speed", 1, 0.01, 100,
-                "work done a second and core"),
+        Kind k = new Kind(
+                s.text("name", "box", List.of()),
+                s.number("share", 1, 0, 1e6, "relative number of workers"),
+                s.whole("cores", 4, 1, 1024, "cores"),
+                s.number("speed", 1, 0.01, 100, "work done a second and core"),
                 s.number("speed_cv", 0.1, 0, 1, "spread of speeds, relative"),
                 s.whole("slots", 4, 1, 4096, "jobs at once"),
                 s.whole("queue", 8, 0, 100_000, "jobs that may wait"),
@@ -176,13 +206,14 @@
     }
 
     private RpcClass rpcClass(Section s) {
-        RpcClass c = new RpcClass(s.text("name", "rpc", List.of()),
+        RpcClass c = new RpcClass(
+                s.text("name", "rpc", List.of()),
                 s.number("share", 1, 0, 1e6, "relative number"),
                 micros(s.number("aim_s", 0.25, 0.001, 3_600, "seconds wanted")),
                 s.number("stretch", 1.75, 0, 100, "of the job's own work, added to the aim"),
                 micros(s.number("deadline_s", 6, 0.01, 3_600, "seconds a client waits, all tries together")),
-                s.number("worth", 1, 0, 1e6, "points"), s.number("late_worth", 0.3, 0, 1,
-                "of the worth when late"),
+                s.number("worth", 1, 0, 1e6, "points"),
+                s.number("late_worth", 0.3, 0, 1, "of the worth when late"),
                 EFFECTS.get(s.text("effect", "repeatable", List.of("repeatable", "by_key", "once"))),
                 GROUPS.get(s.text("group", "all", List.of("all", "zone", "cell"))),
                 micros(s.number("key_ttl_s", 40, 0, 3_600, "seconds that repeats are dropped")),
@@ -193,7 +224,8 @@
     }
 
     private Tenant tenant(Section s) {
-        Tenant t = new Tenant(s.text("name", null, List.of()),
+        Tenant t = new Tenant(
+                s.text("name", null, List.of()),
                 s.number("share", 1, 0, 1e6, "relative number of requests"),
                 s.number("entitled", 0, 0, 1, "share of the capacity; 0 as its share of the requests"));
         s.done();
@@ -201,20 +233,23 @@
     }
 
     private Load load(Section s) {
-        Load l = new Load(s.number("share", 0.6, 0.001, 20, "of the fleet's capacity"),
+        Load l = new Load(
+                s.number("share", 0.6, 0.001, 20, "of the fleet's capacity"),
                 s.text("shape", "steady", List.of("steady", "bursty", "surge")),
                 s.number("swing", 0.25, 0, 1, "relative height of the swing"),
                 s.number("zone_skew", 0, 0, 0.9, "how unevenly zones are asked"),
                 (long) s.number("most_requests", 2e6, 1, 1e9, "first tries; a longer day is cut"),
-                new Scenario.Uneven(s.whole("loud", 0, 0, 1000, "dispatchers that are asked more"),
-                s.number("loud_times", 6, 0, 1000, "as much as the others"),
-                s.whole("silent", 0, 0, 1000, "dispatchers that are asked nothing")));
+                new Scenario.Uneven(
+                        s.whole("loud", 0, 0, 1000, "dispatchers that are asked more"),
+                        s.number("loud_times", 6, 0, 1000, "as much as the others"),
+                        s.whole("silent", 0, 0, 1000, "dispatchers that are asked nothing")));
         s.done();
         return l;
     }
 
     private Clients clients(Section s) {
-        Clients c = new Clients(s.whole("retries", 2, 0, 100, "tries after the first"),
+        Clients c = new Clients(
+                s.whole("retries", 2, 0, 100, "tries after the first"),
                 micros(s.number("backoff_s", 0.05, 0, 60, "seconds before the next try, doubling")),
                 s.number("honour", 0.6, 0, 1, "share of clients that heeds Retry-After"));
         s.done();
@@ -222,20 +257,21 @@
     }
 
     private Network network(Section s) {
-        Network n = new Network(micros(s.number("same_s", 0.0002, 0, 10, "seconds one way in a zone")),
+        Network n = new Network(
+                micros(s.number("same_s", 0.0002, 0, 10, "seconds one way in a zone")),
                 micros(s.number("cross_s", 0.0006, 0, 10, "seconds one way between zones")),
                 micros(s.number("client_s", 0.0007, 0, 10, "seconds one way from clients")),
-                s.number("jitter", 0.2, 0, 10, "relative"), s.number("loss", 0.01, 0, 1, "of datagrams"),
+                s.number("jitter", 0.2, 0, 10, "relative"),
+                s.number("loss", 0.01, 0, 1, "of datagrams"),
                 micros(s.number("connect_timeout_s", 0.25, 0.001, 60, "seconds")),
-                micros(s.number("front_notice_s", 2.5, 0, 600,
-                "seconds the front sends to a dead dispatcher")));
+                micros(s.number("front_notice_s", 2.5, 0, 600, "seconds the front sends to a dead dispatcher")));
         s.done();
         return n;
     }
 
     private Discovery discovery(Section s) {
-        Discovery d = new Discovery(micros(s.number("notice_s", 2, 0, 600,
-                "seconds until a drain or an end is listed")),
+        Discovery d = new Discovery(
+                micros(s.number("notice_s", 2, 0, 600, "seconds until a drain or an end is listed")),
                 micros(s.number("silent_notice_s", 8, 0, 600, "seconds until a dead one is listed")),
                 micros(s.number("add_s", 1, 0, 600, "seconds until a new one is listed")),
                 micros(s.number("call_s", 0.05, 0.0001, 60, "seconds a call takes")),
@@ -245,15 +281,17 @@
     }
 
     private Reports reports(Section s) {
-        Reports r = new Reports(s.flag("on", true), micros(s.number("period_s", 0.06, 0.0001, 60, "seconds")),
+        Reports r = new Reports(
+                s.flag("on", true),
+                micros(s.number("period_s", 0.06, 0.0001, 60, "seconds")),
                 s.number("noise", 0.05, 0, 1, "relative"));
         s.done();
         return r;
     }
 
     private Rules rules(Section s) {
-        Rules r = new Rules(micros(s.number("slack_s", 0.02, 0, 10,
-                "seconds after the deadline for an answer")),
+        Rules r = new Rules(
+                micros(s.number("slack_s", 0.02, 0, 10, "seconds after the deadline for an answer")),
                 micros(s.number("drain_s", 2, 0, 60, "seconds after the word until no fresh work comes")),
                 s.number("fall_multiple", 3, 0.1, 100, "of a cold one's capacity"),
                 micros(s.number("fall_s", 3, 0.1, 600, "seconds of the window")),
@@ -264,7 +302,8 @@
     }
 
     private Prices prices(Section s) {
-        Prices p = new Prices(s.number("peer", 0.008, 0, 10, "points"),
+        Prices p = new Prices(
+                s.number("peer", 0.008, 0, 10, "points"),
                 s.number("probe", 0.01, 0, 10, "points"),
                 s.number("over_share", 0.05, 0, 1, "of the worth"));
         s.done();
@@ -272,7 +311,9 @@
     }
 
     private static Link link(Section s) {
-        return new Link(s.text("shape", "all", SHAPES), s.flag("one_way", false),
+        return new Link(
+                s.text("shape", "all", SHAPES),
+                s.flag("one_way", false),
                 s.number("loss", 1, 0, 1, "of the datagrams concerned"),
                 s.number("doubled", 0, 0, 1, "of the datagrams concerned"),
                 micros(s.number("delay_s", 0, 0, 600, "seconds at most, so that they overtake each other")),
@@ -280,7 +321,8 @@
     }
 
     private static Bounds bounds(Section s) {
-        Bounds b = new Bounds(s.number("refused", 1, 0, 1, "share of requests"),
+        Bounds b = new Bounds(
+                s.number("refused", 1, 0, 1, "share of requests"),
                 s.number("failed", 1, 0, 1, "share of requests"),
                 s.number("cold_multiple", 100, 0, 100, "times what a cold worker can do"),
                 s.number("cold_used", 0, 0, 1, "of what cold workers can do while jobs wait, mean"),
@@ -292,8 +334,8 @@
     private static Limits limits(Section s) {
         Map<String, Double> stated = new HashMap<>();
         Limits.FIGURES.forEach((figure, unit) -> {
-            double limit = s.number(figure, -1, 0, 1e12,
-                    unit + (Limits.isLeast(figure) ? ", at least" : ", at most") + "; -1 none");
+            double limit = s.number(
+                    figure, -1, 0, 1e12, unit + (Limits.isLeast(figure) ? ", at least" : ", at most") + "; -1 none");
             if (limit >= 0) {
                 stated.put(figure, limit);
             }
@@ -303,7 +345,8 @@
     }
 
     private Draw draw(Section s, long length) {
-        Draw d = new Draw(s.whole("troubles", 0, 0, 100, "troubles drawn from each play's seed"),
+        Draw d = new Draw(
+                s.whole("troubles", 0, 0, 100, "troubles drawn from each play's seed"),
                 s.texts("kinds", List.of("peer_cut")),
                 micros(s.number("from_s", 0, 0, 36_000, "seconds")),
                 micros(s.number("until_s", length / 1e6, 0, 36_000, "seconds")));
@@ -323,12 +366,17 @@
         List<Trouble> result = new ArrayList<>();
         for (Section s : top.sections("trouble")) {
             String kind = s.text("kind", null, TROUBLES);
-            Trouble t = new Trouble(kind, micros(s.number("at_s", 10, 0, 36_000, "seconds")),
+            Trouble t = new Trouble(
+                    kind,
+                    micros(s.number("at_s", 10, 0, 36_000, "seconds")),
                     micros(s.number("length_s", 15, 0.001, 36_000, "seconds")),
                     s.number("part", 0.2, 0, 1, "share of workers or dispatchers"),
                     s.number("size", 4, 0, 1e6, "how bad; depends on the kind"),
                     s.text("zone", zones.get(0), zones),
-                    s.text("tenant", tenants.get(0).name(), tenants.stream().map(Tenant::name).toList()),
+                    s.text(
+                            "tenant",
+                            tenants.get(0).name(),
+                            tenants.stream().map(Tenant::name).toList()),
                     link(s));
             if (t.at() > length) {
                 s.wrong("at_s", "is after the end of the day, " + length / 1e6 + " s");
--- a/src/main/java/saffronferry/lab/scenario/Section.java
+++ b/src/main/java/saffronferry/lab/scenario/Section.java
@@ -17,7 +17,7 @@
  */
 final class Section {
     /** A value as it counts: given, or the default. */
-    record Value(String key, Object value, String unit, boolean given) { }
+    record Value(String key, Object value, String unit, boolean given) {}
 
     private final String file;
     private final String path;
@@ -30,7 +30,12 @@
     /**
      * {@code table} null: all is missing. {@code instead}: values by full key that stand in for the file's.
      */
-    Section(String file, String path, TomlTable table, List<Problem> problems, List<Value> values,
+    Section(
+            String file,
+            String path,
+            TomlTable table,
+            List<Problem> problems,
+            List<Value> values,
             Map<String, Object> instead) {
         this.file = file;
         this.path = path;
@@ -46,8 +51,7 @@
 
     private void problem(String key, String text) {
         TomlPosition at = table == null ? null : table.inputPositionOf(List.of(key));
-        problems.add(new Problem(file, at == null ? 0 : at.line(), at == null ? 0 : at.column(), full(key),
-                text));
+        problems.add(new Problem(file, at == null ? 0 : at.line(), at == null ? 0 : at.column(), full(key), text));
     }
 
     private Object get(String key) {
@@ -74,8 +78,7 @@
         }
         double value = n.doubleValue();
         if (!(value >= least && value <= most)) {
-            problem(key, "expected " + trim(least) + " to " + trim(most) + " (" + unit + "), got "
-                    + trim(value));
+            problem(key, "expected " + trim(least) + " to " + trim(most) + " (" + unit + "), got " + trim(value));
             return otherwise;
         }
         return note(key, value, unit, true);
@@ -87,8 +90,10 @@
             return note(key, otherwise, unit, false);
         }
         if (!(got instanceof Long n) || n < least || n > most) {
-            problem(key, "expected a whole number from " + least + " to " + most + " (" + unit + "), got "
-                    + (got instanceof Long ? got : kind(got)));
+            problem(
+                    key,
+                    "expected a whole number from " + least + " to " + most + " (" + unit + "), got "
+                            + (got instanceof Long ? got : kind(got)));
             return otherwise;
         }
         return note(key, (int) (long) n, unit, true);
@@ -117,9 +122,10 @@
             return note(key, otherwise, unit, false);
         }
         if (!(got instanceof String s) || !allowed.isEmpty() && !allowed.contains(s)) {
-            problem(key, "expected " + unit + ", got " + (got instanceof String s ? "\"" + s + "\""
-                    + near(s, allowed)
-                    : kind(got)));
+            problem(
+                    key,
+                    "expected " + unit + ", got "
+                            + (got instanceof String s ? "\"" + s + "\"" + near(s, allowed) : kind(got)));
             return otherwise != null ? otherwise : allowed.isEmpty() ? "" : allowed.get(0);
         }
         return note(key, s, unit, true);
@@ -159,8 +165,7 @@
         List<Section> result = new ArrayList<>();
         if (got instanceof TomlArray array && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             for (int i = 0; i < array.size(); i++) {
-                result.add(new Section(file, full(key) + "[" + i + "]", array.getTable(i), problems, values,
-                        instead));
+                result.add(new Section(file, full(key) + "[" + i + "]", array.getTable(i), problems, values, instead));
             }
         } else if (got != null) {
             problem(key, "expected tables [[" + full(key) + "]], got " + kind(got));
@@ -178,8 +183,10 @@
         if (table != null) {
             for (String key : table.keySet()) {
                 if (!known.contains(key)) {
-                    problem(key, "is no key of " + (path.isEmpty() ? "a scenario" : "[" + path + "]")
-                            + near(key, List.copyOf(known)));
+                    problem(
+                            key,
+                            "is no key of " + (path.isEmpty() ? "a scenario" : "[" + path + "]")
+                                    + near(key, List.copyOf(known)));
                 }
             }
         }
@@ -199,12 +206,14 @@
     }
 
     private static String kind(Object got) {
-        return got instanceof String s ? "the text \"" + s + "\"" : got instanceof TomlArray ? "a list"
-                : got instanceof TomlTable ? "a table" : String.valueOf(got);
+        return got instanceof String s
+                ? "the text \"" + s + "\""
+                : got instanceof TomlArray ? "a list" : got instanceof TomlTable ? "a table" : String.valueOf(got);
     }
 
     private static String trim(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
                 : Double.toString(value);
     }
 }
--- a/src/main/java/saffronferry/lab/world/Call.java
+++ b/src/main/java/saffronferry/lab/world/Call.java
@@ -14,8 +14,15 @@
     int attempts;
     boolean over;
 
-    Call(long arrivedAt, int rpcClass, int tenant, int zone, double work, long deadline,
-            boolean inShare, boolean honours) {
+    Call(
+            long arrivedAt,
+            int rpcClass,
+            int tenant,
+            int zone,
+            double work,
+            long deadline,
+            boolean inShare,
+            boolean honours) {
         this.arrivedAt = arrivedAt;
         this.rpcClass = rpcClass;
         this.tenant = tenant;
--- a/src/main/java/saffronferry/lab/world/Clients.java
+++ b/src/main/java/saffronferry/lab/world/Clients.java
@@ -25,9 +25,11 @@
         sim = world.sim;
         tries = world.streams.of("client tries", 0);
         double perSecond = capacity / (scenario.meanWork() / 1e6);
-        double shares = scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).sum();
-        allowance = scenario.tenants().stream().mapToDouble(t ->
-                perSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares)).toArray();
+        double shares =
+                scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).sum();
+        allowance = scenario.tenants().stream()
+                .mapToDouble(t -> perSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares))
+                .toArray();
         bucket = Arrays.stream(allowance).map(a -> Math.max(a, 2)).toArray();
     }
 
@@ -52,8 +54,14 @@
         double most();
     }
 
-    private void next(UniformRandomProvider times, UniformRandomProvider kinds, double perSecond, int tenant,
-            long from, long until, Shape shape) {
+    private void next(
+            UniformRandomProvider times,
+            UniformRandomProvider kinds,
+            double perSecond,
+            int tenant,
+            long from,
+            long until,
+            Shape shape) {
         long at = from;
         do { // thinning
             double gap = -Math.log(1 - times.nextDouble()) / (perSecond * shape.most());
@@ -84,12 +92,16 @@
     private void arrive(UniformRandomProvider kinds, int ofTenant) {
         int c = pick(scenario.classes().stream().mapToDouble(RpcClass::share).toArray(), kinds.nextDouble());
         double tenantAt = kinds.nextDouble();
-        int t = ofTenant >= 0 ? ofTenant
-                : pick(scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray(), tenantAt);
+        int t = ofTenant >= 0
+                ? ofTenant
+                : pick(
+                        scenario.tenants().stream()
+                                .mapToDouble(Scenario.Tenant::share)
+                                .toArray(),
+                        tenantAt);
         double[] zoneWeights = new double[scenario.zones().size()];
         for (int z = 0; z < zoneWeights.length; z++) {
-            zoneWeights[z] = 1 + scenario.load().zoneSkew() * (z == 0 ? 1
-                    : -1.0 / Math.max(1, zoneWeights.length - 1));
+            zoneWeights[z] = 1 + scenario.load().zoneSkew() * (z == 0 ? 1 : -1.0 / Math.max(1, zoneWeights.length - 1));
         }
         int zone = pick(zoneWeights, kinds.nextDouble());
         RpcClass spec = scenario.classes().get(c);
@@ -97,8 +109,8 @@
         double work = spec.work() * Math.exp(spec.tail() * normal - spec.tail() * spec.tail() / 2);
         kinds.nextDouble(); // keeps the days of earlier seeds as they were
         boolean honours = kinds.nextDouble() < scenario.clients().honour();
-        Call call = new Call(sim.now(), c, t, zone, Math.max(1, work), sim.now() + spec.deadline(),
-                withinShare(t), honours);
+        Call call = new Call(
+                sim.now(), c, t, zone, Math.max(1, work), sim.now() + spec.deadline(), withinShare(t), honours);
         world.tally.asked(call, worth(call));
         attempt(call);
     }
@@ -141,8 +153,7 @@
                 RpcClass spec = scenario.classes().get(call.rpcClass);
                 long took = sim.now() - call.arrivedAt;
                 double wanted = Math.min(spec.deadline(), spec.aim() + spec.stretch() * call.work);
-                world.tally.served(call, worth(call) * (took <= wanted ? 1 : spec.lateWorth()), took,
-                        took <= wanted);
+                world.tally.served(call, worth(call) * (took <= wanted ? 1 : spec.lateWorth()), took, took <= wanted);
             } else {
                 world.tally.refusals += refused ? 1 : 0;
                 world.tally.failures += refused ? 0 : 1;
--- a/src/main/java/saffronferry/lab/world/ColdUse.java
+++ b/src/main/java/saffronferry/lab/world/ColdUse.java
@@ -44,8 +44,8 @@
         boolean[] waiting = new boolean[refusedAt.length];
         for (int z = 0; z < waiting.length; z++) {
             int zone = z;
-            waiting[z] = sim.now() - refusedAt[z] < ON_ITS_WAY || nodes.stream()
-                    .anyMatch(n -> n.zone == zone && n.waits(ON_ITS_WAY));
+            waiting[z] = sim.now() - refusedAt[z] < ON_ITS_WAY
+                    || nodes.stream().anyMatch(n -> n.zone == zone && n.waits(ON_ITS_WAY));
         }
         for (Worker w : workers) {
             if (!w.cold() || w.capacity() <= 0 || w.info().state() != WorkerState.IN_SERVICE) {
@@ -63,12 +63,20 @@
 
     /** The mean over cold workers of the part used while jobs waited; 1 where none waited. */
     double mean() {
-        return seen.values().stream().filter(ColdUse::counts).mapToDouble(ColdUse::part).average().orElse(1);
+        return seen.values().stream()
+                .filter(ColdUse::counts)
+                .mapToDouble(ColdUse::part)
+                .average()
+                .orElse(1);
     }
 
     /** The least of them. */
     double least() {
-        return seen.values().stream().filter(ColdUse::counts).mapToDouble(ColdUse::part).min().orElse(1);
+        return seen.values().stream()
+                .filter(ColdUse::counts)
+                .mapToDouble(ColdUse::part)
+                .min()
+                .orElse(1);
     }
 
     private static boolean counts(Seen s) {
--- a/src/main/java/saffronferry/lab/world/Job.java
+++ b/src/main/java/saffronferry/lab/world/Job.java
@@ -8,6 +8,7 @@
     final int attempt;
     /** Work left, in microseconds at speed 1. */
     double left;
+
     boolean running;
     boolean gone;
 
--- a/src/main/java/saffronferry/lab/world/Node.java
+++ b/src/main/java/saffronferry/lab/world/Node.java
@@ -14,9 +14,9 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.News;
 import saffronferry.Step;
+import saffronferry.fleet.WatchEnd;
 import saffronferry.lab.check.RuleChecker;
 import saffronferry.lab.policy.Brain;
-import saffronferry.fleet.WatchEnd;
 
 /** An emulated dispatcher: carries out what its brain decides, over the emulated network. */
 final class Node {
@@ -139,8 +139,7 @@
             }
         });
         sim.at(rpc.validUntil + world.scenario.rules().slack() + 1, () -> checker.due(sim.now(), name));
-        Request request = new Request(id, call.rpcClass, call.tenant, rpc.validUntil, 1,
-                false);
+        Request request = new Request(id, call.rpcClass, call.tenant, rpc.validUntil, 1, false);
         decide(b -> b.pick(sim.now(), request));
         return true;
     }
@@ -200,9 +199,8 @@
         }
         boolean answered = rpc.answered;
         forget(rpc);
-        decide(b -> b.report(sim.now(), new News.AttemptEnded(id, attempt, outcome, sim.now() - a.sentAt,
-                answered,
-                null)));
+        decide(b ->
+                b.report(sim.now(), new News.AttemptEnded(id, attempt, outcome, sim.now() - a.sentAt, answered, null)));
     }
 
     private void forget(Rpc rpc) {
@@ -213,8 +211,9 @@
 
     /** Whether it has a request that has been at no worker for longer than that. */
     boolean waits(long longer) {
-        return up && open.values().stream()
-                .anyMatch(r -> !r.answered && r.out == 0 && sim.now() - r.nowhereSince > longer);
+        return up
+                && open.values().stream()
+                        .anyMatch(r -> !r.answered && r.out == 0 && sim.now() - r.nowhereSince > longer);
     }
 
     void peerSaid(int peer, byte[] bytes) {
@@ -239,7 +238,8 @@
     private void learn(List<WorkerInfo> entries, ListKind kind) {
         if (kind != ListKind.CHANGES) {
             listed.clear();
-            checker.toldWhole(sim.now(), number, entries.stream().map(WorkerInfo::address).toList());
+            checker.toldWhole(
+                    sim.now(), number, entries.stream().map(WorkerInfo::address).toList());
         }
         for (WorkerInfo info : entries) {
             listed.put(info.address(), info);
@@ -335,7 +335,11 @@
     private void send(Step.StartAttempt s) {
         Rpc rpc = open.get(s.rpc());
         Worker worker = world.worker(s.subchannel());
-        checker.sent(sim.now(), name(s.rpc()), s.subchannel(), worker == null ? -1 : worker.zone,
+        checker.sent(
+                sim.now(),
+                name(s.rpc()),
+                s.subchannel(),
+                worker == null ? -1 : worker.zone,
                 worker == null ? -1 : worker.cell);
         if (rpc == null) {
             return;
@@ -350,15 +354,16 @@
             sim.after(0, () -> ifAlive(mine, () -> ended(rpc.id, number, Outcome.NOT_SENT)));
             return;
         }
-        boolean informed = listed.containsKey(worker.address) && listed.get(worker.address).startedAt() != 0;
+        boolean informed =
+                listed.containsKey(worker.address) && listed.get(worker.address).startedAt() != 0;
         sim.after(world.wires.between(zone, worker.zone), () -> {
             if (!worker.up()) {
                 hears(worker, mine, n -> n.ended(rpc.id, number, Outcome.CONNECT_FAILED));
             } else if (!a.over) {
                 a.job = new Job(this, rpc.id, number, rpc.call.work);
-                if (worker.cold() && checker.reachesCold(sim.now(), worker.address, worker.capacity(),
-                        rpc.call.work,
-                        this.number, informed)) {
+                if (worker.cold()
+                        && checker.reachesCold(
+                                sim.now(), worker.address, worker.capacity(), rpc.call.work, this.number, informed)) {
                     world.fallsOver(worker);
                 }
                 if (worker.up()) {
@@ -389,8 +394,7 @@
             if (!worker.up()) {
                 hears(worker, mine, n -> n.probed(address, Outcome.CONNECT_FAILED, null));
             } else if (worker.hung()) {
-                sim.after(PROBE_PATIENCE - there, () -> ifAlive(mine, () ->
-                        probed(address, Outcome.TIMEOUT, null)));
+                sim.after(PROBE_PATIENCE - there, () -> ifAlive(mine, () -> probed(address, Outcome.TIMEOUT, null)));
             } else {
                 Report report = worker.report();
                 hears(worker, mine, n -> n.probed(address, Outcome.OK, report));
--- a/src/main/java/saffronferry/lab/world/Registry.java
+++ b/src/main/java/saffronferry/lab/world/Registry.java
@@ -59,8 +59,9 @@
     private void tell(List<WorkerInfo> entries) {
         watches.forEach((node, watch) -> {
             long due = sim.now() + settings.call() / 2 + late(node, entries);
-            sim.at(Math.max(due, node.number < withheldFrom ? withheldUntil : 0), () ->
-                    node.listTells(watch, entries, ListKind.CHANGES));
+            sim.at(
+                    Math.max(due, node.number < withheldFrom ? withheldUntil : 0),
+                    () -> node.listTells(watch, entries, ListKind.CHANGES));
         });
     }
 
--- a/src/main/java/saffronferry/lab/world/Simulation.java
+++ b/src/main/java/saffronferry/lab/world/Simulation.java
@@ -5,10 +5,10 @@
 
 /** Virtual time: what is due runs in order of its time, and of its making where times are equal. */
 final class Simulation {
-    private record Event(long time, long number, Runnable what) { }
+    private record Event(long time, long number, Runnable what) {}
 
-    private static final Comparator<Event> ORDER = (a, b) ->
-            a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.number, b.number);
+    private static final Comparator<Event> ORDER =
+            (a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.number, b.number);
 
     private final PriorityQueue<Event> due = new PriorityQueue<>(1 << 12, ORDER);
     private long now;
--- a/src/main/java/saffronferry/lab/world/Tally.java
+++ b/src/main/java/saffronferry/lab/world/Tally.java
@@ -21,6 +21,7 @@
     private final Histogram latency = new Histogram(3_600_000_000L, 3);
     /** By class: requests, tries, attempts, second copies; the most tries and attempts of one request. */
     private final long[][] path;
+
     private long requests;
     private long inTime;
     private long late;
@@ -123,8 +124,11 @@
     }
 
     private static double worst(double[][] parts) {
-        return Arrays.stream(parts).filter(p ->
-                p[0] >= LEAST_ASKED).mapToDouble(Tally::share).min().orElse(1);
+        return Arrays.stream(parts)
+                .filter(p -> p[0] >= LEAST_ASKED)
+                .mapToDouble(Tally::share)
+                .min()
+                .orElse(1);
     }
 
     private double whole() {
@@ -146,9 +150,15 @@
         JSONObject byPath = new JSONObject();
         for (int i = 0; i < classes.length; i++) {
             byClass.put(scenario.classes().get(i).name(), round(share(classes[i])));
-            byPath.put(scenario.classes().get(i).name(), new JSONObject().put("requests", path[i][0])
-                    .put("tries", path[i][1]).put("attempts", path[i][2]).put("copies", path[i][3])
-                    .put("most_tries", path[i][4]).put("most_attempts", path[i][5]));
+            byPath.put(
+                    scenario.classes().get(i).name(),
+                    new JSONObject()
+                            .put("requests", path[i][0])
+                            .put("tries", path[i][1])
+                            .put("attempts", path[i][2])
+                            .put("copies", path[i][3])
+                            .put("most_tries", path[i][4])
+                            .put("most_attempts", path[i][5]));
         }
         JSONObject byTenant = new JSONObject();
         for (int i = 0; i < tenants.length; i++) {
@@ -160,19 +170,35 @@
         }
         JSONObject quantiles = new JSONObject();
         for (double q : new double[] {50, 90, 99, 99.9}) {
-            quantiles.put("p" + (q == Math.rint(q) ? Long.toString((long) q) : Double.toString(q)),
+            quantiles.put(
+                    "p" + (q == Math.rint(q) ? Long.toString((long) q) : Double.toString(q)),
                     latency.getValueAtPercentile(q) / 1e6);
         }
-        return new JSONObject().put("goal", round(goal())).put("worth_served", round(whole()))
-                .put("worst_10_s", round(worstWindow())).put("worst_class", round(worst(classes)))
-                .put("worst_tenant", round(worst(tenants))).put("classes", byClass).put("tenants", byTenant)
-                .put("requests", requests).put("in_time", inTime).put("late", late)
-                .put("tries", inAll(1)).put("attempts", inAll(2)).put("path", byPath)
-                .put("refusals", refusals).put("failures", failures)
-                .put("probes", probes).put("datagrams", datagrams)
-                .put("datagram_bytes", datagramBytes).put("start_datagrams", startDatagrams)
-                .put("start_datagram_bytes", startDatagramBytes).put("decisions", decisions)
-                .put("events", events).put("latency_s", quantiles).put("worth_by_second", bySecond);
+        return new JSONObject()
+                .put("goal", round(goal()))
+                .put("worth_served", round(whole()))
+                .put("worst_10_s", round(worstWindow()))
+                .put("worst_class", round(worst(classes)))
+                .put("worst_tenant", round(worst(tenants)))
+                .put("classes", byClass)
+                .put("tenants", byTenant)
+                .put("requests", requests)
+                .put("in_time", inTime)
+                .put("late", late)
+                .put("tries", inAll(1))
+                .put("attempts", inAll(2))
+                .put("path", byPath)
+                .put("refusals", refusals)
+                .put("failures", failures)
+                .put("probes", probes)
+                .put("datagrams", datagrams)
+                .put("datagram_bytes", datagramBytes)
+                .put("start_datagrams", startDatagrams)
+                .put("start_datagram_bytes", startDatagramBytes)
+                .put("decisions", decisions)
+                .put("events", events)
+                .put("latency_s", quantiles)
+                .put("worth_by_second", bySecond);
     }
 
     long requests() {
--- a/src/main/java/saffronferry/lab/world/Troubles.java
+++ b/src/main/java/saffronferry/lab/world/Troubles.java
@@ -29,8 +29,7 @@
         for (int i = 0; i < all.size(); i++) {
             Trouble t = all.get(i);
             if (SIGNALS.contains(t.kind())) {
-                throw new IllegalArgumentException("trouble " + t.kind()
-                        + " is for processes: play it with rig fleet");
+                throw new IllegalArgumentException("trouble " + t.kind() + " is for processes: play it with rig fleet");
             }
             UniformRandomProvider random = world.streams.of("trouble", i);
             int index = i;
@@ -51,41 +50,48 @@
 
     private void begin(Trouble t, int index, UniformRandomProvider random) {
         switch (t.kind()) {
-            case "slow" -> part(t.part(), random).forEach(w -> during(t, () -> w.slow(Math.max(1, t.size())),
-                    () -> w.slow(1)));
-            case "hung" -> part(t.part(), random).forEach(w -> during(t, () -> w.hang(true), () -> {
-                if (w.up()) {
+            case "slow" ->
+                part(t.part(), random).forEach(w -> during(t, () -> w.slow(Math.max(1, t.size())), () -> w.slow(1)));
+            case "hung" ->
+                part(t.part(), random)
+                        .forEach(w -> during(t, () -> w.hang(true), () -> {
+                            if (w.up()) {
+                                w.crash();
+                                restart(w);
+                            }
+                        }));
+            case "crash" ->
+                part(t.part(), random).forEach(w -> {
                     w.crash();
+                    world.registry.changed(w, world.registry.settings().silentNotice());
                     restart(w);
-                }
-            }));
-            case "crash" -> part(t.part(), random).forEach(w -> {
-                w.crash();
-                world.registry.changed(w, world.registry.settings().silentNotice());
-                restart(w);
-            });
+                });
             case "zone_loss" -> lose(t, w -> w.zone == zone(t));
-            case "rack_loss" -> world.serving().stream().filter(w -> w.zone == zone(t)).findFirst()
-                    .ifPresent(first -> lose(t, w -> w.zone == first.zone && w.cell == first.cell));
+            case "rack_loss" ->
+                world.serving().stream()
+                        .filter(w -> w.zone == zone(t))
+                        .findFirst()
+                        .ifPresent(first -> lose(t, w -> w.zone == first.zone && w.cell == first.cell));
             case "region_loss" -> {
                 int region = world.scenario.regionOf(zone(t));
                 lose(t, w -> world.scenario.regionOf(w.zone) == region);
-                world.nodes().stream().filter(n -> world.scenario.regionOf(n.zone) == region)
+                world.nodes().stream()
+                        .filter(n -> world.scenario.regionOf(n.zone) == region)
                         .forEach(n -> world.restart(n, t.length()));
             }
             case "deploy" -> deploy(t, part(t.part(), random));
             case "dispatcher_restart" -> restartNodes(t, random);
             case "tenant_burst" -> burst(t, index);
-            case "stale_reports" -> part(t.part(), random).forEach(w -> during(t, () -> w.freezeReports(true),
-                    () -> w.freezeReports(false)));
-            case "discovery_outage" -> during(t, () -> world.registry.outage(true),
-                    () -> world.registry.outage(false));
-            case "peer_cut" -> { } // PeerLinks looks at the clock itself
+            case "stale_reports" ->
+                part(t.part(), random)
+                        .forEach(w -> during(t, () -> w.freezeReports(true), () -> w.freezeReports(false)));
+            case "discovery_outage" -> during(t, () -> world.registry.outage(true), () -> world.registry.outage(false));
+            case "peer_cut" -> {} // PeerLinks looks at the clock itself
             case "replace" -> part(t.part(), random).forEach(w -> replace(t, w));
             case "list_withheld" -> world.registry.withhold(firstOf(t), sim.now() + t.length());
             case "dispatcher_term" -> restartNodes(t, random);
-            case "list_disorder" -> world.registry.disorder(firstOf(t), Math.round(t.size() * 1e6),
-                    sim.now() + t.length(), random);
+            case "list_disorder" ->
+                world.registry.disorder(firstOf(t), Math.round(t.size() * 1e6), sim.now() + t.length(), random);
             default -> throw new IllegalStateException("no trouble " + t.kind());
         }
     }
@@ -163,8 +169,7 @@
         int n = (int) Math.max(1, Math.round(t.part() * nodes.size()));
         for (int i = 0; i < n; i++) {
             Node node = nodes.get(i);
-            sim.after(t.length() * i / n, () -> world.restart(node,
-                    Math.round(Math.max(0.01, t.size()) * 1e6)));
+            sim.after(t.length() * i / n, () -> world.restart(node, Math.round(Math.max(0.01, t.size()) * 1e6)));
         }
     }
 
@@ -175,8 +180,7 @@
         }
         double more = Math.max(0, t.size() - 1) * world.askedPerSecond(tenant);
         if (more > 0) {
-            world.clients.stream("burst", index, more, tenant, sim.now(), sim.now() + t.length(),
-                    World.STEADY);
+            world.clients.stream("burst", index, more, tenant, sim.now(), sim.now() + t.length(), World.STEADY);
         }
     }
 }
--- a/src/main/java/saffronferry/lab/world/Wires.java
+++ b/src/main/java/saffronferry/lab/world/Wires.java
@@ -32,7 +32,6 @@
 
     /** How much later than usual each copy of a datagram comes; none where it is lost. */
     List<Long> datagram(long now, int from, int to) {
-        return random.nextDouble() < network.loss() ? List.of()
-                : links.copies(now, from, to, random::nextDouble);
+        return random.nextDouble() < network.loss() ? List.of() : links.copies(now, from, to, random::nextDouble);
     }
 }
--- a/src/main/java/saffronferry/lab/world/Worker.java
+++ b/src/main/java/saffronferry/lab/world/Worker.java
@@ -42,7 +42,13 @@
     private Report snapshot;
     private long snapshotAt = Long.MIN_VALUE / 2;
 
-    Worker(String address, int zone, int kindIndex, int cell, Scenario scenario, Simulation sim,
+    Worker(
+            String address,
+            int zone,
+            int kindIndex,
+            int cell,
+            Scenario scenario,
+            Simulation sim,
             UniformRandomProvider random) {
         this.address = address;
         this.zone = zone;
@@ -222,8 +228,7 @@
         advancedAt = now;
         if (now - snapshotAt >= reports.period() && !frozenReports) {
             double free = queue.isEmpty() ? kind.slots() - running.size() : 0;
-            double told = Math.max(0,
-                    Math.rint(free * (1 + reports.noise() * (2 * random.nextDouble() - 1))));
+            double told = Math.max(0, Math.rint(free * (1 + reports.noise() * (2 * random.nextDouble() - 1))));
             snapshot = new Report(Double.NaN, Double.NaN, told);
             snapshotAt = now;
         }
