--- a/src/main/java/saffronferry/lab/world/World.java
+++ b/src/main/java/saffronferry/lab/world/World.java
@@ -28,16 +28,25 @@
      * What a day came to; {@code json} holds nothing that depends on the machine. {@code decisionMicros} is
      * processor time a request, {@code startMicros} that of all dispatchers before the first request.
      */
-    public record Day(JSONObject json, double goal, List<RuleChecker.Broken> broken, int brokenInAll,
+    public record Day(
+            JSONObject json,
+            double goal,
+            List<RuleChecker.Broken> broken,
+            int brokenInAll,
             long events,
-                      long requests, double decisionMicros, double startMicros, double seconds) { }
+            long requests,
+            double decisionMicros,
+            double startMicros,
+            double seconds) {}
 
     static final Clients.Shape STEADY = shape(t -> 1, 1);
     /** The module's clock: far from 0, which stands for long ago. */
     private static final long START = 1_000_000_000;
+
     private static final long SETTLE = 2_000_000;
     /** When clients begin to ask, by the clock that brains are handed. */
     public static final long DAY_STARTS = START + SETTLE;
+
     private static final long FALLEN = 5_000_000;
 
     final Scenario scenario;
@@ -64,8 +73,7 @@
         this.wrap = wrap;
         streams = new Streams(seed);
         checker = new RuleChecker(scenario);
-        wires = new Wires(scenario.network(), streams.of("network", 0),
-                new PeerLinks(scenario, START + SETTLE));
+        wires = new Wires(scenario.network(), streams.of("network", 0), new PeerLinks(scenario, START + SETTLE));
         registry = new Registry(scenario.discovery(), sim);
         tally = new Tally(scenario, START + SETTLE);
         coldUse = new ColdUse(sim, scenario.zones().size());
@@ -97,20 +105,33 @@
         long begun = System.nanoTime();
         World world = new World(scenario.drawn(seed), policy, seed, wrap);
         world.run();
-        JSONObject json = world.tally.json(world.sim.done())
+        JSONObject json = world.tally
+                .json(world.sim.done())
                 .put("cold_multiple", Math.round(world.checker.mostCold() * 1e3) / 1e3)
                 .put("cold_used", Math.round(world.coldUse.mean() * 1e3) / 1e3)
                 .put("cold_used_least", Math.round(world.coldUse.least() * 1e3) / 1e3);
         JSONArray broken = new JSONArray();
-        world.checker.broken().forEach(b -> broken.put(new JSONObject().put("rule", b.rule())
-                .put("at_s", b.at() / 1e6).put("dispatcher", b.dispatcher()).put("what", b.what())
-                .put("story", new JSONArray(b.story()))));
-        json.put("seed", seed).put("policy", policy.label()).put("rules_broken", world.checker.count())
+        world.checker
+                .broken()
+                .forEach(b -> broken.put(new JSONObject()
+                        .put("rule", b.rule())
+                        .put("at_s", b.at() / 1e6)
+                        .put("dispatcher", b.dispatcher())
+                        .put("what", b.what())
+                        .put("story", new JSONArray(b.story()))));
+        json.put("seed", seed)
+                .put("policy", policy.label())
+                .put("rules_broken", world.checker.count())
                 .put("broken", broken);
         long busy = world.busyNanos() - world.busyAtStart;
-        return new Day(json, world.tally.goal(), world.checker.broken(), world.checker.count(),
+        return new Day(
+                json,
+                world.tally.goal(),
+                world.checker.broken(),
+                world.checker.count(),
                 world.sim.done(),
-                world.tally.requests(), busy / 1e3 / Math.max(1, world.tally.requests()),
+                world.tally.requests(),
+                busy / 1e3 / Math.max(1, world.tally.requests()),
                 world.busyAtStart / 1e3,
                 (System.nanoTime() - begun) / 1e9);
     }
@@ -129,12 +150,14 @@
         });
         long end = start + scenario.length();
         Clients.Shape shape = shapeOf(start, end);
-        clients.stream("day", 0, capacity * scenario.load().share() / (scenario.meanWork() / 1e6), -1, start,
-                end,
-                shape);
+        clients.stream(
+                "day", 0, capacity * scenario.load().share() / (scenario.meanWork() / 1e6), -1, start, end, shape);
         new Troubles(this).plan(start);
         look(end);
-        long longest = scenario.classes().stream().mapToLong(Scenario.RpcClass::deadline).max().orElse(0);
+        long longest = scenario.classes().stream()
+                .mapToLong(Scenario.RpcClass::deadline)
+                .max()
+                .orElse(0);
         sim.run(end + longest + SETTLE);
     }
 
@@ -167,10 +190,13 @@
         double swing = scenario.load().swing();
         return switch (scenario.load().shape()) {
             case "bursty" -> shape(t -> 1 + swing * Math.sin((t - start) / 17e6 * 2 * Math.PI), 1 + swing);
-            case "surge" -> shape(t -> {
-                double x = (t - start) / (double) (end - start);
-                return x > 0.4 && x < 0.6 ? 1 + 4 * swing : 1;
-            }, 1 + 4 * swing);
+            case "surge" ->
+                shape(
+                        t -> {
+                            double x = (t - start) / (double) (end - start);
+                            return x > 0.4 && x < 0.6 ? 1 + 4 * swing : 1;
+                        },
+                        1 + 4 * swing);
             default -> STEADY;
         };
     }
@@ -200,30 +226,62 @@
 
     private Brain brain(Policy policy, int dispatcher, int life) {
         UniformRandomProvider random = streams.of("brain " + dispatcher, life);
-        return wrap.wrap(policy.brain(settings(dispatcher, random.nextLong()), random, address -> {
-            Worker w = workers.get(address);
-            return w == null ? Double.MAX_VALUE : w.load();
-        }), dispatcher);
+        return wrap.wrap(
+                policy.brain(settings(dispatcher, random.nextLong()), random, address -> {
+                    Worker w = workers.get(address);
+                    return w == null ? Double.MAX_VALUE : w.load();
+                }),
+                dispatcher);
     }
 
     private Settings settings(int dispatcher, long brainSeed) {
-        List<JobClass> classes = scenario.classes().stream().map(c ->
-                new JobClass(c.name(), c.aim(), c.stretch(),
-                c.deadline(), c.worth(), c.lateWorth(), c.effect(), c.group(), c.keyTtl(), -1)).toList();
+        List<JobClass> classes = scenario.classes().stream()
+                .map(c -> new JobClass(
+                        c.name(),
+                        c.aim(),
+                        c.stretch(),
+                        c.deadline(),
+                        c.worth(),
+                        c.lateWorth(),
+                        c.effect(),
+                        c.group(),
+                        c.keyTtl(),
+                        -1))
+                .toList();
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < scenario.tenants().size(); i++) {
             tenants.add(new Tenant(scenario.tenants().get(i).name(), clients.allowance()[i]));
         }
         long cold = scenario.kinds().stream().mapToLong(Kind::cold).max().orElse(0);
-        double coldShare = scenario.kinds().stream().mapToDouble(Kind::coldFrom).min().orElse(1);
+        double coldShare =
+                scenario.kinds().stream().mapToDouble(Kind::coldFrom).min().orElse(1);
         Scenario.Rules rules = scenario.rules();
         Scenario.Prices prices = scenario.prices();
-        return new Settings(brainSeed, dispatcher, scenario.dispatchers(),
+        return new Settings(
+                brainSeed,
+                dispatcher,
+                scenario.dispatchers(),
                 dispatcher % scenario.zones().size(),
-                scenario.zones().size(), scenario.kinds().size(), classes, tenants,
-                rules.mostTries(), true, true, true, scenario.reports().on(), true, true, true, 0, cold,
+                scenario.zones().size(),
+                scenario.kinds().size(),
+                classes,
+                tenants,
+                rules.mostTries(),
+                true,
+                true,
+                true,
+                scenario.reports().on(),
+                true,
+                true,
+                true,
+                0,
+                cold,
                 coldShare,
-                rules.fallMultiple(), rules.maxRetryAfter(), prices.peer(), prices.probe(), 40_000_000);
+                rules.fallMultiple(),
+                rules.maxRetryAfter(),
+                prices.peer(),
+                prices.probe(),
+                40_000_000);
     }
 
     // ---- who is there ----
@@ -241,14 +299,24 @@
     }
 
     double askedPerSecond(int tenant) {
-        double shares = scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).sum();
-        return capacity * scenario.load().share() / (scenario.meanWork() / 1e6)
-                * scenario.tenants().get(tenant).share() / shares;
+        double shares =
+                scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).sum();
+        return capacity
+                * scenario.load().share()
+                / (scenario.meanWork() / 1e6)
+                * scenario.tenants().get(tenant).share()
+                / shares;
     }
 
     /** A machine that takes an old one's place, by a name of its own. */
     Worker successor(Worker old) {
-        Worker w = new Worker(address(1, successors), old.zone, old.kindIndex, old.cell, scenario, sim,
+        Worker w = new Worker(
+                address(1, successors),
+                old.zone,
+                old.kindIndex,
+                old.cell,
+                scenario,
+                sim,
                 streams.of("successor", successors));
         successors++;
         workers.put(w.address, w);
@@ -284,8 +352,11 @@
     Node front(int zone, UniformRandomProvider random) {
         List<Node> near = believedUp(zone);
         List<Node> all = near.isEmpty() ? believedUp(-1) : near;
-        return all.isEmpty() ? null : scenario.load().uneven().none() ? all.get(random.nextInt(all.size()))
-                : weighed(all, random.nextDouble());
+        return all.isEmpty()
+                ? null
+                : scenario.load().uneven().none()
+                        ? all.get(random.nextInt(all.size()))
+                        : weighed(all, random.nextDouble());
     }
 
     private Node weighed(List<Node> nodes, double at) {
@@ -304,9 +375,11 @@
     }
 
     private List<Node> believedUp(int zone) {
-        return nodes.stream().filter(n -> (zone < 0 || n.zone == zone)
-                && sim.now() - downSince.getOrDefault(n,
-                sim.now()) < scenario.network().frontNotice()).toList();
+        return nodes.stream()
+                .filter(n -> (zone < 0 || n.zone == zone)
+                        && sim.now() - downSince.getOrDefault(n, sim.now())
+                                < scenario.network().frontNotice())
+                .toList();
     }
 
     void tell(Node from, int to, byte[] bytes) {
@@ -314,8 +387,7 @@
         if (to >= 0 && to < nodes.size()) {
             Node peer = nodes.get(to);
             for (long late : wires.datagram(sim.now(), from.number, to)) {
-                sim.after(wires.between(from.zone, peer.zone) + late, () ->
-                        peer.peerSaid(from.number, bytes));
+                sim.after(wires.between(from.zone, peer.zone) + late, () -> peer.peerSaid(from.number, bytes));
             }
         }
     }
--- a/src/main/java/saffronferry/lifecycle/AgreeOptions.java
+++ b/src/main/java/saffronferry/lifecycle/AgreeOptions.java
@@ -26,8 +26,8 @@
         }
         int bytesPerS = json.isNull("bytes_per_s") ? BYTES_PER_S : json.getInt("bytes_per_s");
         if (bytesPerS < Gossip.LEAST_BYTES_PER_S) {
-            throw new IllegalArgumentException("bytes_per_s must be " + Gossip.LEAST_BYTES_PER_S
-                    + " at least: " + bytesPerS);
+            throw new IllegalArgumentException(
+                    "bytes_per_s must be " + Gossip.LEAST_BYTES_PER_S + " at least: " + bytesPerS);
         }
         return new AgreeOptions(secret, bytesPerS);
     }
--- a/src/main/java/saffronferry/lifecycle/BanFile.java
+++ b/src/main/java/saffronferry/lifecycle/BanFile.java
@@ -68,7 +68,8 @@
         try (FileChannel channel = FileChannel.open(lock, CREATE, WRITE);
                 FileLock held = channel.lock()) {
             Bans next = how.apply(readOrNone());
-            Path whole = Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
+            Path whole =
+                    Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
             try {
                 Files.writeString(whole, next.text());
                 // guards against a reader, or a start, that finds half a file
--- a/src/main/java/saffronferry/lifecycle/Company.java
+++ b/src/main/java/saffronferry/lifecycle/Company.java
@@ -22,7 +22,7 @@
     private static final long ALONE_MS = 250;
 
     /** What one look has found; the bans are null where nobody else has changed them. */
-    private record Found(Succession.Company others, Bans bans, boolean replaced) { }
+    private record Found(Succession.Company others, Bans bans, boolean replaced) {}
 
     /** Who hears of it. For the event loop. */
     interface Listener {
@@ -80,24 +80,25 @@
     private void look() {
         Beside said = last.others() > 0 ? own.get() : Beside.NOBODY;
         vertx.executeBlocking(() -> {
-            Succession.Company others = succession.exchange(said);
-            return new Found(others, changedBans(), others.others() > 0 && succession.replaced());
-        }).onComplete(found -> {
-            lookLater();
-            if (found.failed()) {
-                log.line("no look at the others", String.valueOf(found.cause()));
-                return;
-            }
-            meet(found.result().others());
-            if (found.result().bans() != null) {
-                listener.banned(found.result().bans());
-            }
-            // one that is yet to serve finds the mark of the one that it is to replace
-            if (announced && found.result().replaced() != replaced) {
-                replaced = !replaced;
-                listener.replaced(replaced);
-            }
-        });
+                    Succession.Company others = succession.exchange(said);
+                    return new Found(others, changedBans(), others.others() > 0 && succession.replaced());
+                })
+                .onComplete(found -> {
+                    lookLater();
+                    if (found.failed()) {
+                        log.line("no look at the others", String.valueOf(found.cause()));
+                        return;
+                    }
+                    meet(found.result().others());
+                    if (found.result().bans() != null) {
+                        listener.banned(found.result().bans());
+                    }
+                    // one that is yet to serve finds the mark of the one that it is to replace
+                    if (announced && found.result().replaced() != replaced) {
+                        replaced = !replaced;
+                        listener.replaced(replaced);
+                    }
+                });
     }
 
     private Bans changedBans() {
@@ -123,13 +124,15 @@
     /** Tells a process that serves already that it is replaced: once we say yes, its end may come. */
     Future<Void> announce() {
         return vertx.<Void>executeBlocking(() -> {
-            succession.serving();
-            return null;
-        }).onSuccess(v -> announced = true).recover(e -> {
-            // guards a start against a folder that cannot be written: only an upgrade would lose by it
-            log.line("not announced", String.valueOf(e));
-            return Future.succeededFuture();
-        });
+                    succession.serving();
+                    return null;
+                })
+                .onSuccess(v -> announced = true)
+                .recover(e -> {
+                    // guards a start against a folder that cannot be written: only an upgrade would lose by it
+                    log.line("not announced", String.valueOf(e));
+                    return Future.succeededFuture();
+                });
     }
 
     /** Whether another process, alive now, came to serve after this one. Reads files. */
--- a/src/main/java/saffronferry/lifecycle/Config.java
+++ b/src/main/java/saffronferry/lifecycle/Config.java
@@ -23,17 +23,21 @@
     final Address discovery;
     /** Null where dispatchers do not speak with each other. */
     final Address peerListen;
+
     final List<Address> peers;
     /** Where operators call; null where they do not. */
     final Address console;
+
     final Path folder;
     /** How many descriptors the process may hold in all. */
     final int sockets;
+
     final SettingsReader settings;
     /** How settings are agreed upon while dispatchers run; null where they are not. */
     final AgreeOptions agree;
     /** What was read, to be compared with what is read later; null where nothing follows from that. */
     final JSONObject json;
+
     final ListParser lists;
     private ListUpdate known;
     /** What of the known list could not be read, and is left out. */
@@ -48,12 +52,14 @@
         try {
             String text = Files.readString(Path.of(file));
             int[] at = ListParser.find(text, "known");
-            JSONObject json = new JSONObject(at == null ? text
-                    : text.substring(0, at[0]) + "null" + text.substring(at[1]));
+            JSONObject json =
+                    new JSONObject(at == null ? text : text.substring(0, at[0]) + "null" + text.substring(at[1]));
             standIn(json, "listen", environment.get("BALANCER_LISTEN"));
             standIn(json, "discovery", environment.get("BALANCER_DISCOVERY"));
             standIn(json, "console", environment.get("BALANCER_CONSOLE"));
-            return new Config(json, at == null ? null : text.substring(at[0], at[1]),
+            return new Config(
+                    json,
+                    at == null ? null : text.substring(at[0], at[1]),
                     Path.of(System.getProperty("java.io.tmpdir")));
         } catch (IOException e) {
             throw new IllegalArgumentException("BALANCER_CONFIG: cannot read " + file);
@@ -77,26 +83,31 @@
         this.folder = folder;
         listen = key("listen", () -> Address.parse(json.getString("listen")));
         discovery = key("discovery", () -> Address.parse(json.getString("discovery")));
-        peerListen = json.isNull("peer_listen") ? null
+        peerListen = json.isNull("peer_listen")
+                ? null
                 : key("peer_listen", () -> Address.parse(json.getString("peer_listen")));
-        console = json.isNull("console") ? null
-                : key("console", () -> Address.parse(json.getString("console")));
+        console = json.isNull("console") ? null : key("console", () -> Address.parse(json.getString("console")));
         peers = key("peers", () -> peers(json.optJSONArray("peers")));
         sockets = key("limits.sockets", () -> sockets(json.optJSONObject("limits")));
-        long seed = key("seed", () -> json.isNull("seed") ? System.nanoTime()
-                : Long.parseUnsignedLong(json.getString("seed"), 16));
+        long seed = key(
+                "seed",
+                () -> json.isNull("seed") ? System.nanoTime() : Long.parseUnsignedLong(json.getString("seed"), 16));
         settings = key("settings", () -> new SettingsReader(seed, json.getJSONObject("settings")));
-        agree = json.isNull("agree") ? null
-                : key("agree", () -> AgreeOptions.read(json.getJSONObject("agree"), peerListen, peers,
-                        settings.settings.self()));
+        agree = json.isNull("agree")
+                ? null
+                : key(
+                        "agree",
+                        () -> AgreeOptions.read(
+                                json.getJSONObject("agree"), peerListen, peers, settings.settings.self()));
         if (agree != null) {
             ConfigDiff.values(json);
         }
         this.json = agree == null ? null : json;
         lists = new ListParser(settings.kinds, settings.zones);
-        String told = list != null || json.isNull("known") ? list : json.get("known").toString();
-        known = key("known", () -> told == null ? new ListUpdate(0, true, List.of())
-                : lists.parse(told, unreadable::add));
+        String told =
+                list != null || json.isNull("known") ? list : json.get("known").toString();
+        known = key(
+                "known", () -> told == null ? new ListUpdate(0, true, List.of()) : lists.parse(told, unreadable::add));
     }
 
     /** The known list, once: the configuration lives on, and need not hold a large fleet twice. */
--- a/src/main/java/saffronferry/lifecycle/ConfigDiff.java
+++ b/src/main/java/saffronferry/lifecycle/ConfigDiff.java
@@ -74,8 +74,8 @@
             String name = entry instanceof JSONObject o ? o.optString("name") : "";
             // guards against two quotas of one tenant, of which each dispatcher might take another
             if (name.isEmpty() || named.put(name, (JSONObject) entry) != null) {
-                throw new IllegalArgumentException("configuration key " + what.path
-                        + ": each entry needs a name of its own: " + name);
+                throw new IllegalArgumentException(
+                        "configuration key " + what.path + ": each entry needs a name of its own: " + name);
             }
         }
         return named;
@@ -88,8 +88,8 @@
             String name = path + key;
             Object a = before.opt(key);
             Object b = after.opt(key);
-            if (OWN.contains(name) || a != null && b != null
-                    && new JSONArray().put(a).similar(new JSONArray().put(b))) {
+            if (OWN.contains(name)
+                    || a != null && b != null && new JSONArray().put(a).similar(new JSONArray().put(b))) {
                 continue;
             }
             if (a instanceof JSONObject x && b instanceof JSONObject y) {
--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -32,7 +32,13 @@
     private final BoundedLog log;
     private int changing;
 
-    Console(Vertx vertx, Ledger<?> ledger, Figures figures, ControlSpend spend, BanFile file, Floor floor,
+    Console(
+            Vertx vertx,
+            Ledger<?> ledger,
+            Figures figures,
+            ControlSpend spend,
+            BanFile file,
+            Floor floor,
             BoundedLog log) {
         this.vertx = vertx;
         this.ledger = ledger;
--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -33,6 +33,7 @@
     private static final long STILL_LISTEN_MS = 500;
     /** SIGKILL comes no sooner than the longest deadline, counted as this where it is longer, and 700 ms. */
     private static final long LONGEST_MS = 3_000;
+
     private static final long AFTER_LONGEST_MS = 300;
     private static final long LAST_INTAKE_MS = 100;
     /** From the last intake on: half requests have so long to become whole, and get a refusal. */
@@ -64,16 +65,18 @@
     private Wire wire;
     /** Null where settings hold as they were read at the start. */
     private SettingsInForce inForce;
+
     private Watchdog watchdog;
     private volatile boolean closing;
     private BanFile banFile;
     private Console desk;
     /** Null where there is no console, and so nobody who would replace a process under load. */
     private Company company;
+
     private Bans bans = Bans.NONE;
     private boolean ready;
     private boolean lastIntake;
-    private Runnable onUnable = () -> { };
+    private Runnable onUnable = () -> {};
 
     /**
      * Makes a dispatcher that is yet to start.
@@ -91,10 +94,16 @@
         descriptors = descriptors(config);
         transport = transports.apply(new AcceptGate(descriptors), log);
         descriptors.onFree(transport::freed);
-        figures = new Figures(config.settings.settings.classes().stream().map(c -> c.name()).toList());
-        vertx = new VertxBuilder(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1).setBlockedThreadCheckInterval(BLOCKED_LOOK_MS))
-                .findTransport(transport).init().vertx();
+        figures = new Figures(
+                config.settings.settings.classes().stream().map(c -> c.name()).toList());
+        vertx = new VertxBuilder(new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1)
+                        .setBlockedThreadCheckInterval(BLOCKED_LOOK_MS))
+                .findTransport(transport)
+                .init()
+                .vertx();
         context = vertx.getOrCreateContext();
         patience(Watchdog.GIVE_UP_MS);
         if (config.console != null) {
@@ -108,7 +117,8 @@
 
     private static Descriptors descriptors(Config config) {
         int most = ProcessLimits.most();
-        String key = most < config.sockets ? "the process's own limit, below the key limits.sockets"
+        String key = most < config.sockets
+                ? "the process's own limit, below the key limits.sockets"
                 : "configuration key limits.sockets";
         try {
             return new Descriptors(Math.min(most, config.sockets), ProcessLimits.open() + STILL_TO_OPEN);
@@ -157,10 +167,23 @@
         SettingsReader s = config.settings;
         config.unreadable.forEach(bad -> log.line("list entry left out", bad));
         inForce = config.agree == null ? null : new SettingsInForce(config, log);
-        wire = new Wire(vertx, new Wire.Options(config.discovery, config.peerListen, config.peers,
-                s.settings.classes(), inForce == null ? s.tenants : inForce.names(), config.lists,
-                s.fieldOf("free slots"), s.connectTimeout, !s.settings.listOnDemand()),
-                new Balancer(s.settings), figures, descriptors, transport, log);
+        wire = new Wire(
+                vertx,
+                new Wire.Options(
+                        config.discovery,
+                        config.peerListen,
+                        config.peers,
+                        s.settings.classes(),
+                        inForce == null ? s.tenants : inForce.names(),
+                        config.lists,
+                        s.fieldOf("free slots"),
+                        s.connectTimeout,
+                        !s.settings.listOnDemand()),
+                new Balancer(s.settings),
+                figures,
+                descriptors,
+                transport,
+                log);
         Future<Void> console = Future.succeededFuture();
         if (config.console != null) {
             wire.ledger().ban(bans); // before the first decision
@@ -169,7 +192,8 @@
         if (inForce != null) {
             inForce.start(vertx, wire, figures);
         }
-        return console.compose(v -> wire.begin(config.takeKnown())).onSuccess(v -> keepCompany())
+        return console.compose(v -> wire.begin(config.takeKnown()))
+                .onSuccess(v -> keepCompany())
                 .compose(v -> wire.server().listen(config.listen))
                 .compose(v -> wire.warmUp(config.listen))
                 .compose(v -> wire.listed())
@@ -178,7 +202,8 @@
                     ready = true;
                     wire.server().ready();
                     log.line("serving", config.listen.toString());
-                }).mapEmpty();
+                })
+                .mapEmpty();
     }
 
     private void keepCompany() {
@@ -218,25 +243,32 @@
     }
 
     private Future<Void> openConsole() {
-        desk = new Console(vertx, wire.ledger(), figures, transport.control(), banFile, new Console.Floor() {
-            @Override
-            public boolean ready() {
-                return ready && !drain.ending();
-            }
+        desk = new Console(
+                vertx,
+                wire.ledger(),
+                figures,
+                transport.control(),
+                banFile,
+                new Console.Floor() {
+                    @Override
+                    public boolean ready() {
+                        return ready && !drain.ending();
+                    }
 
-            @Override
-            public void drain() {
-                drain.start(now());
-                followDrain();
-            }
+                    @Override
+                    public void drain() {
+                        drain.start(now());
+                        followDrain();
+                    }
 
-            @Override
-            public boolean undrain() {
-                boolean open = drain.stop();
-                followDrain();
-                return open;
-            }
-        }, log);
+                    @Override
+                    public boolean undrain() {
+                        boolean open = drain.stop();
+                        followDrain();
+                        return open;
+                    }
+                },
+                log);
         OwnUse.keep(vertx, transport.control());
         return new ConsoleServer(vertx, descriptors, transport, desk).listen(config.console);
     }
@@ -294,8 +326,7 @@
         }
         drain.end(now(), counted - LAST_INTAKE_MS, elsewhere);
         followDrain();
-        vertx.setTimer(STILL_LISTEN_MS, t ->
-                wire.ledger().endWithin(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
+        vertx.setTimer(STILL_LISTEN_MS, t -> wire.ledger().endWithin(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
     }
 
     /** Has clients treated as the drain's phase says, now and whenever it changes by itself. */
@@ -311,7 +342,8 @@
             wire.takeTheLast();
             long until = now() + HALF_MS;
             vertx.setPeriodic(LOOK_MS, look -> {
-                if (wire.ledger().unanswered() == 0 && (now() >= until || wire.server().settled())) {
+                if (wire.ledger().unanswered() == 0
+                        && (now() >= until || wire.server().settled())) {
                     vertx.cancelTimer(look);
                     vertx.setTimer(FLUSH_MS, t -> drained.countDown());
                 }
@@ -321,7 +353,11 @@
 
     /** In milliseconds, over all classes. */
     private long longest(ToLongFunction<JobClass> micros) {
-        return config.settings.settings.classes().stream().mapToLong(micros).max().orElse(0) / 1000;
+        return config.settings.settings.classes().stream()
+                        .mapToLong(micros)
+                        .max()
+                        .orElse(0)
+                / 1000;
     }
 
     private static long now() {
--- a/src/main/java/saffronferry/lifecycle/OwnUse.java
+++ b/src/main/java/saffronferry/lifecycle/OwnUse.java
@@ -14,9 +14,9 @@
     private static final long TICK_MS = 10;
 
     /** Processor time since the start in milliseconds, and memory in bytes. */
-    record Use(long cpu, long resident) { }
+    record Use(long cpu, long resident) {}
 
-    private OwnUse() { }
+    private OwnUse() {}
 
     /** To be called on the event loop. A system that says nothing costs the figures alone. */
     static void keep(Vertx vertx, ControlSpend spend) {
@@ -30,8 +30,7 @@
 
     /** Reads files. */
     static Use read() throws IOException {
-        return read(Files.readString(Path.of("/proc/self/stat")),
-                Files.readString(Path.of("/proc/self/status")));
+        return read(Files.readString(Path.of("/proc/self/stat")), Files.readString(Path.of("/proc/self/status")));
     }
 
     /** Of the texts of {@code stat} and {@code status} as proc(5) has them. */
@@ -40,7 +39,10 @@
             // danger: the second field is the program's name, which may hold blanks and brackets
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             long ticks = Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
-            String kib = status.lines().filter(line -> line.startsWith("VmRSS:")).findFirst().orElseThrow()
+            String kib = status.lines()
+                    .filter(line -> line.startsWith("VmRSS:"))
+                    .findFirst()
+                    .orElseThrow()
                     .replaceAll("\\D", "");
             return new Use(ticks * TICK_MS, Long.parseLong(kib) * 1024);
         } catch (RuntimeException e) {
--- a/src/main/java/saffronferry/lifecycle/ProcessLimits.java
+++ b/src/main/java/saffronferry/lifecycle/ProcessLimits.java
@@ -10,7 +10,7 @@
     /** A JVM of ours holds fewer at its start. */
     private static final int OPEN_GUESS = 24;
 
-    private ProcessLimits() { }
+    private ProcessLimits() {}
 
     /** How many descriptors the system lets the process hold; the largest number if it does not say. */
     static int most() {
@@ -23,10 +23,13 @@
 
     /** The soft limit in the text of a {@code limits} file as proc(5) has it. */
     static int most(String limits) {
-        return limits.lines().filter(line -> line.startsWith("Max open files"))
+        return limits.lines()
+                .filter(line -> line.startsWith("Max open files"))
                 .map(line -> line.substring("Max open files".length()).trim().split("\\s+")[0])
-                .filter(soft -> soft.matches("\\d{1,9}")).mapToInt(Integer::parseInt)
-                .findFirst().orElse(Integer.MAX_VALUE);
+                .filter(soft -> soft.matches("\\d{1,9}"))
+                .mapToInt(Integer::parseInt)
+                .findFirst()
+                .orElse(Integer.MAX_VALUE);
     }
 
     /**
@@ -43,7 +46,8 @@
 
     /** Bit 0 of the mask of ignored signals in the text of a {@code status} file as proc(5) has it. */
     static boolean hangupIgnored(String status) {
-        return status.lines().filter(line -> line.matches("SigIgn:\\s*[0-9a-f]{1,16}"))
+        return status.lines()
+                .filter(line -> line.matches("SigIgn:\\s*[0-9a-f]{1,16}"))
                 .map(line -> line.substring(line.length() - 1))
                 .anyMatch(lowest -> (Integer.parseInt(lowest, 16) & 1) != 0);
     }
--- a/src/main/java/saffronferry/lifecycle/Serve.java
+++ b/src/main/java/saffronferry/lifecycle/Serve.java
@@ -9,7 +9,7 @@
 
 /** The program {@code serve}: a real dispatcher, from its configuration to its end. */
 public final class Serve {
-    private Serve() { }
+    private Serve() {}
 
     /** Starts it; the process ends with 1 where it cannot run, with 2 where the configuration is at fault. */
     public static void run() {
@@ -24,8 +24,10 @@
         LogProvider.install();
         if (ProcessLimits.hangupIgnored()) {
             // guards operators against a reload that nobody hears: it shows as an old list, and much later
-            log.line("SIGHUP is ignored", "as this process was started: no new configuration is followed;"
-                    + " start it by `env --default-signal=HUP`, as run in deploy/balancer.toml does");
+            log.line(
+                    "SIGHUP is ignored",
+                    "as this process was started: no new configuration is followed;"
+                            + " start it by `env --default-signal=HUP`, as run in deploy/balancer.toml does");
         }
         Node node;
         try {
@@ -38,17 +40,19 @@
         // halt: the drain that an exit starts would wait for the loop that hangs
         node.onUnable(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
         Thread drain = new Thread(node::awaitDrain, "drain");
-        node.start().onSuccess(v -> {
-            Runtime.getRuntime().addShutdownHook(drain);
-            serving.set(node);
-            if (missed.get()) {
-                // guards against a configuration that changed after we read it; not on the loop
-                new Thread(() -> reload(node), "reload").start();
-            }
-        }).onFailure(e -> {
-            System.err.println("saffronferry: cannot start: " + e.getMessage());
-            System.exit(1);
-        });
+        node.start()
+                .onSuccess(v -> {
+                    Runtime.getRuntime().addShutdownHook(drain);
+                    serving.set(node);
+                    if (missed.get()) {
+                        // guards against a configuration that changed after we read it; not on the loop
+                        new Thread(() -> reload(node), "reload").start();
+                    }
+                })
+                .onFailure(e -> {
+                    System.err.println("saffronferry: cannot start: " + e.getMessage());
+                    System.exit(1);
+                });
     }
 
     private static void reload(Node node) {
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -48,8 +48,13 @@
         names.addAll(config.settings.tenants);
         known.addAll(names);
         tenants = config.settings.settings.tenants();
-        gossip = new Gossip(new Gossip.Setup(config.settings.settings.self(), config.peers.size(),
-                config.agree.bytesPerS(), config.agree.secret(), config.settings.settings.seed()),
+        gossip = new Gossip(
+                new Gossip.Setup(
+                        config.settings.settings.self(),
+                        config.peers.size(),
+                        config.agree.bytesPerS(),
+                        config.agree.secret(),
+                        config.settings.settings.seed()),
                 new Gossip.Out() {
                     @Override
                     public void tell(int peer, byte[] bytes) {
@@ -61,7 +66,8 @@
                         said("setting in force", changes);
                         apply();
                     }
-                }, clock.now());
+                },
+                clock.now());
         state = gossip.agreement(clock.now()).state();
     }
 
@@ -85,11 +91,13 @@
         Agreement agreement = gossip.agreement(now);
         if (agreement.state() != state) {
             state = agreement.state();
-            log.line("settings", switch (state) {
-                case IN_TOUCH -> "agreed upon with another dispatcher, " + agreement.held() + " changes held";
-                case CATCHING_UP -> "catching up";
-                case ALONE -> "no other dispatcher is heard; of quotas the smaller holds where two are known";
-            });
+            log.line(
+                    "settings",
+                    switch (state) {
+                        case IN_TOUCH -> "agreed upon with another dispatcher, " + agreement.held() + " changes held";
+                        case CATCHING_UP -> "catching up";
+                        case ALONE -> "no other dispatcher is heard; of quotas the smaller holds where two are known";
+                    });
             apply();
         }
     }
@@ -112,8 +120,9 @@
 
     private void said(String title, List<Change> changes) {
         // one line: of many of a title in a second, the log writes the first
-        String all = changes.stream().limit(TOLD).map(c -> c.key() + " "
-                + (c.value() == null ? "removed" : c.value()) + " of dispatcher " + c.origin())
+        String all = changes.stream()
+                .limit(TOLD)
+                .map(c -> c.key() + " " + (c.value() == null ? "removed" : c.value()) + " of dispatcher " + c.origin())
                 .collect(Collectors.joining("; "));
         log.line(title, all + (changes.size() > TOLD ? "; and " + (changes.size() - TOLD) + " more" : ""));
     }
@@ -130,10 +139,12 @@
                 names.add(name);
             }
         }
-        List<Tenant> next = names.stream().map(name -> {
-            String value = all.get(new Key(Changeable.ALLOWANCE, name));
-            return new Tenant(name, value == null ? 0 : Double.parseDouble(value));
-        }).toList();
+        List<Tenant> next = names.stream()
+                .map(name -> {
+                    String value = all.get(new Key(Changeable.ALLOWANCE, name));
+                    return new Tenant(name, value == null ? 0 : Double.parseDouble(value));
+                })
+                .toList();
         if (!next.equals(tenants)) {
             tenants = next;
             wire.ledger().report(new News.AllowancesChanged(next));
@@ -151,22 +162,29 @@
 
     private List<More> figures() {
         Agreement a = gossip.agreement(clock.now());
-        return List.of(gauge("app_settings_state", "0 in touch, 1 catching up, 2 no other is heard.",
+        return List.of(
+                gauge(
+                        "app_settings_state",
+                        "0 in touch, 1 catching up, 2 no other is heard.",
                         a.state().ordinal()),
-                gauge("app_settings_held", "Changes of settings held, marks of removals among them.",
-                        a.held()),
+                gauge("app_settings_held", "Changes of settings held, marks of removals among them.", a.held()),
                 gauge("app_settings_marks", "Of these, marks of removals.", a.marks()),
                 gauge("app_settings_digest", "Equal where the same changes are held.", a.digest() >>> 32),
-                gauge("app_settings_newest_seconds", "The newest stamp held, in Unix time; 0 for none.",
+                gauge(
+                        "app_settings_newest_seconds",
+                        "The newest stamp held, in Unix time; 0 for none.",
                         a.newest() / 1e6),
-                gauge("app_settings_behind_seconds", "For how long another is known to hold something else.",
+                gauge(
+                        "app_settings_behind_seconds",
+                        "For how long another is known to hold something else.",
                         a.behind() / 1e6),
                 counter("app_settings_said_bytes", "Bytes of datagrams said of settings.", a.bytesOut()),
                 counter("app_settings_heard_bytes", "Bytes of such datagrams heard.", a.bytesIn()),
-                counter("app_settings_refused",
-                        "Changes not taken: faulty, ahead of the clock, too old or too many.", a.refused()),
-                counter("app_settings_dropped", "Datagrams forged, garbled, late or of another version.",
-                        a.dropped()));
+                counter(
+                        "app_settings_refused",
+                        "Changes not taken: faulty, ahead of the clock, too old or too many.",
+                        a.refused()),
+                counter("app_settings_dropped", "Datagrams forged, garbled, late or of another version.", a.dropped()));
     }
 
     private static More gauge(String name, String help, double value) {
--- a/src/main/java/saffronferry/lifecycle/Succession.java
+++ b/src/main/java/saffronferry/lifecycle/Succession.java
@@ -50,7 +50,8 @@
     /** Whether another process, alive now, came to serve after this one. */
     boolean replaced() {
         try {
-            long latest = Long.parseLong(Files.readString(folder.resolve(name + ".serving")).trim());
+            long latest = Long.parseLong(
+                    Files.readString(folder.resolve(name + ".serving")).trim());
             return latest != self && alive(latest);
         } catch (IOException | NumberFormatException e) {
             return false; // no mark that can be read: nobody is known to serve in our place
@@ -102,7 +103,7 @@
     }
 
     /** How many others live, and what they tell. */
-    record Company(int others, Beside told) { }
+    record Company(int others, Beside told) {}
 
     /** Tells the others, where there are any, what this process has to say, and hears them. */
     Company exchange(Beside own) throws IOException {
@@ -110,8 +111,8 @@
         if (others.isEmpty()) {
             return new Company(0, Beside.NOBODY);
         }
-        JSONObject json = new JSONObject().put("jobs", new JSONObject(own.jobs()))
-                .put("learned", new JSONArray(own.learned()));
+        JSONObject json =
+                new JSONObject().put("jobs", new JSONObject(own.jobs())).put("learned", new JSONArray(own.learned()));
         write(told(self), json.toString());
         Map<String, Integer> jobs = new HashMap<>();
         double[] learned = {};
--- a/src/main/java/saffronferry/lifecycle/Watchdog.java
+++ b/src/main/java/saffronferry/lifecycle/Watchdog.java
@@ -11,6 +11,7 @@
 final class Watchdog {
     /** The exit code of a process that ended itself since it could not serve: EX_SOFTWARE of sysexits.h. */
     static final int EXIT_UNABLE = 70;
+
     private static final long LOOK_MS = 1_000;
     /** No step on the loop takes more than some tens of milliseconds: so long is not slowness. */
     static final long GIVE_UP_MS = 10_000;
--- a/src/main/java/saffronferry/limit/AcceptGate.java
+++ b/src/main/java/saffronferry/limit/AcceptGate.java
@@ -10,6 +10,7 @@
 public final class AcceptGate {
     /** After the first failure, and at most. */
     static final long FIRST_PAUSE = 10;
+
     static final long LONGEST_PAUSE = 500;
 
     private final Descriptors descriptors;
--- a/src/main/java/saffronferry/limit/Descriptors.java
+++ b/src/main/java/saffronferry/limit/Descriptors.java
@@ -10,7 +10,13 @@
  */
 public final class Descriptors {
     /** What descriptors are for. Files and listening sockets are counted once, at the start. */
-    public enum Purpose { CLIENTS, WORKERS, PROBES, DISCOVERY, CONSOLE }
+    public enum Purpose {
+        CLIENTS,
+        WORKERS,
+        PROBES,
+        DISCOVERY,
+        CONSOLE
+    }
 
     /** Never given out: no crowd may bring the process nearer to its limit than this. */
     public static final int SPARE = 16;
@@ -20,6 +26,7 @@
      * The same for operators' calls: of those they are sure of, others must stay while a new one comes in.
      */
     public static final int TIGHT_CONSOLE = 2;
+
     private static final int DISCOVERY = 4;
     private static final int PROBES = 8;
     private static final int CONSOLE = 6;
--- a/src/main/java/saffronferry/log/LibraryLog.java
+++ b/src/main/java/saffronferry/log/LibraryLog.java
@@ -16,8 +16,8 @@
     }
 
     @Override
-    protected void handleNormalizedLoggingCall(Level level, Marker marker, String pattern, Object[] arguments,
-            Throwable thrown) {
+    protected void handleNormalizedLoggingCall(
+            Level level, Marker marker, String pattern, Object[] arguments, Throwable thrown) {
         String text = MessageFormatter.basicArrayFormat(pattern, arguments);
         log.line("library", thrown == null ? text : text + ": " + thrown);
     }
--- a/src/main/java/saffronferry/log/LogProvider.java
+++ b/src/main/java/saffronferry/log/LogProvider.java
@@ -19,8 +19,7 @@
     /** Leads Vert.x and Netty here; to be called before either is loaded. */
     public static void install() {
         System.setProperty("slf4j.provider", LogProvider.class.getName());
-        System.setProperty("vertx.logger-delegate-factory-class-name",
-                "io.vertx.core.logging.SLF4JLogDelegateFactory");
+        System.setProperty("vertx.logger-delegate-factory-class-name", "io.vertx.core.logging.SLF4JLogDelegateFactory");
     }
 
     @Override
@@ -44,5 +43,5 @@
     }
 
     @Override
-    public void initialize() { }
+    public void initialize() {}
 }
--- a/src/main/java/saffronferry/ops/Call.java
+++ b/src/main/java/saffronferry/ops/Call.java
@@ -6,7 +6,14 @@
 public record Call(Kind kind, String worker) {
     /** What is wanted; the last two are owed a no: 404 and 405. */
     public enum Kind {
-        READINESS, STATS, WORKER_DOWN, WORKER_UP, DRAIN_START, DRAIN_STOP, UNKNOWN, WRONG_METHOD
+        READINESS,
+        STATS,
+        WORKER_DOWN,
+        WORKER_UP,
+        DRAIN_START,
+        DRAIN_STOP,
+        UNKNOWN,
+        WRONG_METHOD
     }
 
     private static final String DOWN = "/ops/workers/down/";
--- a/src/main/java/saffronferry/ops/ControlSpend.java
+++ b/src/main/java/saffronferry/ops/ControlSpend.java
@@ -28,12 +28,13 @@
     /** Rates are told over about so long. */
     private static final long WINDOW = 60_000;
 
-    private record Sample(long at, long cpu, long bytes) { }
+    private record Sample(long at, long cpu, long bytes) {}
 
     private final long[] in = new long[Kind.values().length];
     private final long[] out = new long[Kind.values().length];
     /** The oldest is the first that is no more than the window old, and one before it. */
     private final ArrayDeque<Sample> samples = new ArrayDeque<>();
+
     private long resident;
 
     /** So many bytes have been read. */
@@ -83,13 +84,17 @@
         Sample first = samples.peekFirst();
         Sample last = samples.peekLast();
         double seconds = first == null ? 0 : (last.at - first.at) / 1e3;
-        gauge(text, "app_control_bytes_per_second",
+        gauge(
+                text,
+                "app_control_bytes_per_second",
                 "The same, all kinds and both ways, over the last minute.",
                 seconds > 0 ? (last.bytes - first.bytes) / seconds : 0);
-        Figures.head(text, "app_control_cpu_seconds", "counter",
-                "Processor time of the process, jobs included.");
+        Figures.head(text, "app_control_cpu_seconds", "counter", "Processor time of the process, jobs included.");
         line(text, "app_control_cpu_seconds", last == null ? 0 : last.cpu / 1e3);
-        gauge(text, "app_control_core_percent", "The same in percent of a core, over the last minute.",
+        gauge(
+                text,
+                "app_control_core_percent",
+                "The same in percent of a core, over the last minute.",
                 seconds > 0 ? (last.cpu - first.cpu) / 1e3 / seconds * 100 : 0);
         gauge(text, "app_control_resident_bytes", "Memory that the process holds.", resident);
         return text.toString();
@@ -101,7 +106,12 @@
     }
 
     private static void line(StringBuilder text, String name, double value) {
-        text.append(name).append(' ').append(value == Math.rint(value) ? Long.toString((long) value)
-                : String.format(Locale.ROOT, "%.3f", value)).append('\n');
+        text.append(name)
+                .append(' ')
+                .append(
+                        value == Math.rint(value)
+                                ? Long.toString((long) value)
+                                : String.format(Locale.ROOT, "%.3f", value))
+                .append('\n');
     }
 }
--- a/src/main/java/saffronferry/ops/Drain.java
+++ b/src/main/java/saffronferry/ops/Drain.java
@@ -73,8 +73,7 @@
     }
 
     public Phase phase(long now) {
-        Phase byCall = !called ? Phase.OPEN
-                : at(now, calledAt + TURNED, calledAt + EMPTIED);
+        Phase byCall = !called ? Phase.OPEN : at(now, calledAt + TURNED, calledAt + EMPTIED);
         Phase byEnd = ending ? at(now, leavesAt, emptyAt) : away ? Phase.LEAVING : Phase.OPEN;
         return byCall.compareTo(byEnd) > 0 ? byCall : byEnd;
     }
--- a/src/main/java/saffronferry/ops/Figures.java
+++ b/src/main/java/saffronferry/ops/Figures.java
@@ -13,7 +13,9 @@
 public final class Figures {
     /** How a job ended. One whose client has gone ended in none of these. */
     public enum Result {
-        OK("ok"), SHED("shed"), ERRORS("errors");
+        OK("ok"),
+        SHED("shed"),
+        ERRORS("errors");
 
         private final String label;
 
@@ -26,10 +28,10 @@
      * What holds at the moment of asking: open jobs, workers on the list, those of them that are avoided, and
      * further figures.
      */
-    public record Now(int active, int poolSize, int poolEjected, List<More> more) { }
+    public record Now(int active, int poolSize, int poolEjected, List<More> more) {}
 
     /** A figure with its name, type and help; {@code value} in the unit that the help names. */
-    public record More(String name, String type, String help, double value) { }
+    public record More(String name, String type, String help, double value) {}
 
     private final List<String> classes;
     private final long[][] responses;
@@ -80,22 +82,30 @@
         head(out, "app_responses", "counter", "Jobs served, refused (shed) and failed, by class.");
         for (int c = 0; c < classes.size(); c++) {
             for (Result r : Result.values()) {
-                out.append("app_responses{kind=\"").append(escaped(classes.get(c))).append("\",result=\"")
-                        .append(r.label).append("\"} ").append(responses[c][r.ordinal()]).append('\n');
+                out.append("app_responses{kind=\"")
+                        .append(escaped(classes.get(c)))
+                        .append("\",result=\"")
+                        .append(r.label)
+                        .append("\"} ")
+                        .append(responses[c][r.ordinal()])
+                        .append('\n');
             }
         }
         head(out, "app_tries", "counter", "Attempts written whole to workers, by class.");
         for (int c = 0; c < classes.size(); c++) {
-            out.append("app_tries{kind=\"").append(escaped(classes.get(c))).append("\"} ").append(tries[c])
+            out.append("app_tries{kind=\"")
+                    .append(escaped(classes.get(c)))
+                    .append("\"} ")
+                    .append(tries[c])
                     .append('\n');
         }
         gauge(out, "app_active", "Jobs taken and not yet ended.", now.active);
         gauge(out, "app_pool_size", "Workers on the list.", now.poolSize);
-        gauge(out, "app_pool_ejected", "Workers on the list that are avoided, by hand or by choice.",
-                now.poolEjected);
+        gauge(out, "app_pool_ejected", "Workers on the list that are avoided, by hand or by choice.", now.poolEjected);
         for (More m : Stream.concat(now.more.stream(), also.get().stream()).toList()) {
             head(out, m.name, m.type, m.help);
-            String value = m.value == Math.rint(m.value) ? Long.toString((long) m.value)
+            String value = m.value == Math.rint(m.value)
+                    ? Long.toString((long) m.value)
                     : String.format(Locale.ROOT, "%.3f", m.value);
             out.append(m.name).append(' ').append(value).append('\n');
         }
--- a/src/main/java/saffronferry/rig/ControlFigures.java
+++ b/src/main/java/saffronferry/rig/ControlFigures.java
@@ -7,7 +7,7 @@
 final class ControlFigures {
     private static final String PREFIX = "app_control_";
 
-    private ControlFigures() { }
+    private ControlFigures() {}
 
     /** Those that the console tells, by their names; none of a program that has none. */
     static Map<String, Object> of(String text) {
@@ -15,7 +15,8 @@
         for (String line : text.split("\n")) {
             int space = line.lastIndexOf(' ');
             if (line.startsWith(PREFIX) && space > 0) {
-                all.put("console_" + name(line.substring(PREFIX.length(), space)),
+                all.put(
+                        "console_" + name(line.substring(PREFIX.length(), space)),
                         Double.parseDouble(line.substring(space + 1)));
             }
         }
@@ -24,6 +25,8 @@
 
     /** {@code bytes{kind="list",way="in"}} is {@code bytes_list_in}. */
     private static String name(String figure) {
-        return figure.replaceAll("\\w+=\"(\\w+)\"", "$1").replaceAll("[{,]", "_").replace("}", "");
+        return figure.replaceAll("\\w+=\"(\\w+)\"", "$1")
+                .replaceAll("[{,]", "_")
+                .replace("}", "");
     }
 }
--- a/src/main/java/saffronferry/rig/DispatcherProcess.java
+++ b/src/main/java/saffronferry/rig/DispatcherProcess.java
@@ -12,13 +12,24 @@
 /** One dispatcher: its address, its configuration and, for each of its lives, its process. */
 final class DispatcherProcess {
     /** Small heaps: the processes of a rig share one machine. */
-    private static final List<String> JVM = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-            "-XX:CompileThresholdScaling=3", "-XX:-UsePerfData", "-Xshare:auto", "-Xms16m", "-Xmx48m",
-            "-Xss512k", "-XX:MaxMetaspaceSize=48m", "-XX:ReservedCodeCacheSize=24m",
+    private static final List<String> JVM = List.of(
+            "-XX:+UseSerialGC",
+            "-XX:TieredStopAtLevel=1",
+            "-XX:CompileThresholdScaling=3",
+            "-XX:-UsePerfData",
+            "-Xshare:auto",
+            "-Xms16m",
+            "-Xmx48m",
+            "-Xss512k",
+            "-XX:MaxMetaspaceSize=48m",
+            "-XX:ReservedCodeCacheSize=24m",
             "-XX:MaxDirectMemorySize=16m",
-            "-Dio.netty.allocator.numHeapArenas=1", "-Dio.netty.allocator.numDirectArenas=1",
-            "-Dio.netty.allocator.maxOrder=4", "-Dvertx.disableFileCPResolving=true",
-            "-Dvertx.disableFileCaching=true", "-Dvertx.disableDnsResolver=true",
+            "-Dio.netty.allocator.numHeapArenas=1",
+            "-Dio.netty.allocator.numDirectArenas=1",
+            "-Dio.netty.allocator.maxOrder=4",
+            "-Dvertx.disableFileCPResolving=true",
+            "-Dvertx.disableFileCaching=true",
+            "-Dvertx.disableDnsResolver=true",
             "-Djava.net.preferIPv4Stack=true");
 
     private static final File NOTHING = new File("/dev/null");
@@ -29,9 +40,11 @@
     final int peerPort;
     /** 0: operators cannot call it. */
     final int consolePort;
+
     private final Path folder;
     /** How a deployment starts it, for the shell; null: the program that this one is part of. */
     private final String run;
+
     private Process process;
     private int life = -1;
     private boolean stopped;
@@ -41,8 +54,7 @@
     }
 
     /** {@code run}: a deployment's line that ends in one process, as deploy/balancer.toml has it. */
-    DispatcherProcess(int number, String host, int port, int peerPort, int consolePort, Path folder,
-            String run) {
+    DispatcherProcess(int number, String host, int port, int peerPort, int consolePort, Path folder, String run) {
         this.run = run;
         this.number = number;
         this.host = host;
@@ -80,8 +92,12 @@
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(JVM);
-        command.addAll(List.of("-Djava.io.tmpdir=" + temporary, "-cp", System.getProperty("java.class.path"),
-                "saffronferry.cli.Main", "serve"));
+        command.addAll(List.of(
+                "-Djava.io.tmpdir=" + temporary,
+                "-cp",
+                System.getProperty("java.class.path"),
+                "saffronferry.cli.Main",
+                "serve"));
         return command;
     }
 
@@ -91,10 +107,13 @@
         stopped = false;
         Path temporary = Files.createDirectories(folder.resolve("tmp"));
         // guards against a descriptor for each life: a pipe to a process stays open after its end
-        ProcessBuilder builder = new ProcessBuilder(command(temporary)).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(command(temporary))
+                .redirectErrorStream(true)
                 .redirectInput(NOTHING)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
-        builder.environment().put("BALANCER_CONFIG", folder.resolve("config.json").toString());
+                .redirectOutput(
+                        ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
+        builder.environment()
+                .put("BALANCER_CONFIG", folder.resolve("config.json").toString());
         builder.environment().put("TMPDIR", temporary.toString());
         process = builder.start();
     }
@@ -111,8 +130,11 @@
     void signal(String name) throws IOException {
         if (alive()) {
             stopped = name.equals("STOP") || stopped && !name.equals("CONT");
-            new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid()).redirectInput(NOTHING)
-                    .redirectOutput(NOTHING).redirectError(NOTHING).start();
+            new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
+                    .redirectInput(NOTHING)
+                    .redirectOutput(NOTHING)
+                    .redirectError(NOTHING)
+                    .start();
         }
     }
 
--- a/src/main/java/saffronferry/rig/Faults.java
+++ b/src/main/java/saffronferry/rig/Faults.java
@@ -14,6 +14,7 @@
 final class Faults {
     /** How long new connections still come after SIGTERM, and until SIGKILL, as on the platform. */
     private static final long TERM_NEW_MS = 300;
+
     private static final long TERM_KILL_MS = 3_700;
     private static final long LOOK_UP_MS = 100;
 
@@ -38,7 +39,8 @@
 
     private List<StandInWorker> workers(Trouble t, SplittableRandom random) {
         List<StandInWorker> up = new ArrayList<>(rig.workers.values().stream()
-                .filter(w -> !w.down() && !w.draining()).toList());
+                .filter(w -> !w.down() && !w.draining())
+                .toList());
         int n = (int) Math.min(up.size(), Math.max(1, Math.round(t.part() * up.size())));
         for (int i = 0; i < n; i++) {
             Collections.swap(up, i, i + random.nextInt(up.size() - i));
@@ -59,15 +61,17 @@
     private void begin(Trouble t, SplittableRandom random) {
         long size = Math.round(t.size() * 1e6);
         switch (t.kind()) {
-            case "slow" -> workers(t, random).forEach(w -> {
-                w.slow(Math.max(1, t.size()));
-                after(t.length(), () -> w.slow(1));
-            });
-            case "crash" -> workers(t, random).forEach(w -> {
-                w.crash();
-                rig.listed(w, "DELETED", scenario.discovery().silentNotice());
-                replaced(w, 0);
-            });
+            case "slow" ->
+                workers(t, random).forEach(w -> {
+                    w.slow(Math.max(1, t.size()));
+                    after(t.length(), () -> w.slow(1));
+                });
+            case "crash" ->
+                workers(t, random).forEach(w -> {
+                    w.crash();
+                    rig.listed(w, "DELETED", scenario.discovery().silentNotice());
+                    replaced(w, 0);
+                });
             case "replace" -> workers(t, random).forEach(w -> replace(w, size));
             case "deploy" -> {
                 List<StandInWorker> all = workers(t, random);
@@ -76,30 +80,35 @@
                     after(t.length() / all.size() * i, () -> replace(w, size));
                 }
             }
-            case "stale_reports" -> workers(t, random).forEach(w -> {
-                w.silent(true);
-                after(t.length(), () -> w.silent(false));
-            });
-            case "discovery_outage" -> rig.discoveries.forEach(d -> {
-                d.outage(true);
-                after(t.length(), () -> d.outage(false));
-            });
-            case "list_withheld" -> dispatchers(t).forEach(d -> {
-                rig.discoveries.get(d.number).withhold(true);
-                after(t.length(), () -> rig.discoveries.get(d.number).withhold(false));
-            });
-            case "list_disorder" -> dispatchers(t).forEach(d -> {
-                rig.discoveries.get(d.number).disorder(size, random.split());
-                after(t.length(), () -> rig.discoveries.get(d.number).disorder(0, random.split()));
-            });
-            case "dispatcher_restart" -> spread(t, d -> {
-                end(d);
-                after(size, () -> start(d));
-            });
+            case "stale_reports" ->
+                workers(t, random).forEach(w -> {
+                    w.silent(true);
+                    after(t.length(), () -> w.silent(false));
+                });
+            case "discovery_outage" ->
+                rig.discoveries.forEach(d -> {
+                    d.outage(true);
+                    after(t.length(), () -> d.outage(false));
+                });
+            case "list_withheld" ->
+                dispatchers(t).forEach(d -> {
+                    rig.discoveries.get(d.number).withhold(true);
+                    after(t.length(), () -> rig.discoveries.get(d.number).withhold(false));
+                });
+            case "list_disorder" ->
+                dispatchers(t).forEach(d -> {
+                    rig.discoveries.get(d.number).disorder(size, random.split());
+                    after(t.length(), () -> rig.discoveries.get(d.number).disorder(0, random.split()));
+                });
+            case "dispatcher_restart" ->
+                spread(t, d -> {
+                    end(d);
+                    after(size, () -> start(d));
+                });
             case "dispatcher_term" -> spread(t, d -> term(d, size));
             case "dispatcher_stop" -> spread(t, d -> stop(d, size));
             case "dispatcher_hup" -> spread(t, d -> signal(d, "HUP"));
-            case "peer_cut" -> { } // PeerLinks looks at the clock itself
+            case "peer_cut" -> {} // PeerLinks looks at the clock itself
             default -> throw new IllegalStateException("trouble " + t.kind() + " is not played by the rig");
         }
     }
@@ -128,7 +137,8 @@
     }
 
     private void replaced(StandInWorker old, long after) {
-        rig.successor(old).onSuccess(w -> rig.listed(w, "SERVING", scenario.discovery().add() + after));
+        rig.successor(old)
+                .onSuccess(w -> rig.listed(w, "SERVING", scenario.discovery().add() + after));
     }
 
     private void end(DispatcherProcess d) {
--- a/src/main/java/saffronferry/rig/FleetUse.java
+++ b/src/main/java/saffronferry/rig/FleetUse.java
@@ -18,7 +18,7 @@
     private static final String COUNTED = "console_bytes_";
 
     /** One process at one look; {@code at} in nanoseconds. */
-    private record Look(long at, ProcessUse use, Map<String, Object> console) { }
+    private record Look(long at, ProcessUse use, Map<String, Object> console) {}
 
     private final List<DispatcherProcess> dispatchers;
     private final HttpClient client;
@@ -47,13 +47,15 @@
 
     private static JSONObject between(Look first, Look last) {
         double seconds = (last.at - first.at) / 1e9;
-        JSONObject figures = new JSONObject().put("seconds", rounded(seconds))
+        JSONObject figures = new JSONObject()
+                .put("seconds", rounded(seconds))
                 .put("core_percent", rounded(last.use.corePercent(first.use, seconds)))
                 .put("resident_mb", rounded(last.use.residentMb()))
                 .put("wake_ups_per_s", rounded(last.use.wakeUps(first.use) / seconds));
         last.console.forEach((name, value) -> {
             if (name.startsWith(COUNTED) && first.console.get(name) instanceof Double before) {
-                figures.put("bytes_per_s_" + name.substring(COUNTED.length()),
+                figures.put(
+                        "bytes_per_s_" + name.substring(COUNTED.length()),
                         rounded(((Double) value - before) / seconds));
             }
         });
@@ -72,7 +74,8 @@
         List<Future<Look>> all = new ArrayList<>();
         for (DispatcherProcess d : dispatchers) {
             all.add(client.request(HttpMethod.GET, d.consolePort, d.host, "/ops/stats")
-                    .compose(HttpClientRequest::send).compose(HttpClientResponse::body)
+                    .compose(HttpClientRequest::send)
+                    .compose(HttpClientResponse::body)
                     .compose(text -> look(d, text)));
         }
         return Future.all(all).map(done -> done.list());
@@ -80,8 +83,8 @@
 
     private static Future<Look> look(DispatcherProcess d, Buffer text) {
         try {
-            return Future.succeededFuture(new Look(System.nanoTime(), ProcessUse.of(d.process().pid()),
-                    ControlFigures.of(text.toString())));
+            return Future.succeededFuture(
+                    new Look(System.nanoTime(), ProcessUse.of(d.process().pid()), ControlFigures.of(text.toString())));
         } catch (IOException e) {
             return Future.failedFuture(e);
         }
--- a/src/main/java/saffronferry/rig/Front.java
+++ b/src/main/java/saffronferry/rig/Front.java
@@ -33,8 +33,14 @@
     private final double perSecond;
     private long sent;
 
-    Front(Vertx vertx, Scenario scenario, List<DispatcherProcess> dispatchers, Judge judge,
-            LongSupplier clock, double perSecond, SplittableRandom random) {
+    Front(
+            Vertx vertx,
+            Scenario scenario,
+            List<DispatcherProcess> dispatchers,
+            Judge judge,
+            LongSupplier clock,
+            double perSecond,
+            SplittableRandom random) {
         this.vertx = vertx;
         this.scenario = scenario;
         this.dispatchers = dispatchers;
@@ -44,7 +50,8 @@
         arrivals = random.split();
         spread = random.split();
         deadSince = new long[dispatchers.size()];
-        client = vertx.createHttpClient(new HttpClientOptions().setTcpNoDelay(true).setConnectTimeout(5_000),
+        client = vertx.createHttpClient(
+                new HttpClientOptions().setTcpNoDelay(true).setConnectTimeout(5_000),
                 new PoolOptions().setHttp1MaxSize(MOST_CONNECTIONS));
     }
 
@@ -87,38 +94,47 @@
 
     private double weight(DispatcherProcess d) {
         long dead = deadSince[d.number];
-        boolean noticed = dead > 0 && clock.getAsLong() - dead > scenario.network().frontNotice();
+        boolean noticed =
+                dead > 0 && clock.getAsLong() - dead > scenario.network().frontNotice();
         return noticed ? 0 : scenario.load().uneven().weight(d.number, dispatchers.size());
     }
 
     private void ask() {
-        int c = pick(scenario.classes().stream().mapToDouble(Scenario.RpcClass::share).toArray(),
-                arrivals.nextDouble());
-        int tenant = pick(scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray(),
+        int c = pick(
+                scenario.classes().stream()
+                        .mapToDouble(Scenario.RpcClass::share)
+                        .toArray(),
                 arrivals.nextDouble());
+        int tenant = pick(
+                scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray(), arrivals.nextDouble());
         Scenario.RpcClass spec = scenario.classes().get(c);
         double tail = spec.tail();
         double work = Math.max(1, spec.work() * Math.exp(tail * normal() - tail * tail / 2));
-        DispatcherProcess d = dispatchers.get(pick(dispatchers.stream().mapToDouble(this::weight).toArray(),
-                spread.nextDouble()));
+        DispatcherProcess d = dispatchers.get(
+                pick(dispatchers.stream().mapToDouble(this::weight).toArray(), spread.nextDouble()));
         long now = clock.getAsLong();
         String txn = "t" + ++sent;
         Judge.Request r = judge.asks(now, txn, c, work, d.number, d.life());
-        client.request(new RequestOptions().setMethod(HttpMethod.POST).setHost(d.host).setPort(d.port)
-                .setURI("/" + spec.name() + "?obj=" + Long.toHexString(sent)))
-                .onSuccess(q -> send(q, r, d, spec, scenario.tenants().get(tenant).name()))
+        client.request(new RequestOptions()
+                        .setMethod(HttpMethod.POST)
+                        .setHost(d.host)
+                        .setPort(d.port)
+                        .setURI("/" + spec.name() + "?obj=" + Long.toHexString(sent)))
+                .onSuccess(
+                        q -> send(q, r, d, spec, scenario.tenants().get(tenant).name()))
                 .onFailure(e -> judge.ended(clock.getAsLong(), r, Judge.End.UNREACHABLE));
     }
 
     private double normal() {
-        return Math.sqrt(-2 * Math.log(1 - arrivals.nextDouble()))
-                * Math.cos(2 * Math.PI * arrivals.nextDouble());
+        return Math.sqrt(-2 * Math.log(1 - arrivals.nextDouble())) * Math.cos(2 * Math.PI * arrivals.nextDouble());
     }
 
-    private void send(HttpClientRequest q, Judge.Request r, DispatcherProcess d, Scenario.RpcClass spec,
-            String tenant) {
+    private void send(
+            HttpClientRequest q, Judge.Request r, DispatcherProcess d, Scenario.RpcClass spec, String tenant) {
         int life = d.life();
-        q.putHeader("X-Txn", r.txn).putHeader("X-Lane", spec.name()).putHeader("X-Org", tenant)
+        q.putHeader("X-Txn", r.txn)
+                .putHeader("X-Lane", spec.name())
+                .putHeader("X-Org", tenant)
                 .putHeader("X-Remaining-Ms", Long.toString(spec.deadline() / 1000));
         if (spec.effect() == Effect.KEYED) {
             q.putHeader("Idempotency-Key", "k" + r.txn);
@@ -131,16 +147,26 @@
             }
         });
         q.exceptionHandler(e -> broken(r, d, life));
-        q.send(Buffer.buffer("work")).compose(answer -> answer.body().onSuccess(body -> {
-            int status = answer.statusCode();
-            judge.ended(clock.getAsLong(), r, status == 200 ? Judge.End.SERVED
-                    : status == 503 || status == 429 ? Judge.End.REFUSED : Judge.End.FAILED);
-        })).onFailure(e -> broken(r, d, life));
+        q.send(Buffer.buffer("work"))
+                .compose(answer -> answer.body().onSuccess(body -> {
+                    int status = answer.statusCode();
+                    judge.ended(
+                            clock.getAsLong(),
+                            r,
+                            status == 200
+                                    ? Judge.End.SERVED
+                                    : status == 503 || status == 429 ? Judge.End.REFUSED : Judge.End.FAILED);
+                }))
+                .onFailure(e -> broken(r, d, life));
     }
 
     /** A connection that broke is its process's end, or a request that the dispatcher has lost. */
     private void broken(Judge.Request r, DispatcherProcess d, int life) {
-        vertx.setTimer(20, t -> judge.ended(clock.getAsLong(), r, d.alive() && d.life() == life
-                ? Judge.End.NO_ANSWER : Judge.End.DIED_WITH_IT));
+        vertx.setTimer(
+                20,
+                t -> judge.ended(
+                        clock.getAsLong(),
+                        r,
+                        d.alive() && d.life() == life ? Judge.End.NO_ANSWER : Judge.End.DIED_WITH_IT));
     }
 }
--- a/src/main/java/saffronferry/rig/Guardian.java
+++ b/src/main/java/saffronferry/rig/Guardian.java
@@ -15,10 +15,14 @@
     private final OutputStream told;
 
     Guardian() throws IOException {
-        shell = new ProcessBuilder("sh", "-c",
-                "trap '' INT TERM; while read -r all; do last=$all; done; "
-                + "for p in $last; do kill -9 $p; done")
-                .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        shell = new ProcessBuilder(
+                        "sh",
+                        "-c",
+                        "trap '' INT TERM; while read -r all; do last=$all; done; "
+                                + "for p in $last; do kill -9 $p; done")
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .start();
         told = shell.getOutputStream();
     }
 
--- a/src/main/java/saffronferry/rig/IdleDispatcher.java
+++ b/src/main/java/saffronferry/rig/IdleDispatcher.java
@@ -36,7 +36,7 @@
      * @param changesPerS changes of the list a second: a worker drains, is gone, another comes, in turn
      * @param settle seconds between the dispatcher's yes to {@code /up} and the first look
      */
-    public record Options(String run, double changesPerS, double settle) { }
+    public record Options(String run, double changesPerS, double settle) {}
 
     private static final long START_MS = 90_000;
     private static final int CALL_MS = 10_000;
@@ -44,8 +44,8 @@
     private final Scenario scenario;
     private final Options options;
     private final SplittableRandom random;
-    private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-            .setInternalBlockingPoolSize(1));
+    private final Vertx vertx = Vertx.vertx(
+            new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
     private final String host = Rig.block() + "1";
     private final Path folder = Files.createTempDirectory("saffronferry-idle");
     private final Guardian guardian = new Guardian();
@@ -63,19 +63,30 @@
         this.scenario = scenario;
         this.options = options;
         random = new SplittableRandom(seed);
-        dispatcher = new DispatcherProcess(0, host, Rig.freePort(host), Rig.freePort(host),
-                Rig.freePort(host), folder, options.run());
-        discovery = new StandInDiscovery(vertx, 0, (d, update) -> { });
-        worker = new StandInWorker(vertx, IdleDispatcher::now, new StandInWorker.Watcher() {
-            @Override
-            public double arrived(StandInWorker at, String txn) {
-                return -1; // nobody sends jobs here
-            }
+        dispatcher = new DispatcherProcess(
+                0, host, Rig.freePort(host), Rig.freePort(host), Rig.freePort(host), folder, options.run());
+        discovery = new StandInDiscovery(vertx, 0, (d, update) -> {});
+        worker = new StandInWorker(
+                vertx,
+                IdleDispatcher::now,
+                new StandInWorker.Watcher() {
+                    @Override
+                    public double arrived(StandInWorker at, String txn) {
+                        return -1; // nobody sends jobs here
+                    }
 
-            @Override
-            public void left(StandInWorker at, String txn, String how) { }
-        }, "all", 0, 0, 0, scenario.kinds().get(0), 1, 0);
-        client = vertx.createHttpClient(new HttpClientOptions().setKeepAlive(false).setConnectTimeout(1_000));
+                    @Override
+                    public void left(StandInWorker at, String txn, String how) {}
+                },
+                "all",
+                0,
+                0,
+                0,
+                scenario.kinds().get(0),
+                1,
+                0);
+        client = vertx.createHttpClient(
+                new HttpClientOptions().setKeepAlive(false).setConnectTimeout(1_000));
     }
 
     private static long now() {
@@ -138,7 +149,8 @@
         Seen after = onLoop(this::seen);
         JSONObject figures = new JSONObject()
                 .put("core_percent", rounded(last.corePercent(first, seconds)))
-                .put("start_cpu_s", startSeconds).put("resident_mb", rounded(last.residentMb()))
+                .put("start_cpu_s", startSeconds)
+                .put("resident_mb", rounded(last.residentMb()))
                 .put("resident_peak_mb", rounded(last.peakMb()))
                 .put("wake_ups_per_s", rounded(last.wakeUps(first) / seconds))
                 .put("list_whole_bytes", after.whole)
@@ -146,17 +158,21 @@
                 .put("list_bytes_in_per_s", rounded((after.list - before.list) / seconds))
                 .put("list_changes", after.changes - before.changes)
                 .put("probes", after.probes - before.probes);
-        last.corePercentByThread(first, seconds).forEach((kind, percent) ->
-                figures.put("core_percent_" + kind, rounded(percent)));
+        last.corePercentByThread(first, seconds)
+                .forEach((kind, percent) -> figures.put("core_percent_" + kind, rounded(percent)));
         console().forEach(figures::put);
-        return new JSONObject().put("dispatchers", 1).put("workers", scenario.workers())
-                .put("zones", scenario.zones().size()).put("settled_s", options.settle())
-                .put("changes_per_s", options.changesPerS()).put("seconds", rounded(seconds))
+        return new JSONObject()
+                .put("dispatchers", 1)
+                .put("workers", scenario.workers())
+                .put("zones", scenario.zones().size())
+                .put("settled_s", options.settle())
+                .put("changes_per_s", options.changesPerS())
+                .put("seconds", rounded(seconds))
                 .put("figures", figures);
     }
 
     /** What the stand-ins have seen until now. */
-    private record Seen(long list, long whole, int changes, long probes) { }
+    private record Seen(long list, long whole, int changes, long probes) {}
 
     private Seen seen() {
         return new Seen(discovery.written(), discovery.whole().toString().length(), changes, worker.probes());
@@ -165,7 +181,9 @@
     /** The dispatcher's own figures of its control, as its console tells them. */
     private Map<String, Object> console() throws IOException, InterruptedException {
         String text = await(client.request(HttpMethod.GET, dispatcher.consolePort, host, "/ops/stats")
-                .compose(q -> q.send()).compose(a -> a.body())).toString();
+                        .compose(q -> q.send())
+                        .compose(a -> a.body()))
+                .toString();
         return ControlFigures.of(text);
     }
 
@@ -175,23 +193,32 @@
 
     private JSONObject config() throws IOException, InterruptedException {
         JSONObject whole = onLoop(discovery::whole);
-        return new JSONObject().put("name", "idle").put("listen", host + ":" + dispatcher.port)
-                .put("console", host + ":" + dispatcher.consolePort).put("discovery", discovery.address(host))
+        return new JSONObject()
+                .put("name", "idle")
+                .put("listen", host + ":" + dispatcher.port)
+                .put("console", host + ":" + dispatcher.consolePort)
+                .put("discovery", discovery.address(host))
                 .put("seed", Long.toHexString(random.nextLong()))
                 .put("limits", new JSONObject(Map.of("cores", 1.0, "memory_mb", 192, "sockets", 1024)))
                 .put("peer_listen", host + ":" + dispatcher.peerPort)
-                .put("peers", new JSONArray().put(host + ":" + dispatcher.peerPort)).put("known", whole)
+                .put("peers", new JSONArray().put(host + ":" + dispatcher.peerPort))
+                .put("known", whole)
                 .put("settings", Settings.of(scenario, 0, scenario.workers() / (scenario.meanWork() / 1e6)));
     }
 
     private void add(int number, long startedAt) {
         int zones = scenario.zones().size();
-        JSONObject entry = new JSONObject().put("id", "w" + number)
+        JSONObject entry = new JSONObject()
+                .put("id", "w" + number)
                 .put("host_port", host + ":" + worker.port())
                 .put("locality", scenario.zones().get(number % zones))
-                .put("flavor", scenario.kinds().get(number % scenario.kinds().size()).name())
+                .put(
+                        "flavor",
+                        scenario.kinds().get(number % scenario.kinds().size()).name())
                 .put("cell", number % zones * 1_000_000 + number / zones / scenario.cellSize())
-                .put("phase", "SERVING").put("size", 1.0).put("up_since_ms", startedAt);
+                .put("phase", "SERVING")
+                .put("size", 1.0)
+                .put("up_since_ms", startedAt);
         listed.add(entry);
         discovery.changed(entry);
     }
@@ -210,8 +237,10 @@
 
     private boolean up() throws InterruptedException {
         try {
-            return await(client.request(HttpMethod.GET, dispatcher.port, host, "/up").compose(q -> q.send()))
-                    .statusCode() == 200;
+            return await(client.request(HttpMethod.GET, dispatcher.port, host, "/up")
+                                    .compose(q -> q.send()))
+                            .statusCode()
+                    == 200;
         } catch (IOException e) {
             return false; // it does not listen yet
         }
--- a/src/main/java/saffronferry/rig/Judge.java
+++ b/src/main/java/saffronferry/rig/Judge.java
@@ -55,9 +55,16 @@
     }
 
     /** How a request ended for its client. */
-    enum End { SERVED, REFUSED, FAILED, UNREACHABLE, DIED_WITH_IT, NO_ANSWER }
+    enum End {
+        SERVED,
+        REFUSED,
+        FAILED,
+        UNREACHABLE,
+        DIED_WITH_IT,
+        NO_ANSWER
+    }
 
-    private record Arrival(long at, double work) { }
+    private record Arrival(long at, double work) {}
 
     /** What reached a cold worker, and what it made of it. */
     private static final class Cold {
@@ -84,7 +91,7 @@
     private final int[] ends = new int[End.values().length];
     private final Map<String, StandInWorker> workers;
     private final LongSupplier clock;
-    private Faller faller = w -> { };
+    private Faller faller = w -> {};
     private long start;
     private long refusedAt = Long.MIN_VALUE / 2;
     private int asked;
@@ -101,8 +108,13 @@
         this.scenario = scenario;
         this.workers = workers;
         this.clock = clock;
-        checker = new RuleChecker(scenario.with(new Scenario.Rules(Math.max(r.slack(), MACHINE_SLACK),
-                r.drain() + MACHINE_SLACK, r.fallMultiple(), r.fall(), r.mostTries(), r.maxRetryAfter())));
+        checker = new RuleChecker(scenario.with(new Scenario.Rules(
+                Math.max(r.slack(), MACHINE_SLACK),
+                r.drain() + MACHINE_SLACK,
+                r.fallMultiple(),
+                r.fall(),
+                r.mostTries(),
+                r.maxRetryAfter())));
     }
 
     /** The load begins. */
@@ -119,8 +131,7 @@
 
     /** A client is about to send; the request is the dispatcher's once it is written. */
     Request asks(long now, String txn, int rpcClass, double work, int dispatcher, int life) {
-        Request r = new Request(txn, rpcClass, work, dispatcher,
-                new RuleChecker.Id(dispatcher, life, asked), now);
+        Request r = new Request(txn, rpcClass, work, dispatcher, new RuleChecker.Id(dispatcher, life, asked), now);
         open.put(txn, r);
         asked++;
         worthAsked += scenario.classes().get(rpcClass).worth();
@@ -131,7 +142,8 @@
     /** {@code stopped}: its dispatcher's process stands still. */
     void written(long now, Request r, boolean stopped) {
         r.excused = stopped;
-        checker.taken(now, r.id, r.rpcClass, now + scenario.classes().get(r.rpcClass).deadline());
+        checker.taken(
+                now, r.id, r.rpcClass, now + scenario.classes().get(r.rpcClass).deadline());
     }
 
     private int[] second(long at) {
@@ -171,7 +183,7 @@
             case SERVED -> checker.answered(now, r.id, "served", false);
             case REFUSED -> checker.answered(now, r.id, "refused", true);
             case FAILED -> checker.answered(now, r.id, "failed", false);
-            case NO_ANSWER -> { } // its time and slack are over: due() says what that means
+            case NO_ANSWER -> {} // its time and slack are over: due() says what that means
             default -> checker.left(r.id);
         }
         checker.due(now, r.id);
@@ -199,11 +211,15 @@
             JSONObject entry = (JSONObject) o;
             String id = entry.getString("id");
             named.add(id);
-            checker.told(now, dispatcher, id, switch (entry.getString("phase")) {
-                case "SERVING" -> WorkerState.IN_SERVICE;
-                case "DRAINING" -> WorkerState.DRAINING;
-                default -> WorkerState.GONE;
-            });
+            checker.told(
+                    now,
+                    dispatcher,
+                    id,
+                    switch (entry.getString("phase")) {
+                        case "SERVING" -> WorkerState.IN_SERVICE;
+                        case "DRAINING" -> WorkerState.DRAINING;
+                        default -> WorkerState.GONE;
+                    });
             if (entry.getLong("up_since_ms") > 0) {
                 startsTold.computeIfAbsent(dispatcher, d -> new HashSet<>()).add(id);
             }
@@ -262,17 +278,21 @@
         }
         r.atWorkers--;
         r.nowhereSince = r.atWorkers == 0 ? clock.getAsLong() : r.nowhereSince;
-        checker.ended(clock.getAsLong(), r.id, r.tries.lastIndexOf(at), switch (how) {
-            case "served" -> Outcome.OK;
-            case "full" -> Outcome.FULL;
-            default -> Outcome.RESET;
-        });
+        checker.ended(
+                clock.getAsLong(),
+                r.id,
+                r.tries.lastIndexOf(at),
+                switch (how) {
+                    case "served" -> Outcome.OK;
+                    case "full" -> Outcome.FULL;
+                    default -> Outcome.RESET;
+                });
     }
 
     /** To be called often while the load lasts: what cold workers did meanwhile, and whether jobs waited. */
     void look(long now) {
-        boolean waiting = now - refusedAt < ON_ITS_WAY || open.values().stream()
-                .anyMatch(r -> r.atWorkers == 0 && now - r.nowhereSince > ON_ITS_WAY);
+        boolean waiting = now - refusedAt < ON_ITS_WAY
+                || open.values().stream().anyMatch(r -> r.atWorkers == 0 && now - r.nowhereSince > ON_ITS_WAY);
         for (StandInWorker w : workers.values()) {
             if (w.startedAt == 0 || w.down() || w.draining() || !w.model.cold(now)) {
                 continue;
@@ -294,7 +314,7 @@
     }
 
     /** A bound, what was seen, and whether that keeps it. */
-    private record Bound(String name, double bound, double seen, boolean held) { }
+    private record Bound(String name, double bound, double seen, boolean held) {}
 
     /** All that was seen; {@code held} says whether every rule and bound held. */
     JSONObject verdict() {
@@ -316,8 +336,10 @@
                 used += part;
                 least = Math.min(least, part);
             }
-            coldOnes.put(new JSONObject().put("worker", e.getKey().id)
-                    .put("multiple", share(c.multiple, 1)).put("used", share(c.all[0], c.all[1]))
+            coldOnes.put(new JSONObject()
+                    .put("worker", e.getKey().id)
+                    .put("multiple", share(c.multiple, 1))
+                    .put("used", share(c.all[0], c.all[1]))
                     .put("used_while_jobs_wait", part)
                     .put("fell", c.fell));
         }
@@ -333,23 +355,37 @@
                 new Bound("rules_broken", 0, checker.count(), checker.count() == 0),
                 new Bound("invented_jobs", 0, invented, invented == 0));
         JSONArray told = new JSONArray();
-        bounds.forEach(x -> told.put(new JSONObject().put("bound", x.name).put("limit", x.bound)
-                .put("seen", x.seen).put("held", x.held)));
+        bounds.forEach(x -> told.put(new JSONObject()
+                .put("bound", x.name)
+                .put("limit", x.bound)
+                .put("seen", x.seen)
+                .put("held", x.held)));
         JSONArray broken = new JSONArray();
-        checker.broken().forEach(x -> broken.put(new JSONObject().put("rule", x.rule())
-                .put("at_s", (x.at() - start) / 1e6).put("dispatcher", x.dispatcher()).put("what", x.what())
-                .put("story", new JSONArray(x.story()))));
-        JSONObject result = new JSONObject().put("requests", asked).put("attempts", attempts)
-                .put("copies", copies).put("in_time", inTime)
+        checker.broken()
+                .forEach(x -> broken.put(new JSONObject()
+                        .put("rule", x.rule())
+                        .put("at_s", (x.at() - start) / 1e6)
+                        .put("dispatcher", x.dispatcher())
+                        .put("what", x.what())
+                        .put("story", new JSONArray(x.story()))));
+        JSONObject result = new JSONObject()
+                .put("requests", asked)
+                .put("attempts", attempts)
+                .put("copies", copies)
+                .put("in_time", inTime)
                 .put("worth_served", share(worthServed, worthAsked));
         for (End end : End.values()) {
             result.put(end.name().toLowerCase(Locale.ROOT), ends[end.ordinal()]);
         }
         JSONArray bySecond = new JSONArray();
         seconds.forEach(s -> bySecond.put(new JSONArray(s)));
-        return result.put("cold_workers", coldOnes).put("cold_used_mean", share(mean, 1))
-                .put("cold_multiple", share(most, 1)).put("judged", checker.judged()).put("bounds", told)
-                .put("broken", broken).put("rules_broken", checker.count())
+        return result.put("cold_workers", coldOnes)
+                .put("cold_used_mean", share(mean, 1))
+                .put("cold_multiple", share(most, 1))
+                .put("judged", checker.judged())
+                .put("bounds", told)
+                .put("broken", broken)
+                .put("rules_broken", checker.count())
                 .put("asked_served_refused_by_second", bySecond)
                 .put("held", bounds.stream().allMatch(Bound::held));
     }
--- a/src/main/java/saffronferry/rig/Relay.java
+++ b/src/main/java/saffronferry/rig/Relay.java
@@ -23,6 +23,7 @@
     private final SplittableRandom random;
     /** At [a][b]: where a sends what is for b, and where what b says comes from at a. */
     private final DatagramSocket[][] sockets;
+
     private final String[] hosts;
     private final int[] ports;
     private PeerLinks links;
@@ -50,7 +51,7 @@
                     int from = a;
                     int to = b;
                     sockets[a][b] = vertx.createDatagramSocket(new DatagramSocketOptions());
-                    sockets[a][b].exceptionHandler(e -> { });
+                    sockets[a][b].exceptionHandler(e -> {});
                     sockets[a][b].handler(packet -> carry(from, to, packet));
                     all.add(sockets[a][b].listen(0, host));
                 }
@@ -80,8 +81,7 @@
         datagrams++;
         bytes += data.length();
         tooLong += data.length() > 256 ? 1 : 0;
-        List<Long> copies = links == null ? List.of(0L)
-                : links.copies(clock.getAsLong(), from, to, random::nextDouble);
+        List<Long> copies = links == null ? List.of(0L) : links.copies(clock.getAsLong(), from, to, random::nextDouble);
         for (long late : copies) {
             if (late < 1000) {
                 deliver(from, to, data);
--- a/src/main/java/saffronferry/rig/Rig.java
+++ b/src/main/java/saffronferry/rig/Rig.java
@@ -38,6 +38,7 @@
 public final class Rig {
     /** So long a fleet may take until each of it serves, on a machine that is busy. */
     private static final long START_MS = 90_000;
+
     private static final long LOOK_MS = 50;
     private static final long SETTLE_MS = 2_000;
 
@@ -69,14 +70,14 @@
      * @param run a deployment's line that starts a dispatcher; null: the program that this one is part of
      * @param settle seconds from the start of the day to the first look
      */
-    public record Measured(String run, double settle) { }
+    public record Measured(String run, double settle) {}
 
     private Rig(Scenario scenario, long seed, Measured measured) throws IOException {
         this.scenario = scenario;
         this.measured = measured;
         random = new SplittableRandom(seed);
-        vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                .setInternalBlockingPoolSize(1));
+        vertx = Vertx.vertx(
+                new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
         context = vertx.getOrCreateContext();
         folder = Files.createTempDirectory("saffronferry-rig");
         guardian = new Guardian();
@@ -86,17 +87,25 @@
         for (int i = 0; i < scenario.dispatchers(); i++) {
             String host = block + (i + 1);
             Path own = Files.createDirectory(folder.resolve("dispatcher-" + i));
-            dispatchers.add(measured == null
-                    ? new DispatcherProcess(i, host, freePort(host), freePort(host), own)
-                    : new DispatcherProcess(i, host, freePort(host), freePort(host), freePort(host), own,
-                    measured.run()));
+            dispatchers.add(
+                    measured == null
+                            ? new DispatcherProcess(i, host, freePort(host), freePort(host), own)
+                            : new DispatcherProcess(
+                                    i, host, freePort(host), freePort(host), freePort(host), own, measured.run()));
             discoveries.add(new StandInDiscovery(vertx, i, judge));
         }
         makeWorkers();
         capacity = workers.values().stream().mapToDouble(w -> w.model.full()).sum();
-        front = new Front(vertx, scenario, dispatchers, judge, this::now,
-                capacity * scenario.load().share() / (scenario.meanWork() / 1e6), random.split());
-        prober = vertx.createHttpClient(new HttpClientOptions().setKeepAlive(false).setConnectTimeout(1_000));
+        front = new Front(
+                vertx,
+                scenario,
+                dispatchers,
+                judge,
+                this::now,
+                capacity * scenario.load().share() / (scenario.meanWork() / 1e6),
+                random.split());
+        prober = vertx.createHttpClient(
+                new HttpClientOptions().setKeepAlive(false).setConnectTimeout(1_000));
         use = new FleetUse(dispatchers, prober);
     }
 
@@ -141,8 +150,7 @@
     private StandInWorker worker(String id, int zone, int kind, int cell, long startedAt) {
         Kind k = scenario.kinds().get(kind);
         double speed = k.speed() * (1 + k.speedCv() * Math.sqrt(3) * (2 * random.nextDouble() - 1));
-        StandInWorker w = new StandInWorker(vertx, this::now, judge, id, zone, kind, cell, k, speed,
-                startedAt);
+        StandInWorker w = new StandInWorker(vertx, this::now, judge, id, zone, kind, cell, k, speed, startedAt);
         workers.put(id, w);
         return w;
     }
@@ -154,10 +162,15 @@
     }
 
     JSONObject entry(StandInWorker w, String phase) {
-        return new JSONObject().put("id", w.id).put("host_port", side() + ":" + w.port())
+        return new JSONObject()
+                .put("id", w.id)
+                .put("host_port", side() + ":" + w.port())
                 .put("locality", scenario.zones().get(w.zone))
-                .put("flavor", scenario.kinds().get(w.kindIndex).name()).put("cell", w.cell)
-                .put("phase", phase).put("size", 1.0).put("up_since_ms", w.startedAt / 1000);
+                .put("flavor", scenario.kinds().get(w.kindIndex).name())
+                .put("cell", w.cell)
+                .put("phase", phase)
+                .put("size", 1.0)
+                .put("up_since_ms", w.startedAt / 1000);
     }
 
     /** Discovery learns of a worker's state after so many microseconds. */
@@ -185,9 +198,20 @@
         Thread hook = new Thread(rig::closeQuietly);
         Runtime.getRuntime().addShutdownHook(hook);
         try {
-            return rig.run().put("scenario", scenario.name()).put("seed", seed).put("drawn",
-                    new JSONArray(rig.scenario.troubles().subList(scenario.troubles().size(),
-                            rig.scenario.troubles().size()).stream().map(Object::toString).toList()));
+            return rig.run()
+                    .put("scenario", scenario.name())
+                    .put("seed", seed)
+                    .put(
+                            "drawn",
+                            new JSONArray(rig
+                                    .scenario
+                                    .troubles()
+                                    .subList(
+                                            scenario.troubles().size(),
+                                            rig.scenario.troubles().size())
+                                    .stream()
+                                    .map(Object::toString)
+                                    .toList()));
         } finally {
             rig.close(keepLogs);
             Runtime.getRuntime().removeShutdownHook(hook);
@@ -211,17 +235,21 @@
     }
 
     private JSONObject run() throws IOException, InterruptedException {
-        await(onLoop(() -> {
-            List<Future<?>> all = new ArrayList<>();
-            workers.values().forEach(w -> all.add(w.listen(side())));
-            discoveries.forEach(d -> all.add(d.listen(side())));
-            all.add(relay.open(side()));
-            return Future.all(all);
-        }), 10_000);
-        await(onLoop(() -> {
-            workers.values().forEach(w -> discoveries.forEach(d -> d.changed(entry(w, "SERVING"))));
-            return Future.succeededFuture();
-        }), 10_000);
+        await(
+                onLoop(() -> {
+                    List<Future<?>> all = new ArrayList<>();
+                    workers.values().forEach(w -> all.add(w.listen(side())));
+                    discoveries.forEach(d -> all.add(d.listen(side())));
+                    all.add(relay.open(side()));
+                    return Future.all(all);
+                }),
+                10_000);
+        await(
+                onLoop(() -> {
+                    workers.values().forEach(w -> discoveries.forEach(d -> d.changed(entry(w, "SERVING"))));
+                    return Future.succeededFuture();
+                }),
+                10_000);
         for (DispatcherProcess d : dispatchers) {
             relay.at(d.number, d.host, d.peerPort);
             launch(d);
@@ -245,8 +273,10 @@
         d.configure(config(d));
         judge.told(d.number, discoveries.get(d.number).whole());
         d.start();
-        guardian.alive(dispatchers.stream().filter(DispatcherProcess::alive)
-                .map(DispatcherProcess::process).toList());
+        guardian.alive(dispatchers.stream()
+                .filter(DispatcherProcess::alive)
+                .map(DispatcherProcess::process)
+                .toList());
     }
 
     /** The configuration of a dispatcher's next life. */
@@ -259,19 +289,23 @@
         if (d.consolePort > 0) {
             config.put("console", d.host + ":" + d.consolePort);
         }
-        return config.put("name", "n" + d.number).put("listen", d.host + ":" + d.port)
+        return config.put("name", "n" + d.number)
+                .put("listen", d.host + ":" + d.port)
                 .put("discovery", discoveries.get(d.number).address(side()))
                 .put("seed", Long.toHexString(random.nextLong()))
                 .put("limits", new JSONObject(Map.of("cores", 1.0, "memory_mb", 192, "sockets", 1024)))
-                .put("peer_listen", d.host + ":" + d.peerPort).put("peers", peers)
+                .put("peer_listen", d.host + ":" + d.peerPort)
+                .put("peers", peers)
                 .put("known", discoveries.get(d.number).whole())
                 .put("settings", Settings.of(scenario, d.number, capacity / (scenario.meanWork() / 1e6)));
     }
 
     /** Whether it answers that it serves. */
     Future<Boolean> up(DispatcherProcess d) {
-        return prober.request(HttpMethod.GET, d.port, d.host, "/up").compose(q -> q.send())
-                .map(answer -> answer.statusCode() == 200).otherwise(false);
+        return prober.request(HttpMethod.GET, d.port, d.host, "/up")
+                .compose(q -> q.send())
+                .map(answer -> answer.statusCode() == 200)
+                .otherwise(false);
     }
 
     private void day(Promise<JSONObject> over) {
@@ -284,19 +318,25 @@
         new Faults(this, front).plan();
         front.load(start + scenario.length());
         if (measured != null) {
-            vertx.setTimer(Math.max(1, Math.round(measured.settle() * 1000)), t ->
-                    use.begin().onFailure(over::tryFail));
-            vertx.setTimer(scenario.length() / 1000, t -> use.end().onSuccess(each -> processes = each)
-                    .onFailure(over::tryFail));
+            vertx.setTimer(
+                    Math.max(1, Math.round(measured.settle() * 1000)),
+                    t -> use.begin().onFailure(over::tryFail));
+            vertx.setTimer(
+                    scenario.length() / 1000,
+                    t -> use.end().onSuccess(each -> processes = each).onFailure(over::tryFail));
         }
         vertx.setPeriodic(LOOK_MS, t -> {
             judge.look(now());
-            if (now() > start + scenario.length() && judge.unanswered() == 0
+            if (now() > start + scenario.length()
+                    && judge.unanswered() == 0
                     && (measured == null || processes != null)) {
                 vertx.cancelTimer(t);
-                over.tryComplete(judge.verdict().put("dispatchers", dispatchers.size())
-                        .put("workers", scenario.workers()).put("datagrams", relay.datagrams)
-                        .put("datagram_bytes", relay.bytes).put("datagrams_too_long", relay.tooLong)
+                over.tryComplete(judge.verdict()
+                        .put("dispatchers", dispatchers.size())
+                        .put("workers", scenario.workers())
+                        .put("datagrams", relay.datagrams)
+                        .put("datagram_bytes", relay.bytes)
+                        .put("datagrams_too_long", relay.tooLong)
                         .putOpt("processes", processes));
             }
         });
--- a/src/main/java/saffronferry/rig/Settings.java
+++ b/src/main/java/saffronferry/rig/Settings.java
@@ -8,7 +8,7 @@
 
 /** A scenario as the configuration of real dispatchers. */
 final class Settings {
-    private Settings() { }
+    private Settings() {}
 
     private static double seconds(long micros) {
         return micros / 1e6;
@@ -26,46 +26,87 @@
                 case KEYED -> "by_key";
                 default -> "once";
             };
-            profiles.put(new JSONObject().put("name", c.name()).put("deadline", seconds(c.deadline()))
-                    .put("target", seconds(c.aim())).put("points", c.worth()).put("lateValue", c.lateWorth())
-                    .put("idempotency", effect).put("group", c.group().name().toLowerCase(Locale.ROOT))
-                    .put("keyTtl", seconds(c.keyTtl())).put("stream", false));
+            profiles.put(new JSONObject()
+                    .put("name", c.name())
+                    .put("deadline", seconds(c.deadline()))
+                    .put("target", seconds(c.aim()))
+                    .put("points", c.worth())
+                    .put("lateValue", c.lateWorth())
+                    .put("idempotency", effect)
+                    .put("group", c.group().name().toLowerCase(Locale.ROOT))
+                    .put("keyTtl", seconds(c.keyTtl()))
+                    .put("stream", false));
             stretch.put(c.stretch());
             none.put(-1);
         }
         s.kinds().forEach(k -> kinds.put(k.name()));
         double shares = s.tenants().stream().mapToDouble(Scenario.Tenant::share).sum();
         JSONArray realms = new JSONArray();
-        s.tenants().forEach(t -> realms.put(new JSONObject().put("name", t.name())
-                .put("share", t.share() / shares).put("allowancePerS", perSecond
-                * (t.entitled() > 0 ? t.entitled() : t.share() / shares))));
-        double cold = s.kinds().stream().mapToDouble(k -> seconds(k.cold())).max().orElse(0);
-        double from = s.kinds().stream().mapToDouble(Scenario.Kind::coldFrom).min().orElse(1);
+        s.tenants()
+                .forEach(t -> realms.put(new JSONObject()
+                        .put("name", t.name())
+                        .put("share", t.share() / shares)
+                        .put("allowancePerS", perSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares))));
+        double cold =
+                s.kinds().stream().mapToDouble(k -> seconds(k.cold())).max().orElse(0);
+        double from =
+                s.kinds().stream().mapToDouble(Scenario.Kind::coldFrom).min().orElse(1);
         return new JSONObject()
                 .put("clients", new JSONObject(Map.of("marksRetry", false)))
-                .put("deductions", new JSONObject().put("peer", s.prices().peer())
-                        .put("probe", s.prices().probe()))
-                .put("familyInfo", new JSONObject().put("classKind", none).put("classStretch", stretch)
-                        .put("notes", "1 it has started, 2 share done").put("progress", 0.0)
-                        .put("queueOrder", "fifo").put("reportX0", "free slots")
-                        .put("reportX1", "free memory")
-                        .put("tellsStart", true))
+                .put(
+                        "deductions",
+                        new JSONObject()
+                                .put("peer", s.prices().peer())
+                                .put("probe", s.prices().probe()))
+                .put(
+                        "familyInfo",
+                        new JSONObject()
+                                .put("classKind", none)
+                                .put("classStretch", stretch)
+                                .put("notes", "1 it has started, 2 share done")
+                                .put("progress", 0.0)
+                                .put("queueOrder", "fifo")
+                                .put("reportX0", "free slots")
+                                .put("reportX1", "free memory")
+                                .put("tellsStart", true))
                 .put("kinds", kinds)
-                .put("limits", new JSONObject().put("cancel", true).put("connIdle", 60.0)
-                        .put("connectTimeout", seconds(s.network().connectTimeout()))
-                        .put("maxRetryAfter", seconds(s.rules().maxRetryAfter()))
-                        .put("mostTries", s.rules().mostTries()).put("parallelTries", true)
-                        .put("peers", true).put("probes", true).put("retryAfter", true)
-                        .put("streamsPerConn", 1))
-                .put("overShareWorth", s.prices().overShare()).put("peersTotal", s.dispatchers())
-                .put("profiles", profiles).put("realms", realms).put("registryMode", "ask")
-                .put("report", new JSONObject().put("fields", new JSONArray("[tps,load_share,x0,x1]"))
-                        .put("how", s.reports().on() ? "on_probe" : "off"))
-                .put("rules", new JSONObject().put("answerSlack", 0.02).put("askWithin", 10.0)
-                        .put("cold", cold).put("coldShare", from).put("fall", seconds(s.rules().fall()))
-                        .put("fallMultiple", s.rules().fallMultiple())
-                        .put("stopSendingWithin", seconds(s.rules().drain())))
-                .put("slotNo", number).put("weights", "off").put("workload", "jobs")
-                .put("zone", s.zones().get(number % s.zones().size())).put("zones", new JSONArray(s.zones()));
+                .put(
+                        "limits",
+                        new JSONObject()
+                                .put("cancel", true)
+                                .put("connIdle", 60.0)
+                                .put("connectTimeout", seconds(s.network().connectTimeout()))
+                                .put("maxRetryAfter", seconds(s.rules().maxRetryAfter()))
+                                .put("mostTries", s.rules().mostTries())
+                                .put("parallelTries", true)
+                                .put("peers", true)
+                                .put("probes", true)
+                                .put("retryAfter", true)
+                                .put("streamsPerConn", 1))
+                .put("overShareWorth", s.prices().overShare())
+                .put("peersTotal", s.dispatchers())
+                .put("profiles", profiles)
+                .put("realms", realms)
+                .put("registryMode", "ask")
+                .put(
+                        "report",
+                        new JSONObject()
+                                .put("fields", new JSONArray("[tps,load_share,x0,x1]"))
+                                .put("how", s.reports().on() ? "on_probe" : "off"))
+                .put(
+                        "rules",
+                        new JSONObject()
+                                .put("answerSlack", 0.02)
+                                .put("askWithin", 10.0)
+                                .put("cold", cold)
+                                .put("coldShare", from)
+                                .put("fall", seconds(s.rules().fall()))
+                                .put("fallMultiple", s.rules().fallMultiple())
+                                .put("stopSendingWithin", seconds(s.rules().drain())))
+                .put("slotNo", number)
+                .put("weights", "off")
+                .put("workload", "jobs")
+                .put("zone", s.zones().get(number % s.zones().size()))
+                .put("zones", new JSONArray(s.zones()));
     }
 }
--- a/src/main/java/saffronferry/rig/StandInDiscovery.java
+++ b/src/main/java/saffronferry/rig/StandInDiscovery.java
@@ -125,13 +125,18 @@
         changes.clear();
         revision++;
         if (watch != null) {
-            tell(new JSONObject().put("revision", revision).put("complete", false).put("members", members));
+            tell(new JSONObject()
+                    .put("revision", revision)
+                    .put("complete", false)
+                    .put("members", members));
         }
     }
 
     /** The whole list as this dispatcher would be told it. */
     JSONObject whole() {
-        return new JSONObject().put("revision", revision).put("complete", true)
+        return new JSONObject()
+                .put("revision", revision)
+                .put("complete", true)
                 .put("members", new JSONArray(list.values()));
     }
 
@@ -141,7 +146,7 @@
     }
 
     private void handle(HttpServerRequest request) {
-        request.response().exceptionHandler(e -> { });
+        request.response().exceptionHandler(e -> {});
         if (down) {
             request.response().setStatusCode(503).end();
             return;
--- a/src/main/java/saffronferry/rig/StandInWorker.java
+++ b/src/main/java/saffronferry/rig/StandInWorker.java
@@ -46,8 +46,17 @@
     private boolean silent;
     private long probes;
 
-    StandInWorker(Vertx vertx, LongSupplier clock, Watcher watcher, String id, int zone, int kindIndex,
-            int cell, Kind kind, double speed, long startedAt) {
+    StandInWorker(
+            Vertx vertx,
+            LongSupplier clock,
+            Watcher watcher,
+            String id,
+            int zone,
+            int kindIndex,
+            int cell,
+            Kind kind,
+            double speed,
+            long startedAt) {
         this.vertx = vertx;
         this.clock = clock;
         this.watcher = watcher;
@@ -57,11 +66,13 @@
         this.cell = cell;
         this.startedAt = startedAt;
         model = new WorkerModel(kind, speed, startedAt, clock.getAsLong());
-        server = vertx.createHttpServer().connectionHandler(c -> {
-            connections.add(c);
-            c.closeHandler(v -> connections.remove(c));
-            c.exceptionHandler(e -> { });
-        }).requestHandler(this::handle);
+        server = vertx.createHttpServer()
+                .connectionHandler(c -> {
+                    connections.add(c);
+                    c.closeHandler(v -> connections.remove(c));
+                    c.exceptionHandler(e -> {});
+                })
+                .requestHandler(this::handle);
     }
 
     Future<?> listen(String host) {
@@ -115,14 +126,18 @@
     }
 
     private void handle(HttpServerRequest request) {
-        request.exceptionHandler(e -> { });
-        request.response().exceptionHandler(e -> { });
+        request.exceptionHandler(e -> {});
+        request.response().exceptionHandler(e -> {});
         if (request.path().equals("/metrics/load")) {
             probes++;
             step();
             double busy = 1 - model.free() / (double) (model.free() + model.held() + 1);
-            request.response().end(silent ? "" : String.format(Locale.ROOT, "tps=%.1f,load_share=%.2f,x0=%d",
-                    1.0, busy, model.free()));
+            request.response()
+                    .end(
+                            silent
+                                    ? ""
+                                    : String.format(
+                                            Locale.ROOT, "tps=%.1f,load_share=%.2f,x0=%d", 1.0, busy, model.free()));
             return;
         }
         request.body().onSuccess(body -> take(request));
--- a/src/main/java/saffronferry/rig/WorkerModel.java
+++ b/src/main/java/saffronferry/rig/WorkerModel.java
@@ -106,8 +106,7 @@
             return 0;
         }
         double crowded = held() > kind.thrashAt() ? 1 / (1 + kind.thrash() * (held() - kind.thrashAt())) : 1;
-        return speed * Math.min(1, kind.cores() / (double) running.size()) * crowded * coldShare(now)
-                / slowness;
+        return speed * Math.min(1, kind.cores() / (double) running.size()) * crowded * coldShare(now) / slowness;
     }
 
     /** Brings work up to now; the jobs that are done. */
--- a/src/main/java/saffronferry/scale/Heap.java
+++ b/src/main/java/saffronferry/scale/Heap.java
@@ -5,7 +5,7 @@
     private static final double MB = 1e6;
     private static final int MOST_ROUNDS = 12;
 
-    private Heap() { }
+    private Heap() {}
 
     /** In megabytes of a million bytes, after full collections until two free nothing more. */
     static double usedMb() {
--- a/src/main/java/saffronferry/scale/HollowBrain.java
+++ b/src/main/java/saffronferry/scale/HollowBrain.java
@@ -24,8 +24,7 @@
  * the module makes and reads by its own codec.
  */
 final class HollowBrain implements Brain {
-    private static final int PROBE_BYTES =
-            "GET /metrics/load HTTP/1.1\r\nhost: 10.0.82.7:9100\r\n\r\n".length();
+    private static final int PROBE_BYTES = "GET /metrics/load HTTP/1.1\r\nhost: 10.0.82.7:9100\r\n\r\n".length();
     private static final int WATCH_BYTES =
             "GET /discovery/hosts?watch=1&from=1000000 HTTP/1.1\r\nhost: 10.0.82.7:9100\r\n\r\n".length();
     private static final String ANSWER = "HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n";
@@ -64,7 +63,11 @@
             return decide(Event.DATAGRAM, now, () -> module.report(now, news));
         }
         if (news instanceof News.Probed probed && probed.outcome() == Outcome.OK) {
-            meter.said(account, Kind.PROBE_IN, ANSWER.length() + text(probed.load()).length(), now);
+            meter.said(
+                    account,
+                    Kind.PROBE_IN,
+                    ANSWER.length() + text(probed.load()).length(),
+                    now);
         }
         return decide(Event.REPORT, now, () -> module.report(now, news));
     }
@@ -81,7 +84,8 @@
         }
         long begun = meter.clock.now();
         ListUpdate update = meter.lines.read(line);
-        List<WorkerInfo> entries = update.entries().stream().map(ListUpdate.Entry::info).toList();
+        List<WorkerInfo> entries =
+                update.entries().stream().map(ListUpdate.Entry::info).toList();
         meter.read(account, meter.clock.since(begun), now);
         keep(update);
         return decide(Event.LIST, now, () -> module.report(now, new News.Resolved(resolved.kind(), entries)));
--- a/src/main/java/saffronferry/scale/ListLines.java
+++ b/src/main/java/saffronferry/scale/ListLines.java
@@ -41,7 +41,7 @@
             line = make(entries, kind != ListKind.CHANGES);
             made.put(entries, line);
             bytes += line.length;
-            for (Iterator<byte[]> oldest = made.values().iterator(); bytes > MOST_BYTES && made.size() > 1;) {
+            for (Iterator<byte[]> oldest = made.values().iterator(); bytes > MOST_BYTES && made.size() > 1; ) {
                 bytes -= oldest.next().length;
                 oldest.remove();
             }
@@ -50,8 +50,12 @@
     }
 
     private byte[] make(List<WorkerInfo> entries, boolean whole) {
-        StringBuilder text = new StringBuilder(160 * entries.size() + 64).append("{\"revision\":")
-                .append(++revision).append(",\"complete\":").append(whole).append(",\"members\":[");
+        StringBuilder text = new StringBuilder(160 * entries.size() + 64)
+                .append("{\"revision\":")
+                .append(++revision)
+                .append(",\"complete\":")
+                .append(whole)
+                .append(",\"members\":[");
         for (int i = 0; i < entries.size(); i++) {
             text.append(i == 0 ? "" : ",");
             member(text, entries.get(i));
@@ -60,12 +64,21 @@
     }
 
     private void member(StringBuilder text, WorkerInfo w) {
-        text.append("{\"id\":").append(JSONObject.quote(w.address())).append(",\"host_port\":")
-                .append(JSONObject.quote(w.address())).append(",\"phase\":\"").append(phase(w.state()))
-                .append("\",\"flavor\":").append(JSONObject.quote(kinds.get(w.kind())))
-                .append(",\"locality\":").append(JSONObject.quote(zones.get(w.zone())))
-                .append(",\"cell\":").append(w.cell()).append(",\"up_since_ms\":")
-                .append(w.startedAt() / 1000).append('}');
+        text.append("{\"id\":")
+                .append(JSONObject.quote(w.address()))
+                .append(",\"host_port\":")
+                .append(JSONObject.quote(w.address()))
+                .append(",\"phase\":\"")
+                .append(phase(w.state()))
+                .append("\",\"flavor\":")
+                .append(JSONObject.quote(kinds.get(w.kind())))
+                .append(",\"locality\":")
+                .append(JSONObject.quote(zones.get(w.zone())))
+                .append(",\"cell\":")
+                .append(w.cell())
+                .append(",\"up_since_ms\":")
+                .append(w.startedAt() / 1000)
+                .append('}');
     }
 
     private static String phase(WorkerState state) {
--- a/src/main/java/saffronferry/scale/Meter.java
+++ b/src/main/java/saffronferry/scale/Meter.java
@@ -10,10 +10,23 @@
 /** What one play's dispatchers cost, each by itself. */
 final class Meter implements World.Wrap {
     /** What a decision is about. */
-    enum Event { PICK, REPORT, TICK, LIST, DATAGRAM }
+    enum Event {
+        PICK,
+        REPORT,
+        TICK,
+        LIST,
+        DATAGRAM
+    }
 
     /** What is said for control, and in which direction. */
-    enum Kind { DATAGRAM_OUT, DATAGRAM_IN, LIST_OUT, LIST_IN, PROBE_OUT, PROBE_IN }
+    enum Kind {
+        DATAGRAM_OUT,
+        DATAGRAM_IN,
+        LIST_OUT,
+        LIST_IN,
+        PROBE_OUT,
+        PROBE_IN
+    }
 
     /** What one dispatcher costs, over all its lives; times in nanoseconds, while clients ask. */
     static final class Account {
--- a/src/main/java/saffronferry/scale/Scale.java
+++ b/src/main/java/saffronferry/scale/Scale.java
@@ -24,7 +24,7 @@
     /** Rules that were broken, told in full. */
     private static final int MOST_TOLD = 3;
 
-    private Scale() { }
+    private Scale() {}
 
     /**
      * A play and its figures, by name.
@@ -32,13 +32,15 @@
      * @param set the keys that a sweep has set other than the numbers of dispatchers and workers, as written
      * @param broken the limits and rules that were broken, a line each
      */
-    public record Play(Scenario scenario, Map<String, String> set, Map<String, Double> figures,
-                       List<String> broken) {
+    public record Play(Scenario scenario, Map<String, String> set, Map<String, Double> figures, List<String> broken) {
         /** As the result file has it. */
         public JSONObject json() {
-            JSONObject json = new JSONObject().put("dispatchers", scenario.dispatchers())
-                    .put("workers", scenario.workers()).put("zones", scenario.zones().size())
-                    .put("seconds", scenario.length() / 1e6).put("figures", new JSONObject(figures))
+            JSONObject json = new JSONObject()
+                    .put("dispatchers", scenario.dispatchers())
+                    .put("workers", scenario.workers())
+                    .put("zones", scenario.zones().size())
+                    .put("seconds", scenario.length() / 1e6)
+                    .put("figures", new JSONObject(figures))
                     .put("limits", new JSONObject(scenario.limits().stated()))
                     .put("broken", new JSONArray(broken));
             return set.isEmpty() ? json : json.put("set", new JSONObject(set));
@@ -78,20 +80,29 @@
         Map<String, Double> figures = new LinkedHashMap<>();
         for (Event event : Event.values()) {
             int e = event.ordinal();
-            figures.put(event.name().toLowerCase(Locale.ROOT) + "_us",
-                    all.stream().mapToLong(a -> a.nanos[e]).sum() / 1e3
-                    / Math.max(1, all.stream().mapToLong(a -> a.decisions[e]).sum()));
+            figures.put(
+                    event.name().toLowerCase(Locale.ROOT) + "_us",
+                    all.stream().mapToLong(a -> a.nanos[e]).sum()
+                            / 1e3
+                            / Math.max(
+                                    1,
+                                    all.stream().mapToLong(a -> a.decisions[e]).sum()));
         }
-        figures.put("list_parse_us", all.stream().mapToLong(a -> a.parseNanos).sum() / 1e3
-                / Math.max(1, all.stream().mapToLong(a -> a.parses).sum()));
+        figures.put(
+                "list_parse_us",
+                all.stream().mapToLong(a -> a.parseNanos).sum()
+                        / 1e3
+                        / Math.max(1, all.stream().mapToLong(a -> a.parses).sum()));
         double busy = all.stream().mapToLong(Account::busyNanos).sum();
         double parsing = all.stream().mapToLong(a -> a.parseNanos).sum();
         figures.put("decision_us_per_request", (busy - parsing) / 1e3 / requests);
         figures.put("decision_core_percent", busy / 1e9 / each * 100);
-        figures.put("decision_core_worst_percent", all.stream().mapToLong(Account::busyNanos).max().orElse(0)
-                / 1e3 / scenario.length() * 100);
-        figures.put("messages_per_request", (sum(all, Kind.DATAGRAM_OUT, false)
-                + sum(all, Kind.PROBE_OUT, false)) / requests);
+        figures.put(
+                "decision_core_worst_percent",
+                all.stream().mapToLong(Account::busyNanos).max().orElse(0) / 1e3 / scenario.length() * 100);
+        figures.put(
+                "messages_per_request",
+                (sum(all, Kind.DATAGRAM_OUT, false) + sum(all, Kind.PROBE_OUT, false)) / requests);
         figures.put("requests_per_s", day.requests() / (scenario.length() / 1e6));
         figures.put("datagrams_out_per_s", sum(all, Kind.DATAGRAM_OUT, false) / each);
         figures.put("probes_out_per_s", sum(all, Kind.PROBE_OUT, false) / each);
@@ -100,13 +111,23 @@
             String name = kind.name().toLowerCase(Locale.ROOT).replace("_", "_bytes_") + "_per_s";
             figures.put(name, sum(all, kind, true) / each);
         }
-        figures.put("whole_list_bytes_in_per_s", all.stream().mapToLong(a -> a.wholeListBytes).sum() / each);
+        figures.put(
+                "whole_list_bytes_in_per_s",
+                all.stream().mapToLong(a -> a.wholeListBytes).sum() / each);
         figures.put("settings_bytes_per_s", 0.0);
-        figures.put("control_bytes_per_s", all.stream().mapToLong(Account::controlBytes).sum() / each);
-        figures.put("control_bytes_worst_per_s", (double) all.stream().flatMapToLong(a ->
-                Arrays.stream(a.bytesBySecond)).max().orElse(0));
-        figures.put("start_control_bytes", all.stream().mapToLong(a -> a.startBytes).average().orElse(0));
-        figures.put("start_decision_ms", all.stream().mapToLong(a -> a.startNanos).average().orElse(0) / 1e6);
+        figures.put(
+                "control_bytes_per_s",
+                all.stream().mapToLong(Account::controlBytes).sum() / each);
+        figures.put("control_bytes_worst_per_s", (double) all.stream()
+                .flatMapToLong(a -> Arrays.stream(a.bytesBySecond))
+                .max()
+                .orElse(0));
+        figures.put(
+                "start_control_bytes",
+                all.stream().mapToLong(a -> a.startBytes).average().orElse(0));
+        figures.put(
+                "start_decision_ms",
+                all.stream().mapToLong(a -> a.startNanos).average().orElse(0) / 1e6);
         figures.put("goal_share", day.goal());
         figures.put("served_share", day.json().getDouble("worth_served"));
         figures.put("cold_used_share", day.json().getDouble("cold_used"));
@@ -115,7 +136,9 @@
     }
 
     private static double sum(List<Account> all, Kind kind, boolean bytes) {
-        return all.stream().mapToLong(a -> (bytes ? a.bytes : a.messages)[kind.ordinal()]).sum();
+        return all.stream()
+                .mapToLong(a -> (bytes ? a.bytes : a.messages)[kind.ordinal()])
+                .sum();
     }
 
     /** After the play its world is gone: what is left of the heap is let go of part by part. */
@@ -134,15 +157,19 @@
 
     private static List<String> broken(Scenario scenario, Map<String, Double> figures, Day day) {
         List<String> broken = new ArrayList<>();
-        Limits.FIGURES.keySet().stream().filter(scenario.limits().stated()::containsKey).forEach(name -> {
-            double limit = scenario.limits().stated().get(name);
-            double seen = figures.get(name);
-            boolean least = Limits.isLeast(name);
-            if (least ? seen < limit : seen > limit) {
-                broken.add(name + " " + plain(seen) + (least ? " under " : " over ") + plain(limit));
-            }
-        });
-        day.broken().stream().limit(MOST_TOLD).map(RuleChecker.Broken::toString)
+        Limits.FIGURES.keySet().stream()
+                .filter(scenario.limits().stated()::containsKey)
+                .forEach(name -> {
+                    double limit = scenario.limits().stated().get(name);
+                    double seen = figures.get(name);
+                    boolean least = Limits.isLeast(name);
+                    if (least ? seen < limit : seen > limit) {
+                        broken.add(name + " " + plain(seen) + (least ? " under " : " over ") + plain(limit));
+                    }
+                });
+        day.broken().stream()
+                .limit(MOST_TOLD)
+                .map(RuleChecker.Broken::toString)
                 .forEach(b -> broken.add(b.lines().findFirst().orElse("")));
         if (day.brokenInAll() > MOST_TOLD) {
             broken.add("rules broken in all: " + day.brokenInAll());
--- a/src/main/java/saffronferry/scale/fit/Comparison.java
+++ b/src/main/java/saffronferry/scale/fit/Comparison.java
@@ -17,11 +17,16 @@
      * @throws IllegalArgumentException with fewer than three sizes
      */
     public static Comparison of(List<Point> points) {
-        List<Fit> fits = Arrays.stream(Form.values()).map(form -> Fit.of(form, points)).toList();
+        List<Fit> fits =
+                Arrays.stream(Form.values()).map(form -> Fit.of(form, points)).toList();
         double least = fits.stream().mapToDouble(Fit::errorLeftOut).min().orElseThrow();
-        double largest = points.stream().mapToDouble(p -> Math.abs(p.figure())).max().orElseThrow();
+        double largest =
+                points.stream().mapToDouble(p -> Math.abs(p.figure())).max().orElseThrow();
         double enough = Math.max(least * ALIKE, largest * ROUNDING);
-        Fit best = fits.stream().filter(f -> f.errorLeftOut() <= enough).findFirst().orElseThrow();
+        Fit best = fits.stream()
+                .filter(f -> f.errorLeftOut() <= enough)
+                .findFirst()
+                .orElseThrow();
         return new Comparison(fits, best);
     }
 
--- a/src/main/java/saffronferry/scale/fit/Fit.java
+++ b/src/main/java/saffronferry/scale/fit/Fit.java
@@ -77,7 +77,8 @@
         double n = points.size();
         double spread = form == Form.CONSTANT ? 0 : square(x - meanRegressor()) / regression.getXSumSquares();
         return new TDistribution(freedom()).inverseCumulativeProbability((1 + CONFIDENCE) / 2)
-                * residualError() * Math.sqrt(1 + 1 / n + spread);
+                * residualError()
+                * Math.sqrt(1 + 1 / n + spread);
     }
 
     /** The standard error of the residuals. */
@@ -90,7 +91,9 @@
     }
 
     private double residualSquares() {
-        return points.stream().mapToDouble(p -> square(p.figure() - at(p.size()))).sum();
+        return points.stream()
+                .mapToDouble(p -> square(p.figure() - at(p.size())))
+                .sum();
     }
 
     /** Akaike's criterion by the residuals; the lower one of two forms is the better one. */
@@ -103,9 +106,12 @@
     public double errorLeftOut() {
         double squares = 0;
         for (double size : sizes(points)) {
-            Fit without = new Fit(form, points.stream().filter(p -> p.size() != size).toList());
-            squares += points.stream().filter(p -> p.size() == size)
-                    .mapToDouble(p -> square(p.figure() - without.at(size))).sum();
+            Fit without =
+                    new Fit(form, points.stream().filter(p -> p.size() != size).toList());
+            squares += points.stream()
+                    .filter(p -> p.size() == size)
+                    .mapToDouble(p -> square(p.figure() - without.at(size)))
+                    .sum();
         }
         return Math.sqrt(squares / points.size());
     }
@@ -127,7 +133,10 @@
     }
 
     private double meanRegressor() {
-        return points.stream().mapToDouble(p -> form.regressor(p.size())).average().orElseThrow();
+        return points.stream()
+                .mapToDouble(p -> form.regressor(p.size()))
+                .average()
+                .orElseThrow();
     }
 
     private static double square(double x) {
--- a/src/main/java/saffronferry/scale/fit/ResultFile.java
+++ b/src/main/java/saffronferry/scale/fit/ResultFile.java
@@ -56,7 +56,10 @@
     /** The mean of a figure over the plays that meet some conditions. */
     public double mean(String figure, Map<String, String> where) {
         // a size is of no concern here, and each play has figures
-        return points(figure, figure, where).stream().mapToDouble(Point::figure).average().orElseThrow();
+        return points(figure, figure, where).stream()
+                .mapToDouble(Point::figure)
+                .average()
+                .orElseThrow();
     }
 
     private JSONObject play(int i) {
@@ -74,8 +77,7 @@
     }
 
     private static Object value(JSONObject play, String key) {
-        for (JSONObject part : new JSONObject[] {play, play.optJSONObject("figures"),
-            play.optJSONObject("set")}) {
+        for (JSONObject part : new JSONObject[] {play, play.optJSONObject("figures"), play.optJSONObject("set")}) {
             if (part != null && part.has(key)) {
                 return part.get(key);
             }
@@ -99,7 +101,7 @@
         if (value(play, key) instanceof Number number && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
-        throw new IllegalArgumentException(file + ": plays[" + i + "]: " + key + ": expected a number, got "
-                + value(play, key));
+        throw new IllegalArgumentException(
+                file + ": plays[" + i + "]: " + key + ": expected a number, got " + value(play, key));
     }
 }
--- a/src/main/java/saffronferry/scale/fit/Source.java
+++ b/src/main/java/saffronferry/scale/fit/Source.java
@@ -25,8 +25,8 @@
     private final Form form;
     private final Map<String, String> where;
 
-    private Source(String kind, String file, String figure, String over, double at, Form form,
-            Map<String, String> where) {
+    private Source(
+            String kind, String file, String figure, String over, double at, Form form, Map<String, String> where) {
         this.kind = kind;
         this.file = file;
         this.figure = figure;
@@ -45,16 +45,16 @@
             return new Source("play", play.group(1), play.group(2), "", 0, Form.LINE, where);
         }
         if (!fitted.matches() || fitted.group(1).equals("slope") != (fitted.group(5) == null)) {
-            throw new IllegalArgumentException("expected FILE FIGURE @ KEY=VALUE, or fit FILE FIGURE "
-                    + "over KEY at SIZE, got " + text);
+            throw new IllegalArgumentException(
+                    "expected FILE FIGURE @ KEY=VALUE, or fit FILE FIGURE " + "over KEY at SIZE, got " + text);
         }
         Form form = Form.LINE;
         for (Form each : Form.values()) {
             form = each.label().equals(fitted.group(6)) ? each : form;
         }
         double at = fitted.group(5) == null ? 0 : Double.parseDouble(fitted.group(5));
-        return new Source(fitted.group(1), fitted.group(2), fitted.group(3), fitted.group(4), at, form,
-                where(fitted.group(7)));
+        return new Source(
+                fitted.group(1), fitted.group(2), fitted.group(3), fitted.group(4), at, form, where(fitted.group(7)));
     }
 
     /** Conditions written as KEY=VALUE, KEY=VALUE; null stands for none. */
@@ -65,7 +65,8 @@
             if (equals <= 0) {
                 throw new IllegalArgumentException("expected KEY=VALUE, got " + each);
             }
-            where.put(each.substring(0, equals).trim(), each.substring(equals + 1).trim());
+            where.put(
+                    each.substring(0, equals).trim(), each.substring(equals + 1).trim());
         }
         return where;
     }
--- a/src/main/java/saffronferry/settings/SettingsReader.java
+++ b/src/main/java/saffronferry/settings/SettingsReader.java
@@ -2,14 +2,14 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.json.JSONArray;
+import org.json.JSONException;
+import org.json.JSONObject;
 import saffronferry.Contract.Effect;
 import saffronferry.Contract.Group;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Settings;
 import saffronferry.Contract.Tenant;
-import org.json.JSONArray;
-import org.json.JSONException;
-import org.json.JSONObject;
 
 /**
  * Reads the settings, which the simulator sends and a real dispatcher finds in its configuration; keys it
@@ -28,6 +28,7 @@
     public final List<String> zones;
     /** For each value of a report: 0 held, 1 queued, 2 free slots, -1 not used. */
     public final int[] reportFields;
+
     private final JSONObject family;
     /** How long a connection may take to open, in seconds, as told; the module does not need it. */
     public final double connectTimeout;
@@ -59,16 +60,30 @@
             if (zone < 0) {
                 throw new IllegalArgumentException("zone is not one of zones: " + top.optString("zone"));
             }
-            settings = new Settings(seed, (int) number(top, "slotNo", 0), (int) number(top, "peersTotal", 1),
-                    zone, zones.size(), kinds.size(), jobClasses, realms,
-                    (int) number(limits, "mostTries", 1), flag(limits, "parallelTries"),
-                    flag(limits, "cancel"), flag(limits, "probes"),
+            settings = new Settings(
+                    seed,
+                    (int) number(top, "slotNo", 0),
+                    (int) number(top, "peersTotal", 1),
+                    zone,
+                    zones.size(),
+                    kinds.size(),
+                    jobClasses,
+                    realms,
+                    (int) number(limits, "mostTries", 1),
+                    flag(limits, "parallelTries"),
+                    flag(limits, "cancel"),
+                    flag(limits, "probes"),
                     !report.optString("how", "off").equals("off"),
-                    flag(limits, "peers"), top.optString("registryMode", "push").equals("ask"),
-                    flag(family, "tellsStart"), micros(family, "progress"),
-                    micros(rules, "cold"), number(rules, "coldShare", 1), number(rules, "fallMultiple", 1),
+                    flag(limits, "peers"),
+                    top.optString("registryMode", "push").equals("ask"),
+                    flag(family, "tellsStart"),
+                    micros(family, "progress"),
+                    micros(rules, "cold"),
+                    number(rules, "coldShare", 1),
+                    number(rules, "fallMultiple", 1),
                     flag(limits, "retryAfter") ? micros(limits, "maxRetryAfter") : 0,
-                    number(prices, "peer", 0), number(prices, "probe", 0),
+                    number(prices, "peer", 0),
+                    number(prices, "probe", 0),
                     (long) (AFTER_FAILURE * number(rules, "askWithin", ASK_WITHIN) * 1e6));
         } catch (JSONException e) {
             throw new IllegalArgumentException(e.getMessage());
@@ -77,7 +92,8 @@
 
     /** The name of the report's field with this meaning, or null. */
     public String fieldOf(String meaning) {
-        return family.optString("reportX0").equals(meaning) ? "x0"
+        return family.optString("reportX0").equals(meaning)
+                ? "x0"
                 : family.optString("reportX1").equals(meaning) ? "x1" : null;
     }
 
@@ -109,8 +125,16 @@
             };
             // the window is that of the sends; one that is decided goes once its connection is up
             long window = Math.max(0, micros(p, "keyTtl") - Math.round(connectTimeout * 1e6));
-            result.add(new JobClass(p.optString("name"), micros(p, "target"), stretch, micros(p, "deadline"),
-                    number(p, "points", 1), number(p, "lateValue", 0), effect, group, window,
+            result.add(new JobClass(
+                    p.optString("name"),
+                    micros(p, "target"),
+                    stretch,
+                    micros(p, "deadline"),
+                    number(p, "points", 1),
+                    number(p, "lateValue", 0),
+                    effect,
+                    group,
+                    window,
                     kindsOf.optInt(i, -1)));
         }
         return result;
--- a/src/main/java/saffronferry/state/CallAttempt.java
+++ b/src/main/java/saffronferry/state/CallAttempt.java
@@ -26,7 +26,7 @@
     /** Whether the subchannel found fault with the RPC itself. */
     boolean rejected;
     /** Gives the attempt up on the wire. */
-    Runnable giveUp = () -> { };
+    Runnable giveUp = () -> {};
 
     CallAttempt(long rpc, int rpcClass, int number, long sentAt, String subchannel, Listener listener) {
         this.rpc = rpc;
@@ -41,10 +41,10 @@
     public static CallAttempt unheard(Runnable onEnd) {
         return new CallAttempt(0, 0, 0, 0, null, new Listener() {
             @Override
-            public void moved(CallAttempt attempt, boolean started) { }
+            public void moved(CallAttempt attempt, boolean started) {}
 
             @Override
-            public void written(CallAttempt attempt) { }
+            public void written(CallAttempt attempt) {}
 
             @Override
             public void ended(CallAttempt attempt, Outcome outcome, String result, Report load) {
--- a/src/main/java/saffronferry/state/Ledger.java
+++ b/src/main/java/saffronferry/state/Ledger.java
@@ -74,8 +74,7 @@
         names.add(rpc.name);
         unanswered++;
         rpc.timer = ports.wake(Math.max(0, deadline - now), () -> expire(rpc));
-        Request request = new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(),
-                info.repeat());
+        Request request = new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(), info.repeat());
         run(() -> {
             try {
                 return balancer.pick(clock.now(), request);
@@ -97,7 +96,7 @@
     public void clientGone(long id) {
         Rpc<M> rpc = open.get(id);
         if (rpc != null && !rpc.answered()) {
-            answer(rpc, null, channel -> { });
+            answer(rpc, null, channel -> {});
             report(new News.ClientGone(id));
         }
     }
@@ -201,7 +200,10 @@
 
     /** What holds now, beside what is counted. */
     public Figures.Now now() {
-        return new Figures.Now(unanswered, resolved.size(), resolved.banned() + balancer.avoided(),
+        return new Figures.Now(
+                unanswered,
+                resolved.size(),
+                resolved.banned() + balancer.avoided(),
                 Shared.figures(balancer.sharing()));
     }
 
--- a/src/main/java/saffronferry/state/ResolverResult.java
+++ b/src/main/java/saffronferry/state/ResolverResult.java
@@ -25,6 +25,7 @@
     private final Map<String, ListUpdate.Entry> entries = new HashMap<>();
     /** Ids that were on the list, those lost first at the beginning. */
     private final Set<String> lost = new LinkedHashSet<>();
+
     private Bans bans = Bans.NONE;
     private long revision;
 
@@ -63,7 +64,8 @@
 
     private WorkerInfo shown(WorkerInfo w) {
         return bans.has(w.address()) && w.state() == WorkerState.IN_SERVICE
-                ? with(w, WorkerState.DRAINING, w.startedAt()) : w;
+                ? with(w, WorkerState.DRAINING, w.startedAt())
+                : w;
     }
 
     private static WorkerInfo with(WorkerInfo w, WorkerState state, long startedAt) {
--- a/src/main/java/saffronferry/state/RpcInfo.java
+++ b/src/main/java/saffronferry/state/RpcInfo.java
@@ -7,8 +7,7 @@
  * settings, -1 for no tenant; {@code name} is the client's own id for it; {@code remaining}: microseconds the
  * client will wait.
  */
-public record RpcInfo(String name, int rpcClass, int tenant, long remaining, int slots,
-                      boolean repeat) {
+public record RpcInfo(String name, int rpcClass, int tenant, long remaining, int slots, boolean repeat) {
     /** A client waits no longer than its class's deadline; some room is left for how it counts that. */
     private static final int DEADLINES = 2;
     /** Microseconds, where the class states no deadline. */
--- a/src/main/java/saffronferry/wire/Admission.java
+++ b/src/main/java/saffronferry/wire/Admission.java
@@ -28,6 +28,7 @@
     private final Map<HttpConnection, Visit> visits = new HashMap<>();
     /** Those that have begun their first request and not finished it, the oldest first. */
     private final Set<Visit> unfinished = new LinkedHashSet<>();
+
     private final Set<Visit> idle = new LinkedHashSet<>();
 
     /** One connection, from its start to its end. */
@@ -35,6 +36,7 @@
         final HttpConnection connection;
         /** Runs out when a request has taken too long; -1 while none is under way. */
         long timer = -1;
+
         Runnable onTooLate;
         boolean doomed;
 
@@ -148,7 +150,8 @@
     }
 
     private static boolean unsent(HttpConnection connection) {
-        ChannelOutboundBuffer out = ((HttpServerConnection) connection).channel().unsafe().outboundBuffer();
+        ChannelOutboundBuffer out =
+                ((HttpServerConnection) connection).channel().unsafe().outboundBuffer();
         return out != null && out.totalPendingWriteBytes() > 0;
     }
 
--- a/src/main/java/saffronferry/wire/AnswerParser.java
+++ b/src/main/java/saffronferry/wire/AnswerParser.java
@@ -1,8 +1,8 @@
 package saffronferry.wire;
 
-import saffronferry.Contract.Outcome;
 import org.json.JSONException;
 import org.json.JSONObject;
+import saffronferry.Contract.Outcome;
 import saffronferry.state.CallAttempt;
 
 /** What a subchannel's answer means for the call attempt: the outcome table of the protocol. */
@@ -42,7 +42,7 @@
             case "failed" -> attempt.ended(Outcome.ERROR, loads.parse(o.optJSONObject("load")));
             case "returned" -> attempt.ended(Outcome.FULL, loads.parse(o.optJSONObject("load")));
             case "lost" -> attempt.ended(Outcome.RESET, loads.parse(o.optJSONObject("load")));
-            default -> { } // a state added later is no end
+            default -> {} // a state added later is no end
         }
     }
 }
--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -39,6 +39,7 @@
 public class BoundedTransport extends JDKTransport {
     /** How often, and when again, a queue of clients is tried that waits for descriptors. */
     private static final int MOST_HAND_OVERS = 50;
+
     private static final long HAND_OVER_AGAIN_MS = 20;
 
     private final Door clients;
@@ -46,7 +47,7 @@
     private final ControlSpend control = new ControlSpend();
     private final List<Acceptor> acceptors = new ArrayList<>();
     private EventLoopGroup loops;
-    private Runnable onListenerLost = () -> { };
+    private Runnable onListenerLost = () -> {};
 
     /** By which connections of one purpose come in: who may, and where they wait for their first byte. */
     record Door(AcceptGate gate, Lobby lobby) {
@@ -87,17 +88,21 @@
 
     /** Listens there again, since the other process is gone. */
     void takeBack(InetSocketAddress at) {
-        Acceptor first = acceptors.stream().filter(a -> a.gate == clients.gate).findFirst().orElseThrow();
+        Acceptor first = acceptors.stream()
+                .filter(a -> a.gate == clients.gate)
+                .findFirst()
+                .orElseThrow();
         Acceptor heir = new Acceptor(clients, first);
         heir.config().setBacklog(first.config().getBacklog());
         acceptors.removeIf(a -> a.home != a && !a.isOpen()); // heirs that were given up since
         acceptors.add(heir);
-        loops.register(heir).addListener(registered -> heir.bind(at).addListener(bound -> {
-            if (!bound.isSuccess()) {
-                log.line("cannot listen again", String.valueOf(bound.cause()));
-                onListenerLost.run();
-            }
-        }));
+        loops.register(heir)
+                .addListener(registered -> heir.bind(at).addListener(bound -> {
+                    if (!bound.isSuccess()) {
+                        log.line("cannot listen again", String.valueOf(bound.cause()));
+                        onListenerLost.run();
+                    }
+                }));
     }
 
     /** Two processes, the one about to replace the other, listen at the same address. */
@@ -157,6 +162,7 @@
         private final Lobby lobby;
         /** The one that the library set up, and through which it hears of connections. */
         private final Acceptor home;
+
         private boolean given;
         private boolean paused;
         private int taken;
@@ -193,8 +199,7 @@
                 } while (taken > before);
                 if (paused && tries > 1) {
                     // for want of descriptors: until others end, newcomers wait on in the queue
-                    eventLoop().schedule(() -> handOver(tries - 1), HAND_OVER_AGAIN_MS,
-                            TimeUnit.MILLISECONDS);
+                    eventLoop().schedule(() -> handOver(tries - 1), HAND_OVER_AGAIN_MS, TimeUnit.MILLISECONDS);
                     return;
                 }
                 try {
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -36,8 +36,13 @@
     private boolean elsewhere;
     private boolean heard;
 
-    ChannelServer(Vertx vertx, RpcParser parser, Ledger<HttpMessage> ledger, BoundedTransport transport,
-            Figures figures, BoundedLog log) {
+    ChannelServer(
+            Vertx vertx,
+            RpcParser parser,
+            Ledger<HttpMessage> ledger,
+            BoundedTransport transport,
+            Figures figures,
+            BoundedLog log) {
         this.parser = parser;
         this.ledger = ledger;
         this.figures = figures;
@@ -45,8 +50,12 @@
         admission = new Admission(vertx, transport);
         // guards against silent connections that nobody counts: where HTTP/2 may be spoken too, a
         // connection is announced only once its first bytes are here
-        HttpServerOptions options = new HttpServerOptions().setTcpNoDelay(true).setReuseAddress(true)
-                .setHttp2ClearTextEnabled(false).setAcceptBacklog(1024).setMaxHeaderSize(MOST_HEAD);
+        HttpServerOptions options = new HttpServerOptions()
+                .setTcpNoDelay(true)
+                .setReuseAddress(true)
+                .setHttp2ClearTextEnabled(false)
+                .setAcceptBacklog(1024)
+                .setMaxHeaderSize(MOST_HEAD);
         server = vertx.createHttpServer(options);
         server.connectionHandler(connection -> {
             StrictDecoder.install(connection, options);
@@ -96,7 +105,7 @@
     private void handle(HttpServerRequest request) {
         heard = true;
         HttpConnection connection = request.connection();
-        request.exceptionHandler(e -> { });
+        request.exceptionHandler(e -> {});
         if (!admission.begin(connection, () -> reject(request, new BadRequest(408, "too slow")))) {
             return;
         }
@@ -177,12 +186,16 @@
             return;
         }
         HttpServerResponse response = request.response();
-        HttpMessage message = new HttpMessage(request.method(), request.uri(), info.name(),
-                request.getHeader("Idempotency-Key"), body,
+        HttpMessage message = new HttpMessage(
+                request.method(),
+                request.uri(),
+                info.name(),
+                request.getHeader("Idempotency-Key"),
+                body,
                 (System.nanoTime() - Turnstile.of(request.connection()).firstByteAt()) / 1000);
         long[] id = {0};
         response.closeHandler(v -> ledger.clientGone(id[0]));
-        response.exceptionHandler(e -> { });
+        response.exceptionHandler(e -> {});
         id[0] = ledger.open(info, message, new HttpChannel(request));
     }
 
@@ -193,8 +206,11 @@
         request.handler(null);
         request.endHandler(null);
         admission.doom(request.connection());
-        request.response().setStatusCode(bad.status).putHeader("Connection", "close")
-                .end(bad.getMessage() + "\n").onComplete(v -> request.connection().close());
+        request.response()
+                .setStatusCode(bad.status)
+                .putHeader("Connection", "close")
+                .end(bad.getMessage() + "\n")
+                .onComplete(v -> request.connection().close());
     }
 
     /** Writes the one answer of an RPC. */
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -63,25 +63,31 @@
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.transport = transport;
         this.desk = desk;
-        door = new BoundedTransport.Door(
-                new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
+        door = new BoundedTransport.Door(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
         door.lobby().onSilent(this::makeRoomIfTight);
     }
 
     /** Opens the listening socket; calls are answered from then on. */
     public io.vertx.core.Future<Void> listen(Address at) {
         Promise<Void> bound = Promise.promise();
-        new ServerBootstrap().group(loop).channelFactory(() -> transport.listener(door))
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 128)
+        new ServerBootstrap()
+                .group(loop)
+                .channelFactory(() -> transport.listener(door))
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 128)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpRequestDecoder(MOST_LINE, MOST_HEAD, MOST_BODY),
-                                new HttpResponseEncoder(), new Conversation(channel));
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpRequestDecoder(MOST_LINE, MOST_HEAD, MOST_BODY),
+                                        new HttpResponseEncoder(),
+                                        new Conversation(channel));
                     }
                 })
-                .bind(at.host(), at.port()).addListener(f -> {
+                .bind(at.host(), at.port())
+                .addListener(f -> {
                     if (f.isSuccess()) {
                         bound.complete();
                     } else {
@@ -162,9 +168,12 @@
             }
             answered = true;
             unfinished.remove(this);
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(status), Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain; version=0.0.4; charset=utf-8")
+            FullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(status),
+                    Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_TYPE, "text/plain; version=0.0.4; charset=utf-8")
                     .setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
                     .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
--- a/src/main/java/saffronferry/wire/Dialer.java
+++ b/src/main/java/saffronferry/wire/Dialer.java
@@ -82,29 +82,34 @@
         this.descriptors = descriptors;
         this.purpose = purpose;
         boolean counted = ((VertxInternal) vertx).transport() instanceof BoundedTransport;
-        counter = !counted || purpose == Purpose.WORKERS ? null : new ByteCounter(
-                ((BoundedTransport) ((VertxInternal) vertx).transport()).control(),
-                purpose == Purpose.DISCOVERY ? Kind.LISTS : Kind.PROBES);
+        counter = !counted || purpose == Purpose.WORKERS
+                ? null
+                : new ByteCounter(
+                        ((BoundedTransport) ((VertxInternal) vertx).transport()).control(),
+                        purpose == Purpose.DISCOVERY ? Kind.LISTS : Kind.PROBES);
     }
 
     /** Tells of the request once it may be written, or why there is none. */
-    void dial(HttpMethod method, Address at, String uri, Consumer<HttpClientRequest> opened,
-            Consumer<Throwable> failed) {
+    void dial(
+            HttpMethod method, Address at, String uri, Consumer<HttpClientRequest> opened, Consumer<Throwable> failed) {
         if (!descriptors.take(purpose)) {
             failed.accept(NONE_LEFT);
             return;
         }
-        RequestOptions to = new RequestOptions().setMethod(method).setHost(at.host()).setPort(at.port());
-        client.request(to.setURI(uri)).onSuccess(request -> {
-            releaseAtEndOf(request.connection());
-            if (counter != null) {
-                channel(request.connection()).pipeline().addFirst(counter); // before a byte has come or gone
-            }
-            opened.accept(request);
-        }).onFailure(e -> {
-            release();
-            failed.accept(e);
-        });
+        RequestOptions to =
+                new RequestOptions().setMethod(method).setHost(at.host()).setPort(at.port());
+        client.request(to.setURI(uri))
+                .onSuccess(request -> {
+                    releaseAtEndOf(request.connection());
+                    if (counter != null) {
+                        channel(request.connection()).pipeline().addFirst(counter); // before a byte has come or gone
+                    }
+                    opened.accept(request);
+                })
+                .onFailure(e -> {
+                    release();
+                    failed.accept(e);
+                });
     }
 
     /**
--- a/src/main/java/saffronferry/wire/DiscoveryWatch.java
+++ b/src/main/java/saffronferry/wire/DiscoveryWatch.java
@@ -19,9 +19,11 @@
 final class DiscoveryWatch {
     /** Only a whole line is a sign of life: half a one may never end. */
     private static final long SILENCE_MS = CallPace.SILENCE / 1000;
+
     private static final long FIRST_LIST_MS = CallPace.FIRST_LIST / 1000;
     /** What ends sooner than this after the call, with nothing told, has not waited in the queue. */
     private static final long AT_ONCE_MS = 500;
+
     private static final int MOST_LINE = 4 * 1024 * 1024;
     private static final int CONNECT_MS = 1_000;
 
@@ -37,16 +39,28 @@
     /** Whether this discovery has told nothing yet, so that the revision held is another's. */
     private boolean strange;
 
-    DiscoveryWatch(Vertx vertx, Address discovery, ListParser parser, Consumer<ListUpdate> listener,
-            Consumer<WatchEnd> lost, Descriptors descriptors, BoundedLog log) {
+    DiscoveryWatch(
+            Vertx vertx,
+            Address discovery,
+            ListParser parser,
+            Consumer<ListUpdate> listener,
+            Consumer<WatchEnd> lost,
+            Descriptors descriptors,
+            BoundedLog log) {
         this.vertx = vertx;
         this.discovery = discovery;
         this.parser = parser;
         this.listener = listener;
         this.lost = lost;
         this.log = log;
-        dialer = new Dialer(vertx, vertx.createHttpClient(new HttpClientOptions().setKeepAlive(false)
-                .setMaxPoolSize(4).setConnectTimeout(CONNECT_MS)), descriptors, Purpose.DISCOVERY);
+        dialer = new Dialer(
+                vertx,
+                vertx.createHttpClient(new HttpClientOptions()
+                        .setKeepAlive(false)
+                        .setMaxPoolSize(4)
+                        .setConnectTimeout(CONNECT_MS)),
+                descriptors,
+                Purpose.DISCOVERY);
     }
 
     /** Completes with the first list, or when discovery turns out to be unreachable. */
@@ -60,8 +74,12 @@
             return;
         }
         current = new Watch();
-        dialer.dial(HttpMethod.GET, discovery, "/discovery/hosts?watch=1&from=" + (strange ? 0 : revision),
-                current::connected, current::end);
+        dialer.dial(
+                HttpMethod.GET,
+                discovery,
+                "/discovery/hosts?watch=1&from=" + (strange ? 0 : revision),
+                current::connected,
+                current::end);
     }
 
     /**
@@ -94,6 +112,7 @@
         private boolean over;
         /** None yet: the library counts timers from 0, and another one may have that number. */
         private long silence = -1;
+
         private final long calledAt = System.nanoTime();
         private boolean told;
 
--- a/src/main/java/saffronferry/wire/ListParser.java
+++ b/src/main/java/saffronferry/wire/ListParser.java
@@ -19,7 +19,8 @@
 public final class ListParser {
     private static final JsonFactory JSON = JsonFactory.builder()
             // guards against two lists in one: which of two members of a name counts would be chance
-            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+            .build();
 
     private final List<String> kinds;
     private final List<String> zones;
@@ -51,8 +52,7 @@
                     default -> in.skipChildren();
                 }
             }
-            return new ListUpdate(there(revision, "revision"), there(complete, "complete"),
-                    there(entries, "members"));
+            return new ListUpdate(there(revision, "revision"), there(complete, "complete"), there(entries, "members"));
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage());
         }
@@ -146,7 +146,7 @@
                 case "locality" -> zone = zones.indexOf(in.getValueAsString(""));
                 case "up_since_ms" -> startedMs = in.getValueAsLong();
                 case "cell" -> cell = (int) in.getValueAsLong();
-                default -> { }
+                default -> {}
             }
             in.skipChildren(); // of what is neither text nor number
         }
--- a/src/main/java/saffronferry/wire/LoadParser.java
+++ b/src/main/java/saffronferry/wire/LoadParser.java
@@ -1,9 +1,9 @@
 package saffronferry.wire;
 
-import java.util.Map;
 import java.util.HashMap;
-import saffronferry.Contract.Report;
+import java.util.Map;
 import org.json.JSONObject;
+import saffronferry.Contract.Report;
 
 /** Reads load reports: {@code inflight=7,queue=2} in a header or body, or an object of a worker's line. */
 final class LoadParser {
@@ -24,7 +24,9 @@
             int at = part.indexOf('=');
             if (at > 0) {
                 try {
-                    values.put(part.substring(0, at).trim(), Double.valueOf(part.substring(at + 1).trim()));
+                    values.put(
+                            part.substring(0, at).trim(),
+                            Double.valueOf(part.substring(at + 1).trim()));
                 } catch (NumberFormatException e) {
                     // a field that is no number says nothing; the others still count
                 }
@@ -48,8 +50,10 @@
         if (values.values().stream().allMatch(v -> v == 0)) {
             return null;
         }
-        Report r = new Report(values.getOrDefault("inflight", Double.NaN),
-                values.getOrDefault("queue", Double.NaN), values.getOrDefault(freeSlots, Double.NaN));
+        Report r = new Report(
+                values.getOrDefault("inflight", Double.NaN),
+                values.getOrDefault("queue", Double.NaN),
+                values.getOrDefault(freeSlots, Double.NaN));
         boolean nothing = Double.isNaN(r.held()) && Double.isNaN(r.queued()) && Double.isNaN(r.freeSlots());
         return nothing ? null : r;
     }
--- a/src/main/java/saffronferry/wire/Lobby.java
+++ b/src/main/java/saffronferry/wire/Lobby.java
@@ -32,7 +32,8 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(MOST_AT_FIRST);
     /** Those that have had a turn in which they could be read, the oldest first. */
     private final Set<Guest> silent = new LinkedHashSet<>();
-    private Runnable onSilent = () -> { };
+
+    private Runnable onSilent = () -> {};
 
     Lobby(AcceptGate gate) {
         this.gate = gate;
--- a/src/main/java/saffronferry/wire/PeerSocket.java
+++ b/src/main/java/saffronferry/wire/PeerSocket.java
@@ -27,8 +27,8 @@
     private final ControlSpend spend;
     private boolean closed = true;
 
-    PeerSocket(Vertx vertx, List<Address> peers, BiConsumer<Integer, byte[]> heard, ControlSpend spend,
-            BoundedLog log) {
+    PeerSocket(
+            Vertx vertx, List<Address> peers, BiConsumer<Integer, byte[]> heard, ControlSpend spend, BoundedLog log) {
         this.peers = peers;
         this.heard = heard;
         this.spend = spend;
@@ -72,7 +72,8 @@
 
     private void receive(DatagramPacket packet) {
         spend.heard(Kind.DATAGRAMS, packet.data().length());
-        Integer peer = numbers.get(packet.sender().hostAddress() + ":" + packet.sender().port());
+        Integer peer = numbers.get(
+                packet.sender().hostAddress() + ":" + packet.sender().port());
         if (peer == null || packet.data().length() > MOST_BYTES) {
             log.line("datagram dropped", packet.data().length() + " bytes from " + packet.sender());
             return;
--- a/src/main/java/saffronferry/wire/RpcParser.java
+++ b/src/main/java/saffronferry/wire/RpcParser.java
@@ -64,11 +64,15 @@
             String value = label.substring(at + 1);
             switch (label.substring(0, at).trim()) {
                 case "slots" -> slots = (int) number("X-Labels slots", value, 1, MOST_SLOTS);
-                default -> { }
+                default -> {}
             }
         }
-        return new RpcInfo(name, rpcClass, org == null ? -1 : tenants.indexOf(org),
-                remaining(one(headers, "X-Remaining-Ms"), rpcClass), slots,
+        return new RpcInfo(
+                name,
+                rpcClass,
+                org == null ? -1 : tenants.indexOf(org),
+                remaining(one(headers, "X-Remaining-Ms"), rpcClass),
+                slots,
                 "1".equals(one(headers, "X-Resent")));
     }
 
--- a/src/main/java/saffronferry/wire/StrictDecoder.java
+++ b/src/main/java/saffronferry/wire/StrictDecoder.java
@@ -30,8 +30,8 @@
     static void install(HttpConnection connection, HttpServerOptions options) {
         ChannelHandlerContext library = ((HttpServerConnection) connection).channelHandlerContext();
         Turnstile turnstile = new Turnstile();
-        library.pipeline().replace(VertxHttpRequestDecoder.class, "strictDecoder",
-                new StrictDecoder(options, turnstile));
+        library.pipeline()
+                .replace(VertxHttpRequestDecoder.class, "strictDecoder", new StrictDecoder(options, turnstile));
         library.pipeline().addBefore(library.name(), "turnstile", turnstile);
     }
 
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -22,11 +22,13 @@
 final class SubchannelClient {
     /** A body holds 64 KiB by the protocol; what a line or an answer has beyond that is nonsense. */
     private static final int MOST_LINE = 128 * 1024;
+
     private static final int MOST_ANSWER = 1024 * 1024;
     /** How long an answer may go on after the line that ends its attempt, before its connection is closed. */
     private static final long TAIL_MS = 250;
     /** Beyond the time for which a connection may take to open: the margin in which the module decides. */
     private static final long DIAL_SLACK_MS = 25;
+
     private static final int MOST_PROBE = 16 * 1024;
     private static final long PROBE_WAIT_MS = 500;
     /** To one subchannel, well above its slots: one that hangs must not take the descriptors of all. */
@@ -45,8 +47,13 @@
      * Each attempt opens a connection of its own. A kept one may be dead without a word, and a job written to
      * it ends as a reset that may have run; beside a job's running time a handshake costs next to nothing.
      */
-    SubchannelClient(Vertx vertx, double connectTimeout, LoadParser loads, Descriptors descriptors,
-            AttemptRoom room, BoundedLog log) {
+    SubchannelClient(
+            Vertx vertx,
+            double connectTimeout,
+            LoadParser loads,
+            Descriptors descriptors,
+            AttemptRoom room,
+            BoundedLog log) {
         this.vertx = vertx;
         this.loads = loads;
         this.room = room;
@@ -54,13 +61,16 @@
         answers = new AnswerParser(loads);
         int connectMs = (int) Math.max(1, Math.round(connectTimeout * 1000));
         dialMs = connectMs + DIAL_SLACK_MS;
-        HttpClient client = vertx.httpClientBuilder().with(new HttpClientOptions().setKeepAlive(false)
-                .setTcpNoDelay(true).setConnectTimeout(connectMs))
+        HttpClient client = vertx.httpClientBuilder()
+                .with(new HttpClientOptions()
+                        .setKeepAlive(false)
+                        .setTcpNoDelay(true)
+                        .setConnectTimeout(connectMs))
                 // danger: the builder does not read the most in these options, and takes five: what is beyond
                 // would wait inside the library, unseen, for as long as the jobs before it take
                 .with(new PoolOptions().setHttp1MaxSize(MOST_CONNECTIONS))
                 // guards the log: the attempt hears of a broken connection itself
-                .withConnectHandler(connection -> connection.exceptionHandler(e -> { }))
+                .withConnectHandler(connection -> connection.exceptionHandler(e -> {}))
                 .build();
         attempts = new Dialer(vertx, client, descriptors, Purpose.WORKERS);
         probes = new Dialer(vertx, client, descriptors, Purpose.PROBES);
@@ -76,8 +86,7 @@
      */
     Runnable start(HttpMessage message, String address, long remaining, CallAttempt attempt) {
         Exchange exchange = new Exchange(message, remaining, attempt);
-        attempts.dial(message.method(), Address.parse(address), message.uri(), exchange::connected,
-                exchange::unopened);
+        attempts.dial(message.method(), Address.parse(address), message.uri(), exchange::connected, exchange::unopened);
         room.look(now());
         return exchange::giveUp;
     }
@@ -169,7 +178,10 @@
         void answered(HttpClientResponse response) {
             response.exceptionHandler(this::broken);
             if (response.statusCode() != 200) {
-                answers.status(attempt, response.statusCode(), response.getHeader("X-Turned-Away"),
+                answers.status(
+                        attempt,
+                        response.statusCode(),
+                        response.getHeader("X-Turned-Away"),
                         response.getHeader("X-Pressure"));
             }
             Lines lines = new Lines(MOST_LINE, line -> answers.line(attempt, line));
@@ -215,7 +227,11 @@
     /** Asks for the load if that is still wanted once connected; tells how it ended, and the load or null. */
     void probe(String address, BooleanSupplier wanted, BiConsumer<Outcome, Report> told) {
         Probe probe = new Probe(wanted, told);
-        probes.dial(HttpMethod.GET, Address.parse(address), "/metrics/load", probe::connected,
+        probes.dial(
+                HttpMethod.GET,
+                Address.parse(address),
+                "/metrics/load",
+                probe::connected,
                 e -> probe.end(Dialer.unopened(e), null));
     }
 
@@ -252,8 +268,7 @@
                     body.appendBuffer(chunk);
                 }
             });
-            response.endHandler(v ->
-                    end(outcome, outcome == Outcome.OK ? loads.parse(body.toString()) : null));
+            response.endHandler(v -> end(outcome, outcome == Outcome.OK ? loads.parse(body.toString()) : null));
         }
 
         private void expire() {
--- a/src/main/java/saffronferry/wire/Turnstile.java
+++ b/src/main/java/saffronferry/wire/Turnstile.java
@@ -24,11 +24,13 @@
 final class Turnstile extends ChannelDuplexHandler {
     /** Clients send one request at a time; some more are served, in turn. */
     static final int MOST_WAITING = 32;
+
     private static final int MOST_BYTES = ChannelServer.MOST_BODY;
 
     private final ArrayDeque<HttpObject> waiting = new ArrayDeque<>();
     /** When the first byte came of each request that is yet to be let through, as System.nanoTime counts. */
     private final ArrayDeque<Long> firstBytes = new ArrayDeque<>();
+
     private long firstByteAt;
     private int heads;
     private int bytes;
@@ -90,8 +92,9 @@
 
     @Override
     public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
-        boolean answers = msg instanceof LastHttpContent && !(msg instanceof HttpResponse response
-                && response.status().code() == HttpResponseStatus.CONTINUE.code());
+        boolean answers = msg instanceof LastHttpContent
+                && !(msg instanceof HttpResponse response
+                        && response.status().code() == HttpResponseStatus.CONTINUE.code());
         ctx.write(msg, promise);
         if (answers) {
             unanswered--;
--- a/src/main/java/saffronferry/wire/Wire.java
+++ b/src/main/java/saffronferry/wire/Wire.java
@@ -25,9 +25,16 @@
 /** Joins what is spoken on the sockets with what is kept in memory. */
 public final class Wire implements Ports<HttpMessage> {
     /** Names and figures that the speakers need. */
-    public record Options(Address discovery, Address peerListen, List<Address> peers, List<JobClass> classes,
-                          List<String> tenants, ListParser lists, String freeSlots,
-                          double connectTimeout, boolean pushed) { }
+    public record Options(
+            Address discovery,
+            Address peerListen,
+            List<Address> peers,
+            List<JobClass> classes,
+            List<String> tenants,
+            ListParser lists,
+            String freeSlots,
+            double connectTimeout,
+            boolean pushed) {}
 
     private static final long WARM_UP_MS = 500;
     private static final int MOST_WARM_UPS = 8;
@@ -46,8 +53,14 @@
     private final ChannelServer server;
     private BiConsumer<Integer, byte[]> settings;
 
-    public Wire(Vertx vertx, Options o, Balancer balancer, Figures figures, Descriptors descriptors,
-            BoundedTransport transport, BoundedLog log) {
+    public Wire(
+            Vertx vertx,
+            Options o,
+            Balancer balancer,
+            Figures figures,
+            Descriptors descriptors,
+            BoundedTransport transport,
+            BoundedLog log) {
         this.vertx = vertx;
         this.log = log;
         this.transport = transport;
@@ -56,14 +69,18 @@
         ledger = new Ledger<>(balancer, new Clock(), this, figures);
         AttemptRoom room = new AttemptRoom(descriptors, open -> ledger.report(new News.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
-        subchannels = new SubchannelClient(vertx, o.connectTimeout(),
-                new LoadParser(o.freeSlots()), descriptors, room, log);
-        discovery = new DiscoveryWatch(vertx, o.discovery(), o.lists(), u -> ledger.resolved(u, false),
-                how -> ledger.report(new News.WatchLost(how)), descriptors, log);
-        peers = new PeerSocket(vertx, o.peers(),
-                (peer, bytes) -> heard(peer, bytes), transport.control(), log);
-        server = new ChannelServer(vertx, new RpcParser(o.classes(), o.tenants()), ledger,
-                transport, figures, log);
+        subchannels =
+                new SubchannelClient(vertx, o.connectTimeout(), new LoadParser(o.freeSlots()), descriptors, room, log);
+        discovery = new DiscoveryWatch(
+                vertx,
+                o.discovery(),
+                o.lists(),
+                u -> ledger.resolved(u, false),
+                how -> ledger.report(new News.WatchLost(how)),
+                descriptors,
+                log);
+        peers = new PeerSocket(vertx, o.peers(), (peer, bytes) -> heard(peer, bytes), transport.control(), log);
+        server = new ChannelServer(vertx, new RpcParser(o.classes(), o.tenants()), ledger, transport, figures, log);
     }
 
     /** Opens the peers' socket, which the first decisions already use; then takes the known list in. */
@@ -165,7 +182,9 @@
 
     @Override
     public void probe(String subchannel, String address) {
-        subchannels.probe(address, () -> !ledger.bans().has(subchannel),
+        subchannels.probe(
+                address,
+                () -> !ledger.bans().has(subchannel),
                 (outcome, load) -> ledger.report(new News.Probed(subchannel, outcome, load)));
     }
 
--- a/src/test/java/saffronferry/BesideTest.java
+++ b/src/test/java/saffronferry/BesideTest.java
@@ -26,8 +26,10 @@
     private static Balancer balancer() throws Exception {
         JSONObject config = new JSONObject(Files.readString(Path.of("examples/config.json")));
         Balancer b = new Balancer(new SettingsReader(7, config.getJSONObject("settings")).settings);
-        b.report(S, new News.Resolved(ListKind.WARM_COPY, List.of(
-                new WorkerInfo("w", WorkerState.IN_SERVICE, 0, 0, 0, 1))));
+        b.report(
+                S,
+                new News.Resolved(
+                        ListKind.WARM_COPY, List.of(new WorkerInfo("w", WorkerState.IN_SERVICE, 0, 0, 0, 1))));
         return b;
     }
 
@@ -58,7 +60,9 @@
         Balancer fresh = balancer();
         assertEquals(2, fill(fresh, 2 * S, 9), "nothing is known: two slots a worker");
         Balancer next = balancer();
-        next.report(2 * S, new News.RunsBeside(new Beside(Map.of(), taught().beside().learned())));
+        next.report(
+                2 * S,
+                new News.RunsBeside(new Beside(Map.of(), taught().beside().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
@@ -109,8 +113,10 @@
 
     /** Jobs that a cold worker is sent in its first seconds, each done as soon as it is sent. */
     private static int sentCold(Balancer b) {
-        b.report(2 * S, new News.Resolved(ListKind.WHOLE, List.of(
-                new WorkerInfo("cold", WorkerState.IN_SERVICE, 0, 0, 2 * S, 1))));
+        b.report(
+                2 * S,
+                new News.Resolved(
+                        ListKind.WHOLE, List.of(new WorkerInfo("cold", WorkerState.IN_SERVICE, 0, 0, 2 * S, 1))));
         int n = 0;
         for (int i = 1; i <= 100; i++) {
             long now = 2 * S + i * 50_000L;
@@ -132,7 +138,6 @@
         Balancer one = taught();
         one.report(2 * S, new News.RunsBeside(new Beside(Map.of(), new double[] {1})));
         int ofTwo = sentCold(one);
-        assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1,
-                ofTwo + " beside another, " + alone + " alone");
+        assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " beside another, " + alone + " alone");
     }
 }
--- a/src/test/java/saffronferry/BoundariesTest.java
+++ b/src/test/java/saffronferry/BoundariesTest.java
@@ -12,38 +12,101 @@
 /** Who may know whom: decisions know neither sockets nor clocks, and serve loads nothing of the laboratory. */
 class BoundariesTest {
     private static final JavaClasses ALL = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("saffronferry");
+            .withImportOption(new ImportOption.DoNotIncludeTests())
+            .importPackages("saffronferry");
 
     @Test
     void decisionsDoNoInputOrOutput() {
-        noClasses().that().resideInAnyPackage("saffronferry", "saffronferry.fleet", "saffronferry.limit",
-                "saffronferry.ops", "saffronferry.agree", "saffronferry.lab.check", "saffronferry.lab.policy").should().dependOnClassesThat().resideInAnyPackage("io..", "java.net..",
-                "java.nio..", "java.io..", "java.util.concurrent..", "java.time..").check(ALL);
-        noClasses().that().resideInAnyPackage("saffronferry", "saffronferry.fleet", "saffronferry.limit",
-                "saffronferry.ops", "saffronferry.agree", "saffronferry.lab.check", "saffronferry.lab.policy").should().callMethod(System.class, "nanoTime").orShould()
-                .callMethod(System.class, "currentTimeMillis").check(ALL);
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "saffronferry",
+                        "saffronferry.fleet",
+                        "saffronferry.limit",
+                        "saffronferry.ops",
+                        "saffronferry.agree",
+                        "saffronferry.lab.check",
+                        "saffronferry.lab.policy")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "io..", "java.net..", "java.nio..", "java.io..", "java.util.concurrent..", "java.time..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "saffronferry",
+                        "saffronferry.fleet",
+                        "saffronferry.limit",
+                        "saffronferry.ops",
+                        "saffronferry.agree",
+                        "saffronferry.lab.check",
+                        "saffronferry.lab.policy")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(ALL);
     }
 
     @Test
     void theLedgerKnowsNoSocketAndTheModuleKnowsNobody() {
-        noClasses().that().resideInAPackage("saffronferry.state").should().dependOnClassesThat()
-                .resideInAnyPackage("io..", "saffronferry.wire..", "saffronferry.lifecycle..").check(ALL);
-        noClasses().that().resideInAPackage("saffronferry").should().dependOnClassesThat(resideInAPackage("saffronferry.*..")
-                .and(resideOutsideOfPackage("saffronferry.fleet"))).check(ALL);
-        noClasses().that().resideInAPackage("saffronferry.fleet").should().dependOnClassesThat(
-                resideInAPackage("saffronferry..").and(resideOutsideOfPackage("saffronferry.fleet"))).check(ALL);
-        noClasses().that().resideInAPackage("saffronferry.agree").should().dependOnClassesThat(
-                resideInAPackage("saffronferry..").and(resideOutsideOfPackage("saffronferry.agree"))).check(ALL);
-        noClasses().that().resideInAPackage("saffronferry.adapter").should().dependOnClassesThat()
-                .resideInAnyPackage("saffronferry.lifecycle..", "saffronferry.wire..").check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.state")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("io..", "saffronferry.wire..", "saffronferry.lifecycle..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry")
+                .should()
+                .dependOnClassesThat(
+                        resideInAPackage("saffronferry.*..").and(resideOutsideOfPackage("saffronferry.fleet")))
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.fleet")
+                .should()
+                .dependOnClassesThat(
+                        resideInAPackage("saffronferry..").and(resideOutsideOfPackage("saffronferry.fleet")))
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.agree")
+                .should()
+                .dependOnClassesThat(
+                        resideInAPackage("saffronferry..").and(resideOutsideOfPackage("saffronferry.agree")))
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.adapter")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("saffronferry.lifecycle..", "saffronferry.wire..")
+                .check(ALL);
     }
 
     @Test
     void whatOperatorsCallForIsDecidedWithoutSocketsAndTheirServerDecidesNothing() {
-        noClasses().that().resideInAPackage("saffronferry.ops").should().dependOnClassesThat()
-                .resideInAnyPackage("saffronferry", "saffronferry.state..", "saffronferry.limit..",
-                        "saffronferry.wire..", "saffronferry.lifecycle..").check(ALL);
-        noClasses().that().haveSimpleNameStartingWith("ConsoleServer").should().dependOnClassesThat()
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.ops")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "saffronferry",
+                        "saffronferry.state..",
+                        "saffronferry.limit..",
+                        "saffronferry.wire..",
+                        "saffronferry.lifecycle..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .haveSimpleNameStartingWith("ConsoleServer")
+                .should()
+                .dependOnClassesThat()
                 .resideInAnyPackage("saffronferry.ops..", "saffronferry.state..", "saffronferry.lifecycle..")
                 .check(ALL);
     }
@@ -51,40 +114,102 @@
     /** It judges from outside: of the program it knows scenarios, the rules' checker and the facade's words. */
     @Test
     void theRigKnowsNothingOfWhatDispatchersDo() {
-        noClasses().that().resideInAPackage("saffronferry.rig").should().dependOnClassesThat()
-                .resideInAnyPackage("saffronferry.lifecycle..", "saffronferry.wire..", "saffronferry.state..",
-                        "saffronferry.fleet..", "saffronferry.limit..", "saffronferry.ops..").check(ALL);
-        noClasses().that().haveSimpleNameStartingWith("WorkerModel").or().haveSimpleNameStartingWith("PeerLinks")
-                .should().dependOnClassesThat().resideInAnyPackage("io..", "java.io..", "java.net..", "java.time..")
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.rig")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "saffronferry.lifecycle..",
+                        "saffronferry.wire..",
+                        "saffronferry.state..",
+                        "saffronferry.fleet..",
+                        "saffronferry.limit..",
+                        "saffronferry.ops..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .haveSimpleNameStartingWith("WorkerModel")
+                .or()
+                .haveSimpleNameStartingWith("PeerLinks")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("io..", "java.io..", "java.net..", "java.time..")
                 .check(ALL);
     }
 
     /** A forecast is reckoned from what a file says, and the command reads that file. */
     @Test
     void fitsAreReckonedWithoutInputOrOutputAndKnowNothingOfWhatWasMeasured() {
-        noClasses().that().resideInAPackage("saffronferry.scale.fit").should().dependOnClassesThat()
-                .resideInAnyPackage("io..", "java.net..", "java.nio..", "java.io..", "java.util.concurrent..", "java.time..")
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.scale.fit")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "io..", "java.net..", "java.nio..", "java.io..", "java.util.concurrent..", "java.time..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.scale.fit")
+                .should()
+                .dependOnClassesThat(
+                        resideInAPackage("saffronferry..").and(resideOutsideOfPackage("saffronferry.scale.fit")))
                 .check(ALL);
-        noClasses().that().resideInAPackage("saffronferry.scale.fit").should().dependOnClassesThat(
-                resideInAPackage("saffronferry..").and(resideOutsideOfPackage("saffronferry.scale.fit"))).check(ALL);
     }
 
     /** Hollow dispatchers have the real module and the real reading of lists, and no socket. */
     @Test
     void hollowDispatchersKnowNoSocketAndNobodyKnowsThemButTheCommandLine() {
-        noClasses().that().resideInAPackage("saffronferry.scale").should().dependOnClassesThat()
-                .resideInAnyPackage("io..", "java.net..", "saffronferry.lifecycle..", "saffronferry.rig..",
-                        "saffronferry.cli..", "saffronferry.limit..", "saffronferry.ops..").check(ALL);
-        noClasses().that().resideInAPackage("saffronferry.lab..").should().dependOnClassesThat()
-                .resideInAnyPackage("saffronferry.scale..").check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.scale")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "io..",
+                        "java.net..",
+                        "saffronferry.lifecycle..",
+                        "saffronferry.rig..",
+                        "saffronferry.cli..",
+                        "saffronferry.limit..",
+                        "saffronferry.ops..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("saffronferry.lab..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("saffronferry.scale..")
+                .check(ALL);
     }
 
     @Test
     void whatServeLoadsDependsOnNothingOfTheLaboratory() {
-        noClasses().that().resideInAnyPackage("saffronferry", "saffronferry.limit", "saffronferry.ops", "saffronferry.agree", "saffronferry.log",
-                "saffronferry.settings", "saffronferry.state", "saffronferry.wire", "saffronferry.lifecycle",
-                "saffronferry.adapter").should().dependOnClassesThat().resideInAnyPackage("saffronferry.lab..",
-                "saffronferry.scale..", "saffronferry.rig..", "saffronferry.cli..", "picocli..", "org.tomlj..", "org.HdrHistogram..", "org.apache.commons..")
+        noClasses()
+                .that()
+                .resideInAnyPackage(
+                        "saffronferry",
+                        "saffronferry.limit",
+                        "saffronferry.ops",
+                        "saffronferry.agree",
+                        "saffronferry.log",
+                        "saffronferry.settings",
+                        "saffronferry.state",
+                        "saffronferry.wire",
+                        "saffronferry.lifecycle",
+                        "saffronferry.adapter")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "saffronferry.lab..",
+                        "saffronferry.scale..",
+                        "saffronferry.rig..",
+                        "saffronferry.cli..",
+                        "picocli..",
+                        "org.tomlj..",
+                        "org.HdrHistogram..",
+                        "org.apache.commons..")
                 .check(ALL);
     }
 }
--- a/src/test/java/saffronferry/ColdBudgetTest.java
+++ b/src/test/java/saffronferry/ColdBudgetTest.java
@@ -4,10 +4,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.junit.jupiter.api.Test;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import org.junit.jupiter.api.Test;
 
 /** Rule 4 over many instances: together they must not push a cold worker over. */
 class ColdBudgetTest {
@@ -68,7 +68,9 @@
         int n = 0;
         for (int d = 0; d < rigs.size(); d++) {
             List<Rig.Send> sends = rigs.get(d).sends;
-            n += (int) sends.subList(done[d], sends.size()).stream().filter(s -> s.worker().equals(worker)).count();
+            n += (int) sends.subList(done[d], sends.size()).stream()
+                    .filter(s -> s.worker().equals(worker))
+                    .count();
         }
         return n;
     }
