--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -226,8 +226,8 @@
     void aKeyedRequestIsRepeatedOnlyInItsGroupAndWindow() {
         plan.zones = 2;
         plan.classes = List.of(Rig.jobClass(Effect.KEYED, Group.CELL));
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"),
-                new Contract.WorkerInfo("b", WorkerState.IN_SERVICE, 0, 0, 0, 9));
+        Rig rig = new Rig(plan.settings())
+                .list(Rig.worker("a"), new Contract.WorkerInfo("b", WorkerState.IN_SERVICE, 0, 0, 0, 9));
         rig.ask(1);
         String first = rig.workerOf(1);
         rig.answer(1, 0, Outcome.ERROR);
@@ -285,7 +285,10 @@
         }
         assertEquals(2, rig.sentTo("a"));
         assertEquals(2, rig.sentTo("far"));
-        assertTrue(rig.sends.get(0).worker().equals("a") && rig.sends.get(1).worker().equals("a"), "own zone first");
+        assertTrue(
+                rig.sends.get(0).worker().equals("a")
+                        && rig.sends.get(1).worker().equals("a"),
+                "own zone first");
     }
 
     @Test
@@ -324,7 +327,10 @@
         }
         int own = rig.sends.size();
         assertTrue(own < 8, "some workers belong to the other dispatcher");
-        String foreign = List.of("a", "b", "c", "d").stream().filter(w -> rig.sentTo(w) == 0).findFirst().orElseThrow();
+        String foreign = List.of("a", "b", "c", "d").stream()
+                .filter(w -> rig.sentTo(w) == 0)
+                .findFirst()
+                .orElseThrow();
         Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
         offer.add(new Book.Worker(foreign, 0).hash, 1);
         rig.told.clear();
@@ -367,7 +373,9 @@
         assertEquals(3, rig.sentTo("far")); // three were offered, each is used once
         // who lent the slots must hear of it, or it fills them too
         int last = rig.toldTo.lastIndexOf(1);
-        assertTrue(rig.told.stream().map(b -> Message.read(b, 0)).anyMatch(m -> m.type == Message.Type.BORROWS && m.count[0] == 3));
+        assertTrue(rig.told.stream()
+                .map(b -> Message.read(b, 0))
+                .anyMatch(m -> m.type == Message.Type.BORROWS && m.count[0] == 3));
         assertEquals(1, rig.toldTo.get(last));
     }
 
@@ -432,8 +440,11 @@
         rig.run(1_100 * Rig.MS);
         rig.sends.forEach(s -> rig.answer(s.id(), 0, Outcome.OK));
         rig.run(1_600 * Rig.MS);
-        List<String> told = rig.told.stream().map(b -> Message.read(b, 0)).filter(m -> m.type == Message.Type.HOLDS)
-                .map(m -> m.entries == 0 ? "none" : Integer.toString(m.count[0])).toList();
+        List<String> told = rig.told.stream()
+                .map(b -> Message.read(b, 0))
+                .filter(m -> m.type == Message.Type.HOLDS)
+                .map(m -> m.entries == 0 ? "none" : Integer.toString(m.count[0]))
+                .toList();
         assertEquals(List.of(Integer.toString(held), Integer.toString(held), "none"), told);
     }
 
@@ -455,8 +466,11 @@
     }
 
     private static List<String> borrows(Rig rig) {
-        return rig.told.stream().map(b -> Message.read(b, 0)).filter(m -> m.type == Message.Type.BORROWS)
-                .map(m -> m.hash[0] + " " + m.count[0]).toList();
+        return rig.told.stream()
+                .map(b -> Message.read(b, 0))
+                .filter(m -> m.type == Message.Type.BORROWS)
+                .map(m -> m.hash[0] + " " + m.count[0])
+                .toList();
     }
 
     /** Seen in eight dispatchers that meet: slots counted as taken by jobs that had ended long ago, or as free. */
@@ -486,12 +500,19 @@
     void jobsToldOfAWorkerThatHasChangedHandsAreForgotten() {
         plan.peers = 3;
         // jobs so long that none is taken for over by its age
-        plan.classes = List.of(new JobClass("c", 300 * Rig.MS, 2, 90 * Rig.S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * Rig.S, -1));
+        plan.classes =
+                List.of(new JobClass("c", 300 * Rig.MS, 2, 90 * Rig.S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * Rig.S, -1));
         WorkerInfo[] all = {Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d")};
-        int[] hashes = Arrays.stream(all).mapToInt(w -> new Book.Worker(w.address(), 0).hash).sorted().toArray();
+        int[] hashes = Arrays.stream(all)
+                .mapToInt(w -> new Book.Worker(w.address(), 0).hash)
+                .sorted()
+                .toArray();
         int[] two = Owners.share(hashes, new int[] {0, 2});
         int[] three = Owners.share(hashes, new int[] {0, 1, 2});
-        int moving = IntStream.range(0, 4).filter(i -> two[i] == 0 && three[i] != 0).findFirst().orElseThrow();
+        int moving = IntStream.range(0, 4)
+                .filter(i -> two[i] == 0 && three[i] != 0)
+                .findFirst()
+                .orElseThrow();
         Rig rig = new Rig(plan.settings()).list(all);
         byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes();
         Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * Rig.MS);
@@ -606,8 +627,9 @@
     void foreignMessagesAreIgnored() {
         plan.peers = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        for (byte[] bytes : List.of(new byte[0], new byte[] {1, 2}, new byte[] {9, 0, 0, 0, 0, 0, 77},
-                new byte[] {0, 0, 0, 0, 0, 0, 1, 5})) {
+        for (byte[] bytes : List.of(
+                new byte[0], new byte[] {1, 2}, new byte[] {9, 0, 0, 0, 0, 0, 77}, new byte[] {0, 0, 0, 0, 0, 0, 1, 5
+                })) {
             rig.module.peerMessage(rig.now, 1, bytes);
         }
         rig.module.peerMessage(rig.now, 99, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -63,7 +63,8 @@
         worker(rig, "a").fulls = Integer.MAX_VALUE - 2;
         for (long id = 1; id <= 70; id++) {
             rig.ask(id);
-            assertEquals(id, rig.sends.size(), "the worker rests until " + worker(rig, "a").restUntil + " at " + rig.now);
+            assertEquals(
+                    id, rig.sends.size(), "the worker rests until " + worker(rig, "a").restUntil + " at " + rig.now);
             rig.answer(id, 0, Outcome.FULL);
             long rest = worker(rig, "a").restUntil - rig.now;
             assertTrue(rest >= 3_200 * Rig.MS && rest <= 4 * Rig.S, "rests " + rest);
@@ -117,10 +118,21 @@
     /** A bit mask of classes holds 64: the 65th must not block the first. */
     @Test
     void aClassBeyondTheSixtyFourthBlocksNoOther() {
-        plan.classes = IntStream.range(0, 66).mapToObj(c -> new JobClass("c" + c, 300 * Rig.MS, 2, 5 * Rig.S, 1, 0.2,
-                Effect.SAFE, Group.ALL, 7 * Rig.S, c == 64 ? 1 : 0)).toList();
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"),
-                new WorkerInfo("b", WorkerState.IN_SERVICE, 1, 0, 0, 0));
+        plan.classes = IntStream.range(0, 66)
+                .mapToObj(c -> new JobClass(
+                        "c" + c,
+                        300 * Rig.MS,
+                        2,
+                        5 * Rig.S,
+                        1,
+                        0.2,
+                        Effect.SAFE,
+                        Group.ALL,
+                        7 * Rig.S,
+                        c == 64 ? 1 : 0))
+                .toList();
+        Rig rig =
+                new Rig(plan.settings()).list(Rig.worker("a"), new WorkerInfo("b", WorkerState.IN_SERVICE, 1, 0, 0, 0));
         rig.ask(1, 64, -1, 5 * Rig.S, false);
         rig.answer(1, 0, Outcome.FULL); // b rests for a while: nothing is found for class 64
         rig.ask(2, 64, -1, 5 * Rig.S, false);
@@ -173,15 +185,18 @@
         for (double theirs : new double[] {0, 1e-9, 30, 4_095}) {
             plan.peers = 2;
             plan.tenants = List.of(new Tenant("t", 5));
-            Rig rig = new Rig(plan.settings()).list(IntStream.range(0, 8).mapToObj(i -> Rig.worker("w" + i))
-                    .toArray(WorkerInfo[]::new));
+            Rig rig = new Rig(plan.settings())
+                    .list(IntStream.range(0, 8)
+                            .mapToObj(i -> Rig.worker("w" + i))
+                            .toArray(WorkerInfo[]::new));
             for (int i = 0; i < 20; i++) {
                 rig.module.peerMessage(rig.now, 1, hello(1, theirs));
                 rig.run(250 * Rig.MS);
             }
             double share = (double) get(rig.module, "share");
             double traffic = (double) get(rig.module, "trafficShare");
-            assertTrue(share >= 0 && share <= 1 && traffic >= 0 && traffic <= 1, theirs + ": " + share + ", " + traffic);
+            assertTrue(
+                    share >= 0 && share <= 1 && traffic >= 0 && traffic <= 1, theirs + ": " + share + ", " + traffic);
             assertEquals(theirs > 0.1 ? 0 : 0.5, share, "even parts where nobody has traffic, none beside one who has");
             rig.ask(1, 0, 0, 5 * Rig.S, false);
             assertEquals(1, rig.sends.size());
@@ -241,7 +256,8 @@
     @Test
     void aPeerThatDiesAfterALongStopIsForgottenSoon() {
         plan.peers = 2;
-        WorkerInfo[] all = IntStream.range(0, 8).mapToObj(i -> Rig.worker("w" + i)).toArray(WorkerInfo[]::new);
+        WorkerInfo[] all =
+                IntStream.range(0, 8).mapToObj(i -> Rig.worker("w" + i)).toArray(WorkerInfo[]::new);
         Rig rig = new Rig(plan.settings()).list(all);
         rig.module.peerMessage(rig.now, 1, hello(1, 5));
         rig.run(3 * Rig.S);
@@ -257,7 +273,8 @@
 
     private Rig withBorrowedSlots(int peersMessages) throws Exception {
         plan.peers = 2;
-        WorkerInfo[] all = IntStream.range(0, 8).mapToObj(i -> Rig.worker("w" + i)).toArray(WorkerInfo[]::new);
+        WorkerInfo[] all =
+                IntStream.range(0, 8).mapToObj(i -> Rig.worker("w" + i)).toArray(WorkerInfo[]::new);
         Rig rig = new Rig(plan.settings()).list(all);
         rig.module.peerMessage(rig.now, 1, hello(1, 5));
         rig.run(100 * Rig.MS);
@@ -297,7 +314,9 @@
     void aWorkerThatIsGoneAndBackHasNoBorrowedSlots() throws Exception {
         Rig rig = withBorrowedSlots(1);
         for (WorkerState state : List.of(WorkerState.GONE, WorkerState.IN_SERVICE)) {
-            rig.change(IntStream.range(0, 8).mapToObj(i -> Rig.worker("w" + i, 0, state, 0)).toArray(WorkerInfo[]::new));
+            rig.change(IntStream.range(0, 8)
+                    .mapToObj(i -> Rig.worker("w" + i, 0, state, 0))
+                    .toArray(WorkerInfo[]::new));
         }
         assertEquals(0, others(rig));
     }
@@ -372,8 +391,8 @@
     void repeatsOfWhatMayHaveRunAreBoundedInAll() {
         plan.maxAttempts = 4;
         plan.classes = List.of(Rig.jobClass(Effect.SAFE, Group.ALL));
-        Rig rig = new Rig(plan.settings()).list(IntStream.range(0, 20).mapToObj(i -> Rig.worker("w" + i))
-                .toArray(WorkerInfo[]::new));
+        Rig rig = new Rig(plan.settings())
+                .list(IntStream.range(0, 20).mapToObj(i -> Rig.worker("w" + i)).toArray(WorkerInfo[]::new));
         int seen = 0;
         long asked = 20 * 200;
         for (long id = 1; id <= asked; id++) {
@@ -399,9 +418,14 @@
             rig.ask(id);
         }
         assertEquals(200, rig.sends.size());
-        long broken = rig.sends.stream().filter(s -> s.worker().equals("a")).findFirst().orElseThrow().id();
+        long broken = rig.sends.stream()
+                .filter(s -> s.worker().equals("a"))
+                .findFirst()
+                .orElseThrow()
+                .id();
         rig.answer(broken, 0, Outcome.CONNECT_FAILED);
-        List.copyOf(rig.sends).stream().filter(s -> s.worker().equals("b") && s.id() != broken && s.attempt() == 0)
+        List.copyOf(rig.sends).stream()
+                .filter(s -> s.worker().equals("b") && s.id() != broken && s.attempt() == 0)
                 .forEach(s -> rig.answer(s.id(), 0, Outcome.OK));
         int copies = rig.sends.size() - 200;
         assertTrue(copies > 5 && copies <= 0.2 * 200 + 25 + 1, copies + " copies");
--- a/src/test/java/saffronferry/FiringsTest.java
+++ b/src/test/java/saffronferry/FiringsTest.java
@@ -34,20 +34,33 @@
     /** Variance over mean of the firings in each slot of a span. */
     private static double spread(String what, List<Long> firings, long from, long until) {
         int[] slots = new int[(int) ((until - from) / SLOT)];
-        firings.stream().filter(t -> t >= from && t < until).forEach(t ->
-                slots[(int) Math.min(slots.length - 1, (t - from) / SLOT)]++);
+        firings.stream()
+                .filter(t -> t >= from && t < until)
+                .forEach(t -> slots[(int) Math.min(slots.length - 1, (t - from) / SLOT)]++);
         double mean = Arrays.stream(slots).average().orElse(0);
-        double variance = Arrays.stream(slots).mapToDouble(n -> (n - mean) * (n - mean)).average().orElse(0);
+        double variance = Arrays.stream(slots)
+                .mapToDouble(n -> (n - mean) * (n - mean))
+                .average()
+                .orElse(0);
         double result = mean == 0 ? 0 : variance / mean;
-        System.out.printf(Locale.ROOT, "%s: %d in %d slots, most in one %d, spread %.2f%n", what,
-                Arrays.stream(slots).sum(), slots.length, Arrays.stream(slots).max().orElse(0), result);
+        System.out.printf(
+                Locale.ROOT,
+                "%s: %d in %d slots, most in one %d, spread %.2f%n",
+                what,
+                Arrays.stream(slots).sum(),
+                slots.length,
+                Arrays.stream(slots).max().orElse(0),
+                result);
         return result;
     }
 
     private static List<Long> told(List<Rig> all, String action) {
         List<Long> times = new ArrayList<>();
-        all.forEach(rig -> rig.trace.stream().filter(line -> line.contains(" " + action + " "))
-                .mapToLong(line -> Long.parseLong(line.substring(0, line.indexOf(' ')))).distinct().forEach(times::add));
+        all.forEach(rig -> rig.trace.stream()
+                .filter(line -> line.contains(" " + action + " "))
+                .mapToLong(line -> Long.parseLong(line.substring(0, line.indexOf(' '))))
+                .distinct()
+                .forEach(times::add));
         return times;
     }
 
--- a/src/test/java/saffronferry/FleetTest.java
+++ b/src/test/java/saffronferry/FleetTest.java
@@ -63,8 +63,8 @@
         assertEquals(Sharing.Fallback.ALONE, rig.module.sharing().fallback());
         assertEquals(0.25, rig.module.sharing().part());
         for (int peer : new int[] {1, 2}) {
-            rig.module.peerMessage(rig.now, peer,
-                    new Message(Message.Type.OFFERS, peer - 1, 1, 1, 1, 50 * Rig.MS).bytes());
+            rig.module.peerMessage(
+                    rig.now, peer, new Message(Message.Type.OFFERS, peer - 1, 1, 1, 1, 50 * Rig.MS).bytes());
         }
         Sharing s = rig.module.sharing();
         assertEquals(Sharing.Fallback.PARTS, s.fallback());
@@ -72,7 +72,8 @@
         assertTrue(s.guarded() == 0 || s.part() == 1 / 3.0, "one is elsewhere: " + s);
     }
 
-    private static final Lessons KNOWN = new Lessons(2, List.of(Rig.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
+    private static final Lessons KNOWN =
+            new Lessons(2, List.of(Rig.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
 
     /** One dispatcher; zones keep their workers. */
     private static Homes alone(int zones, int zone) {
@@ -174,7 +175,9 @@
                 change(fleet, all.get(dice.nextInt(all.size())), dice);
             }
             fleet.warmUp(round - 40);
-            int[] near = IntStream.range(0, 3).filter(y -> y == 0 || dice.nextInt(200) > 20).toArray();
+            int[] near = IntStream.range(0, 3)
+                    .filter(y -> y == 0 || dice.nextInt(200) > 20)
+                    .toArray();
             BitSet served = BitSet.valueOf(new long[] {dice.nextInt(50) == 0 ? 2 : 3});
             boolean anew = (round / 50 & 1) == 0 && homes.hear(near, near, served) || round == 0;
             fleet.arrange(homes, anew, KNOWN).forEach(w -> fleet.place(w, w.ours));
@@ -196,8 +199,10 @@
     }
 
     private static void compare(Fleet fleet, Homes homes, List<Book.Worker> all) {
-        List<Book.Worker> sorted = all.stream().filter(w -> w.state != Contract.WorkerState.GONE)
-                .sorted(Comparator.comparing((Book.Worker w) -> w.hash).thenComparing(w -> w.address)).toList();
+        List<Book.Worker> sorted = all.stream()
+                .filter(w -> w.state != Contract.WorkerState.GONE)
+                .sorted(Comparator.comparing((Book.Worker w) -> w.hash).thenComparing(w -> w.address))
+                .toList();
         for (int z = 0; z < 2; z++) {
             int zone = z;
             assertEquals(sorted.stream().filter(w -> homes.zoneOf(w) == zone).toList(), List.of(fleet.ring[z]));
@@ -209,16 +214,25 @@
         }
         List<Book.Worker> ours = here.stream().filter(homes::ours).toList();
         assertEquals(ours, List.of(fleet.ours));
-        assertEquals(ours, all.stream().filter(w -> w.ours).sorted(Comparator.comparing(sorted::indexOf)).toList());
+        assertEquals(
+                ours,
+                all.stream()
+                        .filter(w -> w.ours)
+                        .sorted(Comparator.comparing(sorted::indexOf))
+                        .toList());
         assertEquals(ours.stream().filter(w -> w.coldSince != 0).toList(), List.copyOf(fleet.coldOurs()));
         assertEquals(here.stream().anyMatch(w -> w.coldSince != 0), fleet.anyCold());
         assertEquals(ours.stream().filter(w -> w.suspect).toList(), fleet.watched(0, ours.size()));
         for (int k = 0; k < fleet.groups(); k++) {
             int kind = k == 2 ? -1 : k;
-            List<Book.Worker> present = here.stream().filter(w -> w.kind == kind).toList();
+            List<Book.Worker> present =
+                    here.stream().filter(w -> w.kind == kind).toList();
             assertEquals(present.size(), fleet.present(k));
-            assertEquals(present.stream().filter(w -> !w.suspect && w.state == Contract.WorkerState.IN_SERVICE)
-                    .count(), fleet.counted(k));
+            assertEquals(
+                    present.stream()
+                            .filter(w -> !w.suspect && w.state == Contract.WorkerState.IN_SERVICE)
+                            .count(),
+                    fleet.counted(k));
         }
     }
 }
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -69,8 +69,12 @@
                     rig.run(20 * Rig.MS);
                     rig.ask(job[0]++);
                 }
-                assertEquals(List.of(), rig.sends.subList(sent, rig.sends.size()).stream()
-                        .filter(s -> s.worker().equals("b")).toList(), "sent behind the list");
+                assertEquals(
+                        List.of(),
+                        rig.sends.subList(sent, rig.sends.size()).stream()
+                                .filter(s -> s.worker().equals("b"))
+                                .toList(),
+                        "sent behind the list");
             }
         }
         assertTrue(worst <= TOLD + STOP - MARGIN, worst / 1e6 + " s from the last line to the list");
--- a/src/test/java/saffronferry/ListCostTest.java
+++ b/src/test/java/saffronferry/ListCostTest.java
@@ -17,7 +17,7 @@
     private static final int SHORT = 600;
     private static final int LONG = 21_000;
 
-    private record Looks(long picks, long ticks, long changes) { }
+    private record Looks(long picks, long ticks, long changes) {}
 
     private static Looks play(int workers, int zones, boolean fleet) {
         ModuleCost module = new ModuleCost(workers, zones, fleet);
@@ -60,7 +60,10 @@
     @Test
     void theModuleLooksAtWorkersThroughWhatCounts() throws IOException {
         String module = Files.readString(Path.of("src/main/java/saffronferry/Dispatcher.java"));
-        assertEquals(List.of(), List.of("fleet.byAddress", "fleet.ring", "fleet.ours", "fleet.open[").stream()
-                .filter(module::contains).toList());
+        assertEquals(
+                List.of(),
+                List.of("fleet.byAddress", "fleet.ring", "fleet.ours", "fleet.open[").stream()
+                        .filter(module::contains)
+                        .toList());
     }
 }
--- a/src/test/java/saffronferry/MessageTest.java
+++ b/src/test/java/saffronferry/MessageTest.java
@@ -67,14 +67,21 @@
     /** A part counts once, for a while, and for the process that it was told to. */
     @Test
     void aPartThatIsDoubledLateOrForAProcessBeforeIsNothing() {
-        record Case(String name, long at, long bornAt, long lentBefore, boolean counts) { }
+        record Case(String name, long at, long bornAt, long lentBefore, boolean counts) {}
 
-        for (Case c : new Case[] {new Case("in time", NOW - 1_000, 0, 0, true),
-            new Case("doubled", NOW - 1_000, 0, Message.read(lending(NOW - 1_000, 2).bytes(), NOW).at, false),
+        for (Case c : new Case[] {
+            new Case("in time", NOW - 1_000, 0, 0, true),
+            new Case(
+                    "doubled",
+                    NOW - 1_000,
+                    0,
+                    Message.read(lending(NOW - 1_000, 2).bytes(), NOW).at,
+                    false),
             new Case("overtaken", NOW - 9_000, 0, NOW - 1_000, false),
             new Case("too late", NOW - 500_000, 0, 0, false),
             new Case("for the process before", NOW - 100_000, NOW - 50_000, 0, false),
-            new Case("from the future", NOW + 300_000, 0, 0, false)}) {
+            new Case("from the future", NOW + 300_000, 0, 0, false)
+        }) {
             Book.Peer y = new Book.Peer(1);
             y.borrowed.taken(c.lentBefore);
             Message m = Message.read(lending(c.at, 2).bytes(), NOW);
@@ -96,18 +103,21 @@
         lender.offers(new Book.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
         assertTrue(!lender.lentInVain(true, NOW + 399_000, 400_000) && lender.lentInVain(true, NOW + 400_000, 400_000));
         assertTrue(lender.lentInVain(false, NOW, 400_000), "nobody waits");
-        byte[] bytes = lender.giveBack(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS)).bytes();
+        byte[] bytes = lender.giveBack(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
+                .bytes();
         assertTrue(!lender.lentInVain(false, NOW, 400_000) && !lender.enough(0, 1, 1), "ours no more once it is told");
         for (int cut = 0; cut < bytes.length; cut++) {
             Message.read(Arrays.copyOf(bytes, cut), NOW);
         }
-        record Case(String name, long lentAt, int lent, long backAt, double back) { }
+        record Case(String name, long lentAt, int lent, long backAt, double back) {}
 
-        for (Case c : new Case[] {new Case("in time", NOW, 18, NOW + 90_000, 900_000),
+        for (Case c : new Case[] {
+            new Case("in time", NOW, 18, NOW + 90_000, 900_000),
             new Case("more than was lent", NOW, 10, NOW + 90_000, 500_000),
             new Case("lent at another time", NOW + 8_200, 18, NOW + 90_000, 0),
             new Case("by the process before", 0, 0, NOW + 90_000, 0),
-            new Case("too late", NOW, 18, NOW + 2_100_000, 0)}) {
+            new Case("too late", NOW, 18, NOW + 2_100_000, 0)
+        }) {
             Lent out = new Lent();
             if (c.lent > 0) {
                 out.lent(w.hash, c.lentAt, c.lent * Message.LENT_UNIT);
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -25,6 +25,7 @@
 final class ModuleCost implements Contract.Actions {
     /** Requests at a time: few enough for one worker, so that each size has the same load. */
     static final int BURST = 8;
+
     private static final int SLOTS = 16;
     private static final long TICK = 25 * Rig.MS;
     private static final long HEARD_AGAIN = 500 * Rig.MS;
@@ -69,15 +70,22 @@
     private WorkerInfo info(int number, WorkerState state) {
         int zone = number % settings.zones();
         int cell = number / settings.zones() / 40 * settings.zones() + zone;
-        return new WorkerInfo("10." + (number >> 16) + "." + (number >> 8 & 255) + "." + (number & 255) + ":80", state,
-                number % 2, zone, 0, cell);
+        return new WorkerInfo(
+                "10." + (number >> 16) + "." + (number >> 8 & 255) + "." + (number & 255) + ":80",
+                state,
+                number % 2,
+                zone,
+                0,
+                cell);
     }
 
     private void hear() {
         heardAt = now;
         for (int peer = 1; peer < settings.peers(); peer++) {
-            module.peerMessage(now, peer, new Message(Message.Type.OFFERS, peer % settings.zones(), 1, 1, 20,
-                    500 * Rig.MS).bytes());
+            module.peerMessage(
+                    now,
+                    peer,
+                    new Message(Message.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * Rig.MS).bytes());
         }
     }
 
@@ -117,8 +125,8 @@
     long change(boolean back) {
         int which = dice.nextInt(list.size());
         WorkerInfo w = list.get(which);
-        WorkerInfo drains = new WorkerInfo(w.address(), back ? WorkerState.IN_SERVICE : WorkerState.DRAINING, w.kind(),
-                w.zone(), 0, w.cell());
+        WorkerInfo drains = new WorkerInfo(
+                w.address(), back ? WorkerState.IN_SERVICE : WorkerState.DRAINING, w.kind(), w.zone(), 0, w.cell());
         return change(List.of(drains));
     }
 
@@ -129,8 +137,8 @@
         WorkerInfo young = info(next - next % settings.zones() + settings.zones() + old.zone(), WorkerState.IN_SERVICE);
         next += settings.zones();
         list.set(which, young);
-        long cost = change(List.of(young, new WorkerInfo(old.address(), WorkerState.GONE, old.kind(), old.zone(), 0,
-                old.cell())));
+        long cost = change(
+                List.of(young, new WorkerInfo(old.address(), WorkerState.GONE, old.kind(), old.zone(), 0, old.cell())));
         for (int i = 0; i < ticks; i++) {
             cost += step();
         }
@@ -188,22 +196,32 @@
         }
         double clock = clock();
         double oneTick = tick / rounds - clock;
-        return String.format(Locale.ROOT, "%-6s%6d%9d%9.2f%9.1f%11.1f%11.1f%11.0f", fleet ? "fleet" : "alone", zones, workers,
-                (pick / rounds - clock) / BURST / 1e3, oneTick / 1e3, (change / few - clock) / 1e3,
-                (replace / few - 9 * clock - 8 * oneTick) / 1e3, (whole / Math.max(4, few / 8) - clock) / 1e3);
+        return String.format(
+                Locale.ROOT,
+                "%-6s%6d%9d%9.2f%9.1f%11.1f%11.1f%11.0f",
+                fleet ? "fleet" : "alone",
+                zones,
+                workers,
+                (pick / rounds - clock) / BURST / 1e3,
+                oneTick / 1e3,
+                (change / few - clock) / 1e3,
+                (replace / few - 9 * clock - 8 * oneTick) / 1e3,
+                (whole / Math.max(4, few / 8) - clock) / 1e3);
     }
 
     public static void main(String[] args) {
         int rounds = args.length > 0 ? Integer.parseInt(args[0]) : 4000;
         List<String> layouts = args.length > 1 ? List.of(args[1]) : List.of("alone", "fleet");
         int[] zones = args.length > 2 ? new int[] {Integer.parseInt(args[2])} : new int[] {2, 36};
-        int[] sizes = args.length > 3 ? Arrays.stream(args).skip(3).mapToInt(Integer::parseInt).toArray()
+        int[] sizes = args.length > 3
+                ? Arrays.stream(args).skip(3).mapToInt(Integer::parseInt).toArray()
                 : new int[] {100, 600, 2000, 8000, 21_000};
         for (int i = 0; i < 2; i++) { // for the compiler
             row(600, zones[0], true, rounds);
             row(600, zones[0], false, rounds);
         }
-        System.out.println("processor time in us; list change: one worker drains or is back; replace: beyond 8 ticks' cost");
+        System.out.println(
+                "processor time in us; list change: one worker drains or is back; replace: beyond 8 ticks' cost");
         System.out.println("layout zones  workers     pick     tick     change    replace      whole");
         for (String layout : layouts) {
             for (int z : zones) {
@@ -220,7 +238,7 @@
     }
 
     @Override
-    public void cancel(long request, int attempt) { }
+    public void cancel(long request, int attempt) {}
 
     @Override
     public void refuse(long request, long retryAfter) {
@@ -239,11 +257,11 @@
     }
 
     @Override
-    public void probe(String worker) { }
+    public void probe(String worker) {}
 
     @Override
-    public void tell(int peer, byte[] bytes) { }
+    public void tell(int peer, byte[] bytes) {}
 
     @Override
-    public void subscribe() { }
+    public void subscribe() {}
 }
--- a/src/test/java/saffronferry/ModuleTrace.java
+++ b/src/test/java/saffronferry/ModuleTrace.java
@@ -49,7 +49,9 @@
         plan.peers = peers;
         plan.parallel = dice.nextInt(4) > 0;
         plan.tellsStart = dice.nextBoolean();
-        plan.classes = List.of(Rig.jobClass(Effect.SAFE, Group.ALL), Rig.jobClass(Effect.UNSAFE, Group.ALL),
+        plan.classes = List.of(
+                Rig.jobClass(Effect.SAFE, Group.ALL),
+                Rig.jobClass(Effect.UNSAFE, Group.ALL),
                 Rig.jobClass(Effect.KEYED, Group.values()[dice.nextInt(3)]));
         int workers = 4 << dice.nextInt(7);
         for (int i = 0; i < workers; i++) {
@@ -73,8 +75,8 @@
 
     private WorkerInfo add() {
         int zone = born % 9 == 8 ? -1 : dice.nextInt(zones);
-        WorkerInfo w = new WorkerInfo("w" + born++, WorkerState.IN_SERVICE, dice.nextInt(4) - 1 & 1, zone, 0,
-                10 * zone + dice.nextInt(3));
+        WorkerInfo w = new WorkerInfo(
+                "w" + born++, WorkerState.IN_SERVICE, dice.nextInt(4) - 1 & 1, zone, 0, 10 * zone + dice.nextInt(3));
         listed.add(w);
         return w;
     }
@@ -109,9 +111,11 @@
         WorkerInfo w = listed.get(at);
         WorkerInfo other = null;
         if (what == 0) {
-            other = new WorkerInfo(w.address(), WorkerState.values()[dice.nextInt(3)], w.kind(), w.zone(), w.startedAt(), w.cell());
+            other = new WorkerInfo(
+                    w.address(), WorkerState.values()[dice.nextInt(3)], w.kind(), w.zone(), w.startedAt(), w.cell());
         } else if (what == 1) {
-            other = new WorkerInfo(w.address(), WorkerState.IN_SERVICE, w.kind(), w.zone(), now - dice.nextLong(9 * Rig.S), w.cell());
+            other = new WorkerInfo(
+                    w.address(), WorkerState.IN_SERVICE, w.kind(), w.zone(), now - dice.nextLong(9 * Rig.S), w.cell());
         } else if (what == 2 && dice.nextBoolean()) {
             other = new WorkerInfo(w.address(), WorkerState.GONE, w.kind(), w.zone(), w.startedAt(), w.cell());
             listed.remove(at);
@@ -175,7 +179,10 @@
             }
         }
         if (dice.nextInt(20) == 0 && !listed.isEmpty()) {
-            rig.module.probed(now, listed.get(dice.nextInt(listed.size())).address(), Outcome.OK,
+            rig.module.probed(
+                    now,
+                    listed.get(dice.nextInt(listed.size())).address(),
+                    Outcome.OK,
                     dice.nextInt(5) == 0 ? null : new Report(Double.NaN, 0, dice.nextInt(6)));
         }
     }
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -23,12 +23,15 @@
     /** 48 dispatchers that hear nobody broke rule 4 twelve times on this day. */
     @Test
     void deafDispatchersPushNoColdWorkerOver() throws Exception {
-        var deaf = ScenarioReader.read(Path.of("examples/lab/alumni-deploy-deaf.toml"),
+        var deaf = ScenarioReader.read(
+                Path.of("examples/lab/alumni-deploy-deaf.toml"),
                 List.of("fleet.workers=48", "fleet.dispatchers=48", "load.share=0.75", "length_s=25"));
         World.Day day = World.play(deaf, Policy.NETWORKED_QUEUES, 1);
         assertEquals(List.of(), day.broken());
         // with turns of the clock cold workers stood nearly idle: 0.2 to 0.4
-        assertTrue(day.json().getDouble("cold_multiple") > 1, "they are used: " + day.json().getDouble("cold_multiple"));
+        assertTrue(
+                day.json().getDouble("cold_multiple") > 1,
+                "they are used: " + day.json().getDouble("cold_multiple"));
     }
 
     /** Finding 16: only a worker's owner notices that it hangs; a job on a slot it lent waits for its deadline. */
@@ -44,14 +47,21 @@
         for (long id = 1; id <= 20; id++) {
             rig.ask(id);
         }
-        String foreign = List.of("a", "b", "c", "d").stream().filter(w -> rig.sentTo(w) == 0).findFirst().orElseThrow();
+        String foreign = List.of("a", "b", "c", "d").stream()
+                .filter(w -> rig.sentTo(w) == 0)
+                .findFirst()
+                .orElseThrow();
         Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
         offer.add(new Book.Worker(foreign, 0).hash, 1);
         rig.module.peerMessage(rig.now, 1, offer.bytes());
-        Rig.Send lent = rig.sends.stream().filter(s -> s.worker().equals(foreign)).findFirst().orElseThrow();
+        Rig.Send lent = rig.sends.stream()
+                .filter(s -> s.worker().equals(foreign))
+                .findFirst()
+                .orElseThrow();
         for (int i = 0; i < 20; i++) { // the others' jobs end; the lent worker says nothing
             rig.run(200 * Rig.MS);
-            List.copyOf(rig.sends).stream().filter(s -> !s.worker().equals(foreign) && !rig.finals.containsKey(s.id()))
+            List.copyOf(rig.sends).stream()
+                    .filter(s -> !s.worker().equals(foreign) && !rig.finals.containsKey(s.id()))
                     .forEach(s -> rig.answer(s.id(), s.attempt(), Contract.Outcome.OK));
         }
         long copies = rig.sends.stream().filter(s -> s.id() == lent.id()).count();
--- a/src/test/java/saffronferry/Rig.java
+++ b/src/test/java/saffronferry/Rig.java
@@ -22,7 +22,7 @@
     static final long MS = 1_000;
     static final long S = 1_000_000;
 
-    record Send(long id, int attempt, String worker, long at) { }
+    record Send(long id, int attempt, String worker, long at) {}
 
     final List<Send> sends = new ArrayList<>();
     final Map<Long, String> finals = new HashMap<>();
@@ -57,8 +57,31 @@
         double peerPrice = 0.01;
 
         Settings settings() {
-            return new Settings(seed, self, peers, zone, zones, 2, classes, tenants, maxAttempts, parallel, true,
-                    true, true, true, onDemand, tellsStart, 0, 10 * S, 0.2, 3, maxRetryAfter, peerPrice, 0.002, 40_000_000);
+            return new Settings(
+                    seed,
+                    self,
+                    peers,
+                    zone,
+                    zones,
+                    2,
+                    classes,
+                    tenants,
+                    maxAttempts,
+                    parallel,
+                    true,
+                    true,
+                    true,
+                    true,
+                    onDemand,
+                    tellsStart,
+                    0,
+                    10 * S,
+                    0.2,
+                    3,
+                    maxRetryAfter,
+                    peerPrice,
+                    0.002,
+                    40_000_000);
         }
     }
 
@@ -92,7 +115,10 @@
     }
 
     void answer(long id, int attempt, Outcome outcome) {
-        Send s = sends.stream().filter(x -> x.id == id && x.attempt == attempt).findFirst().orElseThrow();
+        Send s = sends.stream()
+                .filter(x -> x.id == id && x.attempt == attempt)
+                .findFirst()
+                .orElseThrow();
         boolean over = outcome == Outcome.OK;
         if (over) {
             finals.put(id, "served");
@@ -123,7 +149,11 @@
     }
 
     String workerOf(long id) {
-        return sends.stream().filter(s -> s.id == id).reduce((a, b) -> b).map(Send::worker).orElse(null);
+        return sends.stream()
+                .filter(s -> s.id == id)
+                .reduce((a, b) -> b)
+                .map(Send::worker)
+                .orElse(null);
     }
 
     private void note(String action) {
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
 import saffronferry.Contract.Effect;
 import saffronferry.Contract.Group;
 import saffronferry.Contract.ListKind;
@@ -15,7 +16,6 @@
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import org.junit.jupiter.api.Test;
 
 /** Random days: every event that the contract knows, in a seeded order; the first three rules must hold. */
 class RulesFuzzTest {
@@ -52,7 +52,9 @@
             plan.peers = 1 + dice.nextInt(4);
             plan.parallel = dice.nextBoolean();
             plan.tellsStart = dice.nextBoolean();
-            plan.classes = List.of(Rig.jobClass(Effect.SAFE, Group.ALL), Rig.jobClass(Effect.UNSAFE, Group.ALL),
+            plan.classes = List.of(
+                    Rig.jobClass(Effect.SAFE, Group.ALL),
+                    Rig.jobClass(Effect.UNSAFE, Group.ALL),
                     Rig.jobClass(Effect.KEYED, Group.values()[dice.nextInt(3)]));
             rig = new Rig(plan.settings());
             for (int i = 0; i < 12; i++) {
@@ -97,8 +99,7 @@
             int what = dice.nextInt(100);
             if (what < 45) {
                 long within = dice.nextInt(8) == 0 ? 1 + dice.nextLong(100_000) : 5_000_000;
-                Request q = new Request(nextId++, dice.nextInt(3), -1, rig.now + within, 1,
-                        dice.nextInt(5) == 0);
+                Request q = new Request(nextId++, dice.nextInt(3), -1, rig.now + within, 1, dice.nextInt(5) == 0);
                 asked.put(q.id(), q);
                 rig.module.request(rig.now, q);
             } else if (what < 85 && !out.isEmpty()) {
@@ -111,8 +112,13 @@
             } else if (what < 90) {
                 rig.change(put("w" + dice.nextInt(14), WorkerState.IN_SERVICE, rig.now - dice.nextLong(500_000)));
             } else if (what < 93) {
-                Message m = new Message(Message.Type.values()[dice.nextInt(2)], dice.nextInt(plan.zones),
-                        dice.nextDouble(), dice.nextDouble(), 20, 50_000);
+                Message m = new Message(
+                        Message.Type.values()[dice.nextInt(2)],
+                        dice.nextInt(plan.zones),
+                        dice.nextDouble(),
+                        dice.nextDouble(),
+                        20,
+                        50_000);
                 for (int k = 0; k < 4; k++) {
                     m.add(new Book.Worker("w" + dice.nextInt(14), 0).hash, dice.nextInt(4));
                 }
@@ -188,7 +194,8 @@
 
         private void checkEnd(long id) {
             Contract.JobClass spec = plan.classes.get(asked.get(id).jobClass());
-            if (!"refused".equals(rig.finals.get(id)) || spec.effect() == Effect.SAFE
+            if (!"refused".equals(rig.finals.get(id))
+                    || spec.effect() == Effect.SAFE
                     || spec.effect() == Effect.KEYED && spec.group() == Group.ALL) {
                 return;
             }
--- a/src/test/java/saffronferry/SizeTest.java
+++ b/src/test/java/saffronferry/SizeTest.java
@@ -36,7 +36,11 @@
     @Test
     void theDeployFileNamesTheModule() throws IOException {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
-        assertEquals(1, deploy.lines().filter(l -> l.equals("policy = [\"" + MODULE + "\"]")).count());
+        assertEquals(
+                1,
+                deploy.lines()
+                        .filter(l -> l.equals("policy = [\"" + MODULE + "\"]"))
+                        .count());
     }
 
     /** Guards against a restart that takes twice as long because the archive is made in one place and sought in another. */
@@ -46,6 +50,7 @@
         List<String> deploy = Files.readAllLines(Path.of("deploy/balancer.toml"));
         assertTrue(deploy.get(0).contains("sh deploy/archive.sh"), deploy.get(0));
         assertTrue(deploy.get(1).contains("-XX:SharedArchiveFile=" + archive + " "), deploy.get(1));
-        assertTrue(Files.readString(Path.of("deploy/archive.sh")).contains("-XX:ArchiveClassesAtExit=" + archive + " "));
+        assertTrue(
+                Files.readString(Path.of("deploy/archive.sh")).contains("-XX:ArchiveClassesAtExit=" + archive + " "));
     }
 }
--- a/src/test/java/saffronferry/agree/GossipTest.java
+++ b/src/test/java/saffronferry/agree/GossipTest.java
@@ -94,15 +94,18 @@
     void aChangeOutlivesItsOriginThatDiedAfterItsFirstDatagram() {
         List<byte[]> said = new ArrayList<>();
         HollowFleet fleet = fleet(20, 0);
-        Gossip origin = new Gossip(new Gossip.Setup(0, 20, CAP, HollowFleet.SECRET, 5), new Gossip.Out() {
-            @Override
-            public void tell(int peer, byte[] bytes) {
-                said.add(bytes);
-            }
-
-            @Override
-            public void taken(List<Change> changes) { }
-        }, fleet.now);
+        Gossip origin = new Gossip(
+                new Gossip.Setup(0, 20, CAP, HollowFleet.SECRET, 5),
+                new Gossip.Out() {
+                    @Override
+                    public void tell(int peer, byte[] bytes) {
+                        said.add(bytes);
+                    }
+
+                    @Override
+                    public void taken(List<Change> changes) {}
+                },
+                fleet.now);
         fleet.dead[0] = true;
         origin.change(fleet.now, Map.of(HollowFleet.key(1), "7"));
         fleet.arrive(0, 5, said.get(0));
@@ -118,10 +121,13 @@
             fleet.run(4 * SECOND);
             fleet.start(10 + i);
         }
-        assertEquals(Agreement.State.CATCHING_UP, fleet.nodes[12].agreement(fleet.now).state());
+        assertEquals(
+                Agreement.State.CATCHING_UP,
+                fleet.nodes[12].agreement(fleet.now).state());
         assertTrue(fleet.runUntilAgreed(120 * SECOND) >= 0);
         fleet.run(5 * SECOND);
-        assertEquals(Agreement.State.IN_TOUCH, fleet.nodes[12].agreement(fleet.now).state());
+        assertEquals(
+                Agreement.State.IN_TOUCH, fleet.nodes[12].agreement(fleet.now).state());
         assertEquals(1100, fleet.inForce.get(12).size());
     }
 
@@ -170,7 +176,8 @@
         assertEquals("10", fleet.inForce.get(9).get(HollowFleet.key(1)));
         fleet.side[9] = 0;
         fleet.run(5 * SECOND);
-        assertEquals(Agreement.State.IN_TOUCH, fleet.nodes[9].agreement(fleet.now).state());
+        assertEquals(
+                Agreement.State.IN_TOUCH, fleet.nodes[9].agreement(fleet.now).state());
     }
 
     @Test
@@ -223,7 +230,8 @@
             long dropped = fleet.nodes[5].agreement(fleet.now).dropped();
             replayed.forEach(b -> fleet.arrive(0, 5, b));
             assertEquals(digest, fleet.nodes[5].agreement(fleet.now).digest());
-            assertEquals(later > 30 * SECOND ? replayed.size() : 0,
+            assertEquals(
+                    later > 30 * SECOND ? replayed.size() : 0,
                     fleet.nodes[5].agreement(fleet.now).dropped() - dropped);
         }
         assertTrue(fleet.mostInASecond <= CAP);
@@ -235,6 +243,7 @@
         fleet.changeAll(0, Map.of(HollowFleet.key(1), "7"));
         fleet.run(20 * SECOND);
         assertEquals(0, fleet.totalBytes());
-        assertEquals(Agreement.State.IN_TOUCH, fleet.nodes[0].agreement(fleet.now).state());
+        assertEquals(
+                Agreement.State.IN_TOUCH, fleet.nodes[0].agreement(fleet.now).state());
     }
 }
--- a/src/test/java/saffronferry/agree/HollowFleet.java
+++ b/src/test/java/saffronferry/agree/HollowFleet.java
@@ -17,9 +17,9 @@
     private static final long LEAST_DELAY = 500;
     private static final long MOST_DELAY = 30_000;
 
-    private record Event(long at, long number, Runnable what) { }
+    private record Event(long at, long number, Runnable what) {}
 
-    private record Sent(long at, int bytes) { }
+    private record Sent(long at, int bytes) {}
 
     /** How long a change took to the last dispatcher. */
     static final class Spread {
@@ -44,15 +44,18 @@
     final long[] datagrams;
     /** Bytes sent by kind of datagram. */
     final long[] byKind = new long[Frame.Kind.values().length];
+
     final List<Map<Key, String>> inForce = new ArrayList<>();
     final Map<Key, Spread> spreads = new HashMap<>();
     final List<Spread> allSpreads = new ArrayList<>();
     /** The most bytes that any of them sent within any second. */
     long mostInASecond;
+
     double loss;
     double doubled;
     /** What the network makes of a datagram. */
     UnaryOperator<byte[]> garble = b -> b;
+
     long now = 1_796_000_000L * SECOND;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
@@ -92,17 +95,20 @@
         lastSecond.get(node).clear(); // the cap is a process's
         inLastSecond[node] = 0;
         int life = ++lives[node];
-        nodes[node] = new Gossip(new Gossip.Setup(node, size, cap, SECRET, random.nextLong()), new Gossip.Out() {
-            @Override
-            public void tell(int peer, byte[] said) {
-                send(node, peer, said);
-            }
+        nodes[node] = new Gossip(
+                new Gossip.Setup(node, size, cap, SECRET, random.nextLong()),
+                new Gossip.Out() {
+                    @Override
+                    public void tell(int peer, byte[] said) {
+                        send(node, peer, said);
+                    }
 
-            @Override
-            public void taken(List<Change> changes) {
-                changes.forEach(c -> took(node, c));
-            }
-        }, clock(node));
+                    @Override
+                    public void taken(List<Change> changes) {
+                        changes.forEach(c -> took(node, c));
+                    }
+                },
+                clock(node));
         at(now + random.nextLong(Gossip.TICK), () -> tick(node, life));
     }
 
@@ -248,7 +254,8 @@
     double seconds(double quantile) {
         double[] all = allSpreads.stream()
                 .mapToDouble(s -> s.missing > 0 ? Double.POSITIVE_INFINITY : (s.lastAt - s.madeAt) / 1e6)
-                .sorted().toArray();
+                .sorted()
+                .toArray();
         return all[(int) Math.min(all.length - 1, Math.ceil(quantile * all.length) - 1)];
     }
 
--- a/src/test/java/saffronferry/agree/LwwMapTest.java
+++ b/src/test/java/saffronferry/agree/LwwMapTest.java
@@ -26,9 +26,12 @@
     /** Few keys, stamps and origins, so that most changes meet others of their key, and ties are common. */
     @Provide
     Arbitrary<Change> changes() {
-        return Combinators.combine(Arbitraries.of("a", "b", "c"), Arbitraries.of("0", "7", "50.5").injectNull(0.3),
-                Arbitraries.longs().between(1, 6), Arbitraries.integers().between(0, 2),
-                Arbitraries.integers().between(0, 1))
+        return Combinators.combine(
+                        Arbitraries.of("a", "b", "c"),
+                        Arbitraries.of("0", "7", "50.5").injectNull(0.3),
+                        Arbitraries.longs().between(1, 6),
+                        Arbitraries.integers().between(0, 2),
+                        Arbitraries.integers().between(0, 1))
                 .as((name, value, stamp, origin, life) ->
                         new Change(new Key(Changeable.ALLOWANCE, name), value, stamp, origin, life));
     }
@@ -58,13 +61,15 @@
     }
 
     @Property(seed = SEED, tries = 500)
-    void mergingIsCommutative(@ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") Change> a,
+    void mergingIsCommutative(
+            @ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") Change> a,
             @ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") Change> b) {
         same(join(map(a), map(b)), join(map(b), map(a)));
     }
 
     @Property(seed = SEED, tries = 500)
-    void mergingIsAssociative(@ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") Change> a,
+    void mergingIsAssociative(
+            @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") Change> a,
             @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") Change> b,
             @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") Change> c) {
         same(join(join(map(a), map(b)), map(c)), join(map(a), join(map(b), map(c))));
@@ -87,15 +92,26 @@
         same(map(all), map);
         for (Change c : all) {
             Change holds = map.get(c.key());
-            assertEquals(all.stream().filter(o -> o.key().equals(c.key())).mapToLong(Change::stamp).max().getAsLong(),
+            assertEquals(
+                    all.stream()
+                            .filter(o -> o.key().equals(c.key()))
+                            .mapToLong(Change::stamp)
+                            .max()
+                            .getAsLong(),
                     holds.stamp());
-            assertEquals(all.stream().filter(o -> o.key().equals(c.key()) && o.stamp() == holds.stamp())
-                    .mapToInt(Change::origin).max().getAsInt(), holds.origin());
+            assertEquals(
+                    all.stream()
+                            .filter(o -> o.key().equals(c.key()) && o.stamp() == holds.stamp())
+                            .mapToInt(Change::origin)
+                            .max()
+                            .getAsInt(),
+                    holds.origin());
         }
     }
 
     @Property(seed = SEED, tries = 500)
-    void equalDigestsMeanThatTheSameIsHeld(@ForAll @Size(max = 6) List<@net.jqwik.api.From("changes") Change> a,
+    void equalDigestsMeanThatTheSameIsHeld(
+            @ForAll @Size(max = 6) List<@net.jqwik.api.From("changes") Change> a,
             @ForAll @Size(max = 6) List<@net.jqwik.api.From("changes") Change> b) {
         assertEquals(held(map(a)).equals(held(map(b))), map(a).digest() == map(b).digest());
     }
@@ -148,7 +164,8 @@
             assertEquals(LwwMap.Merged.REFUSED, map.merge(change(1, bad, NOW), NOW), bad);
         }
         assertEquals(LwwMap.Merged.REFUSED, map.merge(change(1, "5", NOW + LwwMap.MOST_AHEAD + 1), NOW));
-        assertEquals(LwwMap.Merged.REFUSED,
+        assertEquals(
+                LwwMap.Merged.REFUSED,
                 map.merge(new Change(new Key(Changeable.ALLOWANCE, "a b"), "5", NOW, 0, 0), NOW));
         assertEquals(LwwMap.Merged.TAKEN, map.merge(change(1, "5", NOW + 100_000), NOW));
         for (int i = 0; i < LwwMap.MOST_KEYS + 5; i++) {
--- a/src/test/java/saffronferry/agree/SpreadMain.java
+++ b/src/test/java/saffronferry/agree/SpreadMain.java
@@ -11,14 +11,15 @@
 public final class SpreadMain {
     private static final long SECOND = HollowFleet.SECOND;
 
-    private SpreadMain() { }
+    private SpreadMain() {}
 
     public static void main(String[] args) {
         int size = Integer.parseInt(args[0]);
         double loss = Integer.parseInt(args[1]) / 100.0;
         int changes = Integer.parseInt(args[2]);
         int cap = Integer.parseInt(args[3]);
-        var parts = args.length > 4 ? Arrays.asList(args).subList(4, args.length)
+        var parts = args.length > 4
+                ? Arrays.asList(args).subList(4, args.length)
                 : Arrays.asList("stream", "quiet", "burst", "batch", "restart", "cut");
         for (String part : parts) {
             HollowFleet f = new HollowFleet(size, cap, loss, 38);
@@ -32,8 +33,14 @@
                 case "cut" -> cut(f, 30) + "; " + cut(f, 300);
                 default -> throw new IllegalArgumentException(part);
             };
-            System.out.printf(Locale.ROOT, "%d dispatchers, %.0f %% lost, cap %d: %s; most in a second %d bytes%n",
-                    size, loss * 100, cap, said, f.mostInASecond);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d dispatchers, %.0f %% lost, cap %d: %s; most in a second %d bytes%n",
+                    size,
+                    loss * 100,
+                    cap,
+                    said,
+                    f.mostInASecond);
         }
     }
 
@@ -41,8 +48,15 @@
         double[] perS = {0};
         perS[0] = f.bytesPerS(() -> f.stream(changes, 1_500_000));
         f.run(20 * SECOND);
-        return String.format(Locale.ROOT, "%d changes, one each 1.5 s, in force after p50 %.2f s, p99 %.2f s, max %.2f s;"
-                + " %.0f bytes/s a dispatcher", changes, f.seconds(0.5), f.seconds(0.99), f.seconds(1), perS[0]);
+        return String.format(
+                Locale.ROOT,
+                "%d changes, one each 1.5 s, in force after p50 %.2f s, p99 %.2f s, max %.2f s;"
+                        + " %.0f bytes/s a dispatcher",
+                changes,
+                f.seconds(0.5),
+                f.seconds(0.99),
+                f.seconds(1),
+                perS[0]);
     }
 
     private static String quiet(HollowFleet f) {
@@ -64,10 +78,20 @@
         for (Frame.Kind k : Frame.Kind.values()) {
             kinds.append(' ').append(k).append(' ').append((f.byKind[k.ordinal()] - before[k.ordinal()]) / f.size);
         }
-        int[] held = Arrays.stream(f.nodes).mapToInt(n -> n.agreement(f.now).held()).sorted().toArray();
-        return String.format(Locale.ROOT, "burst of 1100 in force everywhere after %.1f s, %.0f bytes/s a dispatcher,"
-                + " bytes of each by kind:%s; held %d to %d, median %d", took[0] / 1e6, perS, kinds, held[0],
-                held[held.length - 1], held[held.length / 2]);
+        int[] held = Arrays.stream(f.nodes)
+                .mapToInt(n -> n.agreement(f.now).held())
+                .sorted()
+                .toArray();
+        return String.format(
+                Locale.ROOT,
+                "burst of 1100 in force everywhere after %.1f s, %.0f bytes/s a dispatcher,"
+                        + " bytes of each by kind:%s; held %d to %d, median %d",
+                took[0] / 1e6,
+                perS,
+                kinds,
+                held[0],
+                held[held.length - 1],
+                held[held.length / 2]);
     }
 
     /** A tenth restarted from nothing, 1,100 changes held by the others. */
@@ -78,14 +102,16 @@
         for (int i = 0; i < Math.max(1, f.size / 10); i++) {
             f.start(i);
         }
-        return String.format(Locale.ROOT, "a tenth restarted, 1100 held: all caught up after %.1f s",
+        return String.format(
+                Locale.ROOT,
+                "a tenth restarted, 1100 held: all caught up after %.1f s",
                 f.runUntilAgreed(300 * SECOND) / 1e6);
     }
 
     private static String batch(HollowFleet f) {
         f.changeAll(0, HollowFleet.burst(100, "5"));
-        return String.format(Locale.ROOT, "100 at once in force everywhere after %.1f s",
-                f.runUntilAgreed(300 * SECOND) / 1e6);
+        return String.format(
+                Locale.ROOT, "100 at once in force everywhere after %.1f s", f.runUntilAgreed(300 * SECOND) / 1e6);
     }
 
     private static String cut(HollowFleet f, int seconds) {
@@ -98,7 +124,12 @@
         Arrays.fill(f.side, 0);
         long[] took = {0};
         double perS = f.bytesPerS(() -> took[0] = f.runUntilAgreed(300 * SECOND));
-        return String.format(Locale.ROOT, "cut for %d s with %d changes on both sides, agreed %.1f s after,"
-                + " %.0f bytes of each for that", seconds, changes, took[0] / 1e6, perS * took[0] / 1e6);
+        return String.format(
+                Locale.ROOT,
+                "cut for %d s with %d changes on both sides, agreed %.1f s after," + " %.0f bytes of each for that",
+                seconds,
+                changes,
+                took[0] / 1e6,
+                perS * took[0] / 1e6);
     }
 }
--- a/src/test/java/saffronferry/cli/ScaleFitCommandTest.java
+++ b/src/test/java/saffronferry/cli/ScaleFitCommandTest.java
@@ -23,7 +23,8 @@
         String sweep = "lab sweep examples/lab/alumni-hosting.toml --set fleet.dispatchers=2,4,6 --set "
                 + "fleet.workers=4,8,12 --set length_s=5,5,5 --seeds 1 --threads 1 --out " + result;
         assertEquals(0, Main.execute(sweep.split(" ")));
-        JSONObject play = new JSONObject(Files.readString(result)).getJSONArray("plays").getJSONObject(2);
+        JSONObject play =
+                new JSONObject(Files.readString(result)).getJSONArray("plays").getJSONObject(2);
         assertEquals(6, play.getInt("dispatchers"));
         assertEquals(12, play.getInt("workers"));
         assertTrue(play.getJSONObject("figures").getDouble("decision_us_request") > 0);
@@ -47,12 +48,12 @@
                 """);
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
-        CommandLine line = new CommandLine(new ScaleFitCommand()).setOut(new PrintWriter(out))
+        CommandLine line = new CommandLine(new ScaleFitCommand())
+                .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(err));
         assertEquals(0, line.execute(file.toString(), "--figure", "f", "--over", "n", "--at", "8"));
         assertTrue(out.toString().contains("2.0 times the largest"), out.toString());
         assertTrue(out.toString().contains("n squared fits better than a straight line"), out.toString());
-        assertTrue(out.toString().matches("(?s).*n squared +3\\.0000 +1\\.0000 .* 67\\.000 .*best.*"),
-                out.toString());
+        assertTrue(out.toString().matches("(?s).*n squared +3\\.0000 +1\\.0000 .* 67\\.000 .*best.*"), out.toString());
     }
 }
--- a/src/test/java/saffronferry/fleet/CallPaceTest.java
+++ b/src/test/java/saffronferry/fleet/CallPaceTest.java
@@ -45,7 +45,10 @@
                 last = Math.max(last, freeAt);
             }
         }
-        return new long[] {due.isEmpty() ? last : Long.MAX_VALUE, java.util.Arrays.stream(calls).max().getAsInt()};
+        return new long[] {
+            due.isEmpty() ? last : Long.MAX_VALUE,
+            java.util.Arrays.stream(calls).max().getAsInt()
+        };
     }
 
     /** {@code most}: seconds until the last one is served; {@code calls}: what one makes at most. */
@@ -55,8 +58,10 @@
         for (long seed = 1; seed <= 20; seed++) {
             for (boolean together : new boolean[] {false, true}) {
                 long[] served = play(callers, perSecond, LONGEST, together, seed);
-                assertTrue(served[0] <= most * 1_000_000, (together ? "together" : "spread") + " seed " + seed + ": last after "
-                        + served[0] / 1e6 + " s");
+                assertTrue(
+                        served[0] <= most * 1_000_000,
+                        (together ? "together" : "spread") + " seed " + seed + ": last after " + served[0] / 1e6
+                                + " s");
                 assertTrue(served[1] <= calls, served[1] + " calls of one");
             }
         }
@@ -125,7 +130,9 @@
                     last = Math.max(last, freeAt);
                 }
             }
-            assertTrue(due.isEmpty() && last <= back + most * 1_000_000, "seed " + seed + ": " + (last - back) / 1e6 + " s");
+            assertTrue(
+                    due.isEmpty() && last <= back + most * 1_000_000,
+                    "seed " + seed + ": " + (last - back) / 1e6 + " s");
         }
     }
 
--- a/src/test/java/saffronferry/fleet/ColdSharesTest.java
+++ b/src/test/java/saffronferry/fleet/ColdSharesTest.java
@@ -38,8 +38,12 @@
                 int self = i;
                 long at = now;
                 if (now % 100_000 == 0 && !(self == frozen && now > 5_000_000 && now < 15_000_000)) {
-                    all[i].near(java.util.stream.IntStream.range(0, n).filter(j -> j == self
-                            || (!zones || (j - self) % 2 == 0) && all[self].counts(j, at) && at - heard[self][j] < 2 * ColdShares.LEASE).toArray());
+                    all[i].near(java.util.stream.IntStream.range(0, n)
+                            .filter(j -> j == self
+                                    || (!zones || (j - self) % 2 == 0)
+                                            && all[self].counts(j, at)
+                                            && at - heard[self][j] < 2 * ColdShares.LEASE)
+                            .toArray());
                     BitSet hears = new BitSet();
                     for (int j = 0; j < n; j++) {
                         hears.set(j, j == i || (!zones || (j - i) % 2 == 0) && now - heard[i][j] < ColdShares.LEASE);
@@ -60,8 +64,14 @@
                 boolean stands = d[2] == frozen && now > 5_000_000 && now < 15_000_000;
                 if (d[0] <= now && !stands) {
                     heard[(int) d[2]][(int) d[1]] = now;
-                    all[(int) d[2]].says((int) d[1], zones && (d[1] - d[2]) % 2 != 0, words.get(k)[0],
-                            words.get(k)[1], null, d[3], now);
+                    all[(int) d[2]].says(
+                            (int) d[1],
+                            zones && (d[1] - d[2]) % 2 != 0,
+                            words.get(k)[0],
+                            words.get(k)[1],
+                            null,
+                            d[3],
+                            now);
                     late.remove(k);
                     words.remove(k);
                 }
@@ -79,9 +89,10 @@
 
     @Test
     void noTwoHoldATurnAndWhoHearsAllHoldsAll() {
-        record Case(String name, int n, boolean zones, double loss, int deafFrom, int frozen, double held) { }
+        record Case(String name, int n, boolean zones, double loss, int deafFrom, int frozen, double held) {}
 
-        List<Case> cases = List.of(new Case("all hear", 8, false, 0, 8, -1, 1),
+        List<Case> cases = List.of(
+                new Case("all hear", 8, false, 0, 8, -1, 1),
                 new Case("two zones", 8, true, 0, 8, -1, 1),
                 new Case("all deaf, each with its own turns", 8, false, 0, 0, -1, 0.99),
                 new Case("half of them deaf", 8, false, 0, 4, -1, 0.5),
@@ -108,21 +119,28 @@
         double both = fresh.guardian(WORKER) == 0 ? 1 : 0.5;
         assertEquals(both, fresh.part(10, WORKER, true));
         fresh.says(2, false, own, own, BitSet.valueOf(new long[] {0x101}), 10, 10);
-        assertEquals(both * 2 / 3, fresh.part(10, WORKER, true), "2 is ours after all; neither are we elsewhere, nor a ninth");
+        assertEquals(
+                both * 2 / 3,
+                fresh.part(10, WORKER, true),
+                "2 is ours after all; neither are we elsewhere, nor a ninth");
         assertEquals(0, fresh.part(10, WORKER, false));
     }
 
     /** What many buckets give together in any 3 s, however they are asked: their rate, what is kept, two jobs. */
     @Test
     void manyBucketsGiveLittleMoreThanTheirRate() {
-        record Case(String name, int n, double asksEach, double burstEach) { }
+        record Case(String name, int n, double asksEach, double burstEach) {}
 
         double rate = 1.5;
         double job = 600_000;
         int window = 3_000_000;
-        List<Case> cases = List.of(new Case("one, asked always", 1, 40, 0), new Case("16, asked always", 16, 40, 0),
-                new Case("48, asked always", 48, 40, 0), new Case("100, asked now and then", 100, 3, 0),
-                new Case("48, all asked at once each 2 s", 48, 0, 2), new Case("48, both", 48, 1, 2));
+        List<Case> cases = List.of(
+                new Case("one, asked always", 1, 40, 0),
+                new Case("16, asked always", 16, 40, 0),
+                new Case("48, asked always", 48, 40, 0),
+                new Case("100, asked now and then", 100, 3, 0),
+                new Case("48, all asked at once each 2 s", 48, 0, 2),
+                new Case("48, both", 48, 1, 2));
         for (Case c : cases) {
             SplittableRandom random = new SplittableRandom(3);
             ColdShares[] shares = new ColdShares[c.n];
@@ -136,8 +154,10 @@
             double all = 0;
             for (int t = 0; t < spent.length; t++) {
                 for (int i = 0; i < c.n; i++) {
-                    boolean asks = random.nextDouble() < c.asksEach * step / 1e6 || c.burstEach > 0 && t % (int) (c.burstEach * 1e6 / step) == 0;
-                    while (budgets[i].covers(asks ? job : 0, (long) t * step, 1.0 / c.n, rate, shares[i].phase(WORKER))) {
+                    boolean asks = random.nextDouble() < c.asksEach * step / 1e6
+                            || c.burstEach > 0 && t % (int) (c.burstEach * 1e6 / step) == 0;
+                    while (budgets[i].covers(
+                            asks ? job : 0, (long) t * step, 1.0 / c.n, rate, shares[i].phase(WORKER))) {
                         budgets[i].spend(job);
                         spent[t] += job;
                     }
--- a/src/test/java/saffronferry/fleet/GrowthTest.java
+++ b/src/test/java/saffronferry/fleet/GrowthTest.java
@@ -16,7 +16,7 @@
     private static final double RATE = 1.5 * SLOTS * SPEED;
 
     /** The most sent in 3 s over what the worker can do; when nine tenths of that first reached it in 2 s. */
-    private record Seen(double multiple, double at) { }
+    private record Seen(double multiple, double at) {}
 
     /** Of n dispatchers the first so many live, hear nobody and always have jobs; {@code blind} ones see no wait. */
     private static Seen play(int n, int living, boolean blind) {
@@ -80,10 +80,17 @@
 
     @Test
     void theDeadOnesPartIsFoundAndTheLivingOnesIsLeft() {
-        record Case(int n, int living, double atMost, double within) { }
+        record Case(int n, int living, double atMost, double within) {}
 
-        for (Case c : new Case[] {new Case(2, 2, 2.3, 3), new Case(8, 8, 2.3, 3), new Case(16, 16, 2.3, 3),
-            new Case(48, 48, 2.3, 3), new Case(16, 5, 2.3, 4), new Case(16, 2, 2.3, 7), new Case(8, 1, 2.3, 5)}) {
+        for (Case c : new Case[] {
+            new Case(2, 2, 2.3, 3),
+            new Case(8, 8, 2.3, 3),
+            new Case(16, 16, 2.3, 3),
+            new Case(48, 48, 2.3, 3),
+            new Case(16, 5, 2.3, 4),
+            new Case(16, 2, 2.3, 7),
+            new Case(8, 1, 2.3, 5)
+        }) {
             Seen seen = play(c.n, c.living, false);
             assertTrue(seen.multiple <= c.atMost && seen.at <= c.within, c + ": " + seen);
         }
--- a/src/test/java/saffronferry/fleet/OwnersTest.java
+++ b/src/test/java/saffronferry/fleet/OwnersTest.java
@@ -15,7 +15,10 @@
     }
 
     private static int[] without(int[] all, int at) {
-        return IntStream.range(0, all.length).filter(i -> i != at).map(i -> all[i]).toArray();
+        return IntStream.range(0, all.length)
+                .filter(i -> i != at)
+                .map(i -> all[i])
+                .toArray();
     }
 
     private static int moved(int[] workers, int[] before, int[] left, int[] after) {
@@ -50,7 +53,8 @@
             int[] fewer = without(workers, random.nextInt(n));
             byWorker += moved(workers, owners, fewer, Owners.share(fewer, members));
         }
-        assertTrue(byMember <= 20 * mostByMember && byWorker <= 20 * mostByWorker,
+        assertTrue(
+                byMember <= 20 * mostByMember && byWorker <= 20 * mostByWorker,
                 byMember / 20.0 + " moved with a member, " + byWorker / 20.0 + " with a worker");
     }
 }
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -40,10 +40,13 @@
     void theSameSeedsGiveTheSameBytes() throws Exception {
         Scenario s = example("alumni-zone-loss-in-deploy");
         List<Long> seeds = List.of(1L, 2L, 3L);
-        String one = Lab.json(s, Policy.NETWORKED_QUEUES, Lab.run(s, Policy.NETWORKED_QUEUES, seeds, 1)).toString();
-        String eight = Lab.json(s, Policy.NETWORKED_QUEUES, Lab.run(s, Policy.NETWORKED_QUEUES, seeds, 8)).toString();
+        String one = Lab.json(s, Policy.NETWORKED_QUEUES, Lab.run(s, Policy.NETWORKED_QUEUES, seeds, 1))
+                .toString();
+        String eight = Lab.json(s, Policy.NETWORKED_QUEUES, Lab.run(s, Policy.NETWORKED_QUEUES, seeds, 8))
+                .toString();
         assertEquals(one, eight);
-        assertNotEquals(World.play(s, Policy.RANDOM, 4).json().toString(),
+        assertNotEquals(
+                World.play(s, Policy.RANDOM, 4).json().toString(),
                 World.play(s, Policy.RANDOM, 5).json().toString());
     }
 
@@ -80,7 +83,8 @@
             Scenario s = example(name);
             int most = (1 + s.clients().retries()) * s.rules().mostTries();
             for (long seed = 1; seed <= 4; seed++) {
-                JSONObject path = World.play(s, Policy.NETWORKED_QUEUES, seed).json().getJSONObject("path");
+                JSONObject path =
+                        World.play(s, Policy.NETWORKED_QUEUES, seed).json().getJSONObject("path");
                 for (String c : path.keySet()) {
                     JSONObject p = path.getJSONObject(c);
                     assertTrue(p.getLong("requests") > 50 && p.getLong("attempts") > 50, name + p);
@@ -144,78 +148,114 @@
     }
 
     private static void caught(List<Broken> broken, String rule, String storyHas) {
-        Broken b = broken.stream().filter(x -> x.rule().equals(rule)).findFirst()
+        Broken b = broken.stream()
+                .filter(x -> x.rule().equals(rule))
+                .findFirst()
                 .orElseThrow(() -> new AssertionError(rule + " not caught, but " + broken));
         assertTrue(storyHas.isEmpty() || b.toString().contains(storyHas), b.toString());
     }
 
     @Test
     void answersThatAreDroppedAreCaught() throws Exception {
-        caught(broken("alumni-overload", brain -> new Saboteur(brain) {
-            @Override
-            List<Step> spoil(long now, List<Step> steps) {
-                return steps.stream().filter(s -> !(s instanceof Step.Refuse)).toList();
-            }
-        }), "lost", "taken, directory-page");
+        caught(
+                broken("alumni-overload", brain -> new Saboteur(brain) {
+                    @Override
+                    List<Step> spoil(long now, List<Step> steps) {
+                        return steps.stream()
+                                .filter(s -> !(s instanceof Step.Refuse))
+                                .toList();
+                    }
+                }),
+                "lost",
+                "taken, directory-page");
     }
 
     @Test
     void answersGivenTwiceAreCaught() throws Exception {
-        caught(broken("alumni-overload", brain -> new Saboteur(brain) {
-            @Override
-            List<Step> spoil(long now, List<Step> steps) {
-                List<Step> all = new ArrayList<>(steps);
-                steps.stream().filter(Step.Refuse.class::isInstance).forEach(all::add);
-                return all;
-            }
-        }), "answers", "answered: refused");
+        caught(
+                broken("alumni-overload", brain -> new Saboteur(brain) {
+                    @Override
+                    List<Step> spoil(long now, List<Step> steps) {
+                        List<Step> all = new ArrayList<>(steps);
+                        steps.stream().filter(Step.Refuse.class::isInstance).forEach(all::add);
+                        return all;
+                    }
+                }),
+                "answers",
+                "answered: refused");
     }
 
     @Test
     void giftsSentTwiceAreCaught() throws Exception {
-        caught(broken("alumni-hosting", brain -> new Saboteur(brain) {
-            @Override
-            List<Step> spoil(long now, List<Step> steps) {
-                List<Step> all = new ArrayList<>(steps);
-                steps.stream().filter(Step.StartAttempt.class::isInstance).map(Step.StartAttempt.class::cast)
-                        .forEach(s -> told.stream().map(WorkerInfo::address).filter(a -> !a.equals(s.subchannel()))
-                                .sorted().limit(4).forEach(a -> all.add(new Step.StartAttempt(s.rpc(), a))));
-                return all;
-            }
-        }), "duplicate", "record-gift");
+        caught(
+                broken("alumni-hosting", brain -> new Saboteur(brain) {
+                    @Override
+                    List<Step> spoil(long now, List<Step> steps) {
+                        List<Step> all = new ArrayList<>(steps);
+                        steps.stream()
+                                .filter(Step.StartAttempt.class::isInstance)
+                                .map(Step.StartAttempt.class::cast)
+                                .forEach(s -> told.stream()
+                                        .map(WorkerInfo::address)
+                                        .filter(a -> !a.equals(s.subchannel()))
+                                        .sorted()
+                                        .limit(4)
+                                        .forEach(a -> all.add(new Step.StartAttempt(s.rpc(), a))));
+                        return all;
+                    }
+                }),
+                "duplicate",
+                "record-gift");
     }
 
     @Test
     void workSentToADrainedWorkerIsCaught() throws Exception {
-        caught(broken("alumni-deploy", brain -> new Saboteur(brain) {
-            @Override
-            List<Step> spoil(long now, List<Step> steps) {
-                return steps;
-            }
+        caught(
+                broken("alumni-deploy", brain -> new Saboteur(brain) {
+                    @Override
+                    List<Step> spoil(long now, List<Step> steps) {
+                        return steps;
+                    }
 
-            @Override
-            List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
-                return told.stream().filter(w -> w.state() == WorkerState.DRAINING).map(WorkerInfo::address).sorted()
-                        .findFirst().<List<Step>>map(a -> List.of(new Step.StartAttempt(rpc.id(), a))).orElse(steps);
-            }
-        }), "drain", "sent to 10.0.");
+                    @Override
+                    List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
+                        return told.stream()
+                                .filter(w -> w.state() == WorkerState.DRAINING)
+                                .map(WorkerInfo::address)
+                                .sorted()
+                                .findFirst()
+                                .<List<Step>>map(a -> List.of(new Step.StartAttempt(rpc.id(), a)))
+                                .orElse(steps);
+                    }
+                }),
+                "drain",
+                "sent to 10.0.");
     }
 
     @Test
     void aColdWorkerThatIsFloodedIsCaught() throws Exception {
-        caught(broken("alumni-deploy", brain -> new Saboteur(brain) {
-            @Override
-            List<Step> spoil(long now, List<Step> steps) {
-                return steps;
-            }
+        caught(
+                broken("alumni-deploy", brain -> new Saboteur(brain) {
+                    @Override
+                    List<Step> spoil(long now, List<Step> steps) {
+                        return steps;
+                    }
 
-            @Override
-            List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
-                return told.stream().filter(w -> w.startedAt() > 0 && w.state() == WorkerState.IN_SERVICE
-                        && now - w.startedAt() < 4_000_000).map(WorkerInfo::address).sorted().findFirst()
-                        .<List<Step>>map(a -> List.of(new Step.StartAttempt(rpc.id(), a))).orElse(steps);
-            }
-        }), "cold", "falls over");
+                    @Override
+                    List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
+                        return told.stream()
+                                .filter(w -> w.startedAt() > 0
+                                        && w.state() == WorkerState.IN_SERVICE
+                                        && now - w.startedAt() < 4_000_000)
+                                .map(WorkerInfo::address)
+                                .sorted()
+                                .findFirst()
+                                .<List<Step>>map(a -> List.of(new Step.StartAttempt(rpc.id(), a)))
+                                .orElse(steps);
+                    }
+                }),
+                "cold",
+                "falls over");
     }
 
     // ---- scenarios that cannot be played ----
@@ -226,10 +266,12 @@
         StringBuilder text = new StringBuilder("lenght_s = 20\n[fleet]\nworkers = \"many\"\ndispatchers = 0\n[load]\n"
                 + "share = -1\nshape = \"burst\"\n");
         for (int i = 0; i < 35; i++) {
-            text.append("[[trouble]]\nkind = \"slow\"\nat_s = ").append(i % 2 == 0 ? "\"soon\"" : "1e9").append('\n');
+            text.append("[[trouble]]\nkind = \"slow\"\nat_s = ")
+                    .append(i % 2 == 0 ? "\"soon\"" : "1e9")
+                    .append('\n');
         }
-        ScenarioException e = assertThrows(ScenarioException.class, () ->
-                ScenarioReader.parse("bad.toml", text.toString()));
+        ScenarioException e =
+                assertThrows(ScenarioException.class, () -> ScenarioReader.parse("bad.toml", text.toString()));
         assertEquals(40, e.problems().size(), e.getMessage());
         for (String expected : new String[] {
             "bad.toml:1:1: lenght_s: is no key of a scenario; did you mean length_s?",
@@ -258,16 +300,22 @@
         }
         assertEquals(40, drawn.size());
         assertEquals(Set.of("peer_cut", "dispatcher_restart", "list_withheld", "list_disorder"), kinds);
-        ScenarioException e = assertThrows(ScenarioException.class, () -> ScenarioReader.parse("bad.toml",
-                "[draw]\nkinds = [\"peer_cat\"]\nfrom_s = 20\nuntil_s = 10\n"));
-        assertTrue(e.getMessage().contains("bad.toml:2:1: draw.kinds: names no kind of trouble: \"peer_cat\"; did you mean "
-                + "peer_cut?") && e.getMessage().contains("bad.toml:4:1: draw.until_s: is not after from_s"), e.getMessage());
+        ScenarioException e = assertThrows(
+                ScenarioException.class,
+                () -> ScenarioReader.parse("bad.toml", "[draw]\nkinds = [\"peer_cat\"]\nfrom_s = 20\nuntil_s = 10\n"));
+        assertTrue(
+                e.getMessage()
+                                .contains(
+                                        "bad.toml:2:1: draw.kinds: names no kind of trouble: \"peer_cat\"; did you mean "
+                                                + "peer_cut?")
+                        && e.getMessage().contains("bad.toml:4:1: draw.until_s: is not after from_s"),
+                e.getMessage());
     }
 
     @Test
     void whatIsNoTomlIsNamedByLineAndColumn() {
-        ScenarioException e = assertThrows(ScenarioException.class, () ->
-                ScenarioReader.parse("bad.toml", "name = \"x\"\nlength_s = = 3\n"));
+        ScenarioException e = assertThrows(
+                ScenarioException.class, () -> ScenarioReader.parse("bad.toml", "name = \"x\"\nlength_s = = 3\n"));
         assertTrue(e.getMessage().startsWith("bad.toml:2:"), e.getMessage());
     }
 
--- a/src/test/java/saffronferry/lab/check/History.java
+++ b/src/test/java/saffronferry/lab/check/History.java
@@ -31,7 +31,7 @@
  */
 final class History {
     /** What the checker found. */
-    record Verdict(List<RuleChecker.Broken> broken, int count, int judged) { }
+    record Verdict(List<RuleChecker.Broken> broken, int count, int judged) {}
 
     /** One line, by its parts. */
     record Line(String file, int number, long at, String what, List<String> parts) {
@@ -82,14 +82,19 @@
                 if (p.length < 4 || s.zones().indexOf(p[2]) < 0) {
                     throw malformed("expected WORKER=STATE@ZONE/CELL, got " + part);
                 }
-                all.add(new WorkerInfo(p[0], oneOf(WorkerState.class, p[1]), 0, s.zones().indexOf(p[2]),
-                        p.length > 4 ? micros(p[4]) : 0, (int) (micros(p[3]) / 1_000_000)));
+                all.add(new WorkerInfo(
+                        p[0],
+                        oneOf(WorkerState.class, p[1]),
+                        0,
+                        s.zones().indexOf(p[2]),
+                        p.length > 4 ? micros(p[4]) : 0,
+                        (int) (micros(p[3]) / 1_000_000)));
             }
             return all;
         }
     }
 
-    private record Open(Id id, long due, double work) { }
+    private record Open(Id id, long due, double work) {}
 
     final Scenario scenario;
     final List<Line> lines = new ArrayList<>();
@@ -136,8 +141,8 @@
             take(line);
         });
         if (checker.judged() == 0) {
-            throw new IllegalArgumentException(lines.isEmpty() ? "a history without a line"
-                    : lines.get(0).file + ": nothing in it was judged");
+            throw new IllegalArgumentException(
+                    lines.isEmpty() ? "a history without a line" : lines.get(0).file + ": nothing in it was judged");
         }
         return new Verdict(checker.broken(), checker.count(), checker.judged());
     }
@@ -176,7 +181,7 @@
                 open.keySet().removeIf(id -> id.dispatcher() == l.whole(0));
             }
             case "capacity" -> capacities.put(l.text(0), l.micros(1) / 1e6);
-            case "end" -> { }
+            case "end" -> {}
             default -> throw l.malformed("nothing is called " + l.what);
         }
     }
@@ -190,7 +195,8 @@
         List<WorkerInfo> all = l.workers(scenario);
         Map<String, WorkerInfo> held = lists.computeIfAbsent(l.whole(0), d -> new HashMap<>());
         if (whole) {
-            checker.toldWhole(l.at, l.whole(0), all.stream().map(WorkerInfo::address).toList());
+            checker.toldWhole(
+                    l.at, l.whole(0), all.stream().map(WorkerInfo::address).toList());
             held.clear();
         }
         for (WorkerInfo w : all) {
@@ -201,7 +207,10 @@
     }
 
     private void request(Line l) {
-        int c = scenario.classes().stream().map(Scenario.RpcClass::name).toList().indexOf(l.text(2));
+        int c = scenario.classes().stream()
+                .map(Scenario.RpcClass::name)
+                .toList()
+                .indexOf(l.text(2));
         if (c < 0) {
             throw l.malformed("no class " + l.text(2));
         }
@@ -212,14 +221,13 @@
 
     private void reaches(Line l) {
         WorkerInfo place = places.get(l.text(2));
-        checker.sent(l.at, id(l), l.text(2), place == null ? -1 : place.zone(),
-                place == null ? -1 : place.cell());
+        checker.sent(l.at, id(l), l.text(2), place == null ? -1 : place.zone(), place == null ? -1 : place.cell());
         Open o = open.get(id(l));
         double capacity = capacities.getOrDefault(l.text(2), 0.0);
         if (o != null && capacity > 0) {
             WorkerInfo held = lists.getOrDefault(l.whole(0), Map.of()).get(l.text(2));
-            checker.reachesCold(l.at, l.text(2), capacity, o.work, l.whole(0),
-                    Objects.nonNull(held) && held.startedAt() > 0);
+            checker.reachesCold(
+                    l.at, l.text(2), capacity, o.work, l.whole(0), Objects.nonNull(held) && held.startedAt() > 0);
         }
     }
 }
--- a/src/test/java/saffronferry/lab/check/HistoryTest.java
+++ b/src/test/java/saffronferry/lab/check/HistoryTest.java
@@ -28,9 +28,21 @@
 
     /** Each history is rejected by its rule's name; the real code, met by the same events, is not. */
     @ParameterizedTest
-    @CsvSource({"lost,lost", "late,lost", "answers,answers", "invented,invented", "duplicate,duplicate",
-        "refused-after-run,duplicate", "once-again,duplicate", "tries,tries", "drain,drain", "missing,drain",
-        "unlisted,unlisted", "cold,cold", "ban,ban"})
+    @CsvSource({
+        "lost,lost",
+        "late,lost",
+        "answers,answers",
+        "invented,invented",
+        "duplicate,duplicate",
+        "refused-after-run,duplicate",
+        "once-again,duplicate",
+        "tries,tries",
+        "drain,drain",
+        "missing,drain",
+        "unlisted,unlisted",
+        "cold,cold",
+        "ban,ban"
+    })
     void theHistoryIsRejectedByName(String name, String rule) throws IOException {
         History.Verdict verdict = new History(name + ".history", text(name)).judge();
         assertTrue(verdict.count() > 0, "not rejected");
@@ -47,7 +59,8 @@
     @Test
     void noHistoryIsLeftOut() throws IOException {
         try (var files = Files.list(FOLDER)) {
-            assertEquals(13, files.filter(f -> f.toString().endsWith(".history")).count());
+            assertEquals(
+                    13, files.filter(f -> f.toString().endsWith(".history")).count());
         }
     }
 
@@ -63,12 +76,26 @@
             History.Verdict verdict = new History("seed " + seed, header + stage.written()).judge();
             assertEquals(List.of(), verdict.broken(), "seed " + seed);
             judged += verdict.judged();
-            stage.written().lines().map(l -> l.split(" ")).forEach(p -> seen.merge(p[1].equals("answer") ? p[4]
-                    : p[1].equals("worker") ? p[5] : p[1], 1L, Long::sum));
+            stage.written()
+                    .lines()
+                    .map(l -> l.split(" "))
+                    .forEach(p -> seen.merge(
+                            p[1].equals("answer") ? p[4] : p[1].equals("worker") ? p[5] : p[1], 1L, Long::sum));
         }
         assertTrue(judged > 30_000, judged + " judged");
-        for (String what : List.of("served", "refused", "failed", "FULL", "ERROR", "RESET", "CONNECT_FAILED", "gone",
-                "list", "capacity", "ban", "back")) {
+        for (String what : List.of(
+                "served",
+                "refused",
+                "failed",
+                "FULL",
+                "ERROR",
+                "RESET",
+                "CONNECT_FAILED",
+                "gone",
+                "list",
+                "capacity",
+                "ban",
+                "back")) {
             assertTrue(seen.getOrDefault(what, 0L) > 50, what + ": " + seen);
         }
     }
@@ -86,7 +113,9 @@
     /** Guards against a checker that is content because it saw nothing. */
     @Test
     void aHistoryInWhichNothingWasJudgedIsAnError() throws IOException {
-        for (String lines : List.of("", "0 list 0 whole a=IN_SERVICE@dub-north/1\n1 end\n",
+        for (String lines : List.of(
+                "",
+                "0 list 0 whole a=IN_SERVICE@dub-north/1\n1 end\n",
                 "1 request 0 1 directory-page 2 0.4\n2 end\n")) {
             History h = new History("empty.history", header(text("lost")) + lines);
             assertThrows(IllegalArgumentException.class, h::judge, lines);
@@ -94,12 +123,26 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"soon end", "1 nonsense", "1", "1 request 0 1 no-such-class 2 0.4", "1 request 0 x page 2 1",
-        "1 worker 0 1 0 PERHAPS", "1 answer 0 1 maybe", "1 list 0 half", "1 list 0 whole a", "1 request 0",
-        "1 list 0 whole a=ILL@dub-north/1", "1 list 0 whole a=GONE@nowhere/1", "1 end\n0 end"})
+    @ValueSource(
+            strings = {
+                "soon end",
+                "1 nonsense",
+                "1",
+                "1 request 0 1 no-such-class 2 0.4",
+                "1 request 0 x page 2 1",
+                "1 worker 0 1 0 PERHAPS",
+                "1 answer 0 1 maybe",
+                "1 list 0 half",
+                "1 list 0 whole a",
+                "1 request 0",
+                "1 list 0 whole a=ILL@dub-north/1",
+                "1 list 0 whole a=GONE@nowhere/1",
+                "1 end\n0 end"
+            })
     void whatIsMalformedIsNamedByFileAndLine(String lines) throws IOException {
         String header = header(text("lost"));
-        IllegalArgumentException e = assertThrows(IllegalArgumentException.class,
+        IllegalArgumentException e = assertThrows(
+                IllegalArgumentException.class,
                 () -> new History("bad.history", header + "0 list 0 whole\n" + lines + "\n").judge());
         long line = header.lines().count() + 1 + lines.lines().count();
         assertTrue(e.getMessage().startsWith("bad.history:" + line + ": "), e.getMessage());
@@ -107,9 +150,12 @@
 
     @Test
     void aScenarioThatCannotBeReadIsNamedToo() {
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new History("x.history", "1 end\n")).getMessage()
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new History("x.history", "1 end\n"))
+                .getMessage()
                 .startsWith("x.history:1: "));
-        assertTrue(assertThrows(IllegalArgumentException.class, () -> new History("x.history", "[fleet]\nworkers = 0\n---\n"))
-                .getMessage().contains("x.history:2:"));
+        assertTrue(assertThrows(
+                        IllegalArgumentException.class, () -> new History("x.history", "[fleet]\nworkers = 0\n---\n"))
+                .getMessage()
+                .contains("x.history:2:"));
     }
 }
--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -16,16 +16,16 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.News;
+import saffronferry.fleet.WatchEnd;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.ops.Figures;
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Channel;
 import saffronferry.state.Clock;
-import saffronferry.ops.Figures;
 import saffronferry.state.Ledger;
 import saffronferry.state.ListUpdate;
 import saffronferry.state.Ports;
 import saffronferry.state.RpcInfo;
-import saffronferry.fleet.WatchEnd;
 
 /** The program's own ledgers and balancers in virtual time; writes down what crosses their wires. */
 final class Stage {
@@ -65,7 +65,8 @@
 
     private void write(String format, Object... values) {
         written.append(String.format(Locale.ROOT, "%.6f ", now / 1e6))
-                .append(String.format(Locale.ROOT, format, values)).append('\n');
+                .append(String.format(Locale.ROOT, format, values))
+                .append('\n');
     }
 
     private Front front(int number) {
@@ -78,17 +79,18 @@
     void replay(History h) {
         for (History.Line l : h.lines) {
             switch (l.what()) {
-                case "list" -> at(l.at(), () -> front(l.whole(0)).told(l.workers(scenario),
-                        "whole".equals(l.text(1))));
-                case "request" -> at(l.at(), () -> front(l.whole(0)).asked(l.text(1), l.text(2), l.micros(3),
-                        l.micros(4) / 1e6));
-                case "worker" -> at(l.at(), () -> front(l.whole(0)).answered(l.text(1), l.whole(2),
-                        l.oneOf(Outcome.class, l.text(3))));
+                case "list" -> at(l.at(), () -> front(l.whole(0)).told(l.workers(scenario), "whole".equals(l.text(1))));
+                case "request" ->
+                    at(l.at(), () -> front(l.whole(0)).asked(l.text(1), l.text(2), l.micros(3), l.micros(4) / 1e6));
+                case "worker" ->
+                    at(
+                            l.at(),
+                            () -> front(l.whole(0)).answered(l.text(1), l.whole(2), l.oneOf(Outcome.class, l.text(3))));
                 case "ban" -> at(l.at(), () -> front(l.whole(0)).ban(l.text(1), true));
                 case "back" -> at(l.at(), () -> front(l.whole(0)).ban(l.text(1), false));
                 case "gone" -> at(l.at(), () -> front(l.whole(0)).left(l.text(1)));
                 case "capacity" -> at(l.at(), () -> write("capacity %s %s", l.text(0), l.text(1)));
-                default -> { }
+                default -> {}
             }
         }
         run(h.lines.get(h.lines.size() - 1).at());
@@ -143,14 +145,16 @@
     private void clients(int dispatchers, double perSecond, long until) {
         if (now < until) {
             int d = dice.nextInt(dispatchers);
-            Scenario.RpcClass c = scenario.classes().get(dice.nextInt(scenario.classes().size()));
+            Scenario.RpcClass c =
+                    scenario.classes().get(dice.nextInt(scenario.classes().size()));
             String rpc = Integer.toString(++order);
             long valid = dice.nextInt(10) == 0 ? 1 + dice.nextLong(200_000) : c.deadline();
             front(d).asked(rpc, c.name(), valid, c.work() / 1e6 * (0.3 + dice.nextDouble()));
             if (dice.nextInt(50) == 0) {
                 at(now + dice.nextLong(2_000_000), () -> front(d).left(rpc));
             }
-            at(now + 1 + (long) (-Math.log(1 - dice.nextDouble()) / perSecond * 1e6),
+            at(
+                    now + 1 + (long) (-Math.log(1 - dice.nextDouble()) / perSecond * 1e6),
                     () -> clients(dispatchers, perSecond, until));
         }
     }
@@ -172,7 +176,10 @@
         }
         long late = dice.nextLong(900_000);
         boolean whole = dice.nextInt(6) == 0;
-        List<WorkerInfo> list = whole ? fleet.values().stream().filter(w -> w.state() != WorkerState.GONE).toList()
+        List<WorkerInfo> list = whole
+                ? fleet.values().stream()
+                        .filter(w -> w.state() != WorkerState.GONE)
+                        .toList()
                 : List.of(next);
         fronts.values().forEach(f -> at(now + late, () -> f.told(list, whole)));
     }
@@ -193,11 +200,11 @@
             return;
         }
         int x = dice.nextInt(100);
-        Outcome outcome = fleet.get(worker).state() == WorkerState.DRAINING || x < 8 ? Outcome.FULL
+        Outcome outcome = fleet.get(worker).state() == WorkerState.DRAINING || x < 8
+                ? Outcome.FULL
                 : x < 12 ? Outcome.ERROR : x < 15 ? Outcome.RESET : Outcome.OK;
         if (x < 97) { // the others hang
-            at(now + 500 + (outcome == Outcome.FULL ? 0 : (long) (jobs * 1e6)),
-                    () -> f.answered(rpc, number, outcome));
+            at(now + 500 + (outcome == Outcome.FULL ? 0 : (long) (jobs * 1e6)), () -> f.answered(rpc, number, outcome));
         }
     }
 
@@ -214,18 +221,54 @@
 
         Front(int number) {
             this.number = number;
-            List<JobClass> classes = scenario.classes().stream().map(c -> new JobClass(c.name(), c.aim(),
-                    c.stretch(), c.deadline(), c.worth(), c.lateWorth(), c.effect(), c.group(), c.keyTtl(), -1)).toList();
+            List<JobClass> classes = scenario.classes().stream()
+                    .map(c -> new JobClass(
+                            c.name(),
+                            c.aim(),
+                            c.stretch(),
+                            c.deadline(),
+                            c.worth(),
+                            c.lateWorth(),
+                            c.effect(),
+                            c.group(),
+                            c.keyTtl(),
+                            -1))
+                    .toList();
             Scenario.Rules r = scenario.rules();
-            ledger = new Ledger<>(new Balancer(new Settings(dice.nextLong(), number, scenario.dispatchers(),
-                    number % scenario.zones().size(), scenario.zones().size(), 1, classes,
-                    List.of(new Tenant("all", 0)), r.mostTries(), true, true, true, true, true, true, true, 0,
-                    COLD, 0.33, r.fallMultiple(), r.maxRetryAfter(), 0.008, 0.01, 40_000_000)), new Clock() {
+            ledger = new Ledger<>(
+                    new Balancer(new Settings(
+                            dice.nextLong(),
+                            number,
+                            scenario.dispatchers(),
+                            number % scenario.zones().size(),
+                            scenario.zones().size(),
+                            1,
+                            classes,
+                            List.of(new Tenant("all", 0)),
+                            r.mostTries(),
+                            true,
+                            true,
+                            true,
+                            true,
+                            true,
+                            true,
+                            true,
+                            0,
+                            COLD,
+                            0.33,
+                            r.fallMultiple(),
+                            r.maxRetryAfter(),
+                            0.008,
+                            0.01,
+                            40_000_000)),
+                    new Clock() {
                         @Override
                         public long now() {
                             return START + now;
                         }
-                    }, this, new Figures(classes.stream().map(JobClass::name).toList()));
+                    },
+                    this,
+                    new Figures(classes.stream().map(JobClass::name).toList()));
         }
 
         void ban(String worker, boolean out) {
@@ -235,36 +278,51 @@
 
         void told(List<WorkerInfo> entries, boolean whole) {
             StringBuilder text = new StringBuilder();
-            entries.stream().sorted((a, b) -> a.address().compareTo(b.address())).forEach(w -> text.append(' ')
-                    .append(w.address()).append('=').append(w.state()).append('@')
-                    .append(scenario.zones().get(w.zone())).append('/').append(w.cell())
-                    .append(w.startedAt() > 0 ? "+" + w.startedAt() / 1e6 : ""));
+            entries.stream()
+                    .sorted((a, b) -> a.address().compareTo(b.address()))
+                    .forEach(w -> text.append(' ')
+                            .append(w.address())
+                            .append('=')
+                            .append(w.state())
+                            .append('@')
+                            .append(scenario.zones().get(w.zone()))
+                            .append('/')
+                            .append(w.cell())
+                            .append(w.startedAt() > 0 ? "+" + w.startedAt() / 1e6 : ""));
             write("list %d %s%s", number, whole ? "whole" : "changes", text);
-            ledger.resolved(new ListUpdate(++revision, whole, entries.stream()
-                    .map(w -> new ListUpdate.Entry(w, w.address())).toList()), revision == 1);
+            ledger.resolved(
+                    new ListUpdate(
+                            ++revision,
+                            whole,
+                            entries.stream()
+                                    .map(w -> new ListUpdate.Entry(w, w.address()))
+                                    .toList()),
+                    revision == 1);
         }
 
         void asked(String rpc, String rpcClass, long valid, double jobs) {
             write("request %d %s %s %.6f %.6f", number, rpc, rpcClass, valid / 1e6, jobs);
             work.put(number + "/" + rpc, jobs);
-            int c = scenario.classes().stream().map(Scenario.RpcClass::name).toList().indexOf(rpcClass);
-            ids.put(rpc, ledger.open(new RpcInfo(rpc, c, 0, valid, 1, false), rpc,
-                    new Channel() {
-                        @Override
-                        public void served(String result) {
-                            write("answer %d %s served", number, rpc);
-                        }
+            int c = scenario.classes().stream()
+                    .map(Scenario.RpcClass::name)
+                    .toList()
+                    .indexOf(rpcClass);
+            ids.put(rpc, ledger.open(new RpcInfo(rpc, c, 0, valid, 1, false), rpc, new Channel() {
+                @Override
+                public void served(String result) {
+                    write("answer %d %s served", number, rpc);
+                }
 
-                        @Override
-                        public void refused(long retryAfter) {
-                            write("answer %d %s refused", number, rpc);
-                        }
+                @Override
+                public void refused(long retryAfter) {
+                    write("answer %d %s refused", number, rpc);
+                }
 
-                        @Override
-                        public void failed() {
-                            write("answer %d %s failed", number, rpc);
-                        }
-                    }));
+                @Override
+                public void failed() {
+                    write("answer %d %s failed", number, rpc);
+                }
+            }));
         }
 
         void left(String rpc) {
@@ -287,7 +345,8 @@
 
         /** A worker's process ended. */
         void breaks(String worker) {
-            attempts.forEach((rpc, all) -> all.stream().filter(a -> !a.over() && worker.equals(places.get(a)))
+            attempts.forEach((rpc, all) -> all.stream()
+                    .filter(a -> !a.over() && worker.equals(places.get(a)))
                     .forEach(a -> at(now + 1, () -> answered(rpc, all.indexOf(a), Outcome.RESET))));
         }
 
@@ -302,13 +361,15 @@
             if (!fleet.isEmpty()) {
                 work(this, rpc, mine, address, work.get(number + "/" + rpc));
             }
-            return () -> { };
+            return () -> {};
         }
 
         @Override
         public void probe(String worker, String address) {
-            at(now + 1_000, () -> ledger.report(new News.Probed(worker, Outcome.OK,
-                    new Report(Double.NaN, 0, 1 + dice.nextInt(4)))));
+            at(
+                    now + 1_000,
+                    () -> ledger.report(
+                            new News.Probed(worker, Outcome.OK, new Report(Double.NaN, 0, 1 + dice.nextInt(4)))));
         }
 
         @Override
--- a/src/test/java/saffronferry/lifecycle/AgreeTest.java
+++ b/src/test/java/saffronferry/lifecycle/AgreeTest.java
@@ -19,6 +19,7 @@
 public class AgreeTest extends SocketsFixture {
     /** More of both for a measurement: {@code -Dagree.size=16 -Dagree.changes=200}. */
     private static final int SIZE = Integer.getInteger("agree.size", 3);
+
     private static final int CHANGES = Integer.getInteger("agree.changes", 3);
     private static final int LOSS_PERCENT = Integer.getInteger("agree.loss", 40);
     private final List<JSONObject> configs = new ArrayList<>();
@@ -27,7 +28,11 @@
     private LossyLinks links;
 
     private static void signal(Process process, String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     private boolean told(String what) {
@@ -180,8 +185,14 @@
             took.add((System.nanoTime() - from) / 1e9);
         }
         java.util.Collections.sort(took);
-        System.out.printf("%d processes, %d %% lost, %d changes: in force after p50 %.2f s, p99 %.2f s, max %.2f s%n", SIZE,
-                LOSS_PERCENT, CHANGES, took.get(CHANGES / 2), took.get((int) Math.ceil(0.99 * CHANGES) - 1), took.get(CHANGES - 1));
+        System.out.printf(
+                "%d processes, %d %% lost, %d changes: in force after p50 %.2f s, p99 %.2f s, max %.2f s%n",
+                SIZE,
+                LOSS_PERCENT,
+                CHANGES,
+                took.get(CHANGES / 2),
+                took.get((int) Math.ceil(0.99 * CHANGES) - 1),
+                took.get(CHANGES - 1));
         for (int i = 0; i < SIZE; i++) {
             assertEquals(1, figure(i, "held"));
         }
@@ -198,8 +209,8 @@
         try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             // to the dispatcher itself, and by the way on which it hears number 2
             for (String to : new String[] {links.address(0, 0), links.address(0, 2)}) {
-                stranger.send(new DatagramPacket(forged, forged.length, InetAddress.getByName("127.0.0.1"),
-                        Integer.parseInt(to.split(":")[1])));
+                stranger.send(new DatagramPacket(
+                        forged, forged.length, InetAddress.getByName("127.0.0.1"), Integer.parseInt(to.split(":")[1])));
             }
             await(() -> told("datagram dropped: 60 bytes from") && figure(0, "dropped") == 1);
         }
--- a/src/test/java/saffronferry/lifecycle/BadClientsTest.java
+++ b/src/test/java/saffronferry/lifecycle/BadClientsTest.java
@@ -12,8 +12,8 @@
 
 /** What bad clients send, on raw sockets: an error or a close in time, nothing passed on, no harm to others. */
 public class BadClientsTest extends SocketsFixture {
-    private static final String HEAD = "POST /directory-page HTTP/1.1\r\nHost: h\r\nX-Lane: directory-page\r\n"
-            + "X-Remaining-Ms: 3000\r\n";
+    private static final String HEAD =
+            "POST /directory-page HTTP/1.1\r\nHost: h\r\nX-Lane: directory-page\r\n" + "X-Remaining-Ms: 3000\r\n";
     private static final String GOOD = HEAD + "X-Txn: x\r\n";
     private static final String EMPTY = "Content-Length: 0\r\n\r\n";
     private static final String HIDDEN = HEAD + "X-Txn: hidden\r\n" + EMPTY;
@@ -37,7 +37,10 @@
             {"400|", GOOD + "Transfer-Encoding: chunked\r\nContent-Length: " + HIDDEN.length() + "\r\n\r\n" + HIDDEN},
             {"400", GOOD + "Transfer-Encoding: xchunked\r\nContent-Length: 0\r\n\r\n" + HIDDEN},
             {"400", GOOD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n" + HIDDEN},
-            {"400", GOOD.replace("1.1", "1.0") + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + HIDDEN},
+            {
+                "400",
+                GOOD.replace("1.1", "1.0") + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + HIDDEN
+            },
             {"400", GOOD + "Transfer-Encoding : chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + HIDDEN},
             {"400", GOOD + "Content-Length: 0\r\nContent-Length: 5\r\n\r\n" + HIDDEN},
             {"400", GOOD + "Content-Length: 0, 0\r\n\r\n" + HIDDEN},
@@ -82,8 +85,13 @@
         Socket usual = connect();
         Peer.write(usual.getOutputStream(), GOOD + EMPTY);
         assertTrue(readLine(usual).contains("200"));
-        String[] unfinished = {"", "POST /dir", HEAD, GOOD + "Content-Length: 9\r\n\r\nhalf",
-            GOOD + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"};
+        String[] unfinished = {
+            "",
+            "POST /dir",
+            HEAD,
+            GOOD + "Content-Length: 9\r\n\r\nhalf",
+            GOOD + "Transfer-Encoding: chunked\r\n\r\n9\r\nhalf"
+        };
         List<Socket> sockets = new ArrayList<>();
         for (String text : unfinished) {
             Socket s = connect();
@@ -122,7 +130,10 @@
         for (int i = 0; i < 300; i++) {
             crowd.add(connect());
         }
-        assertEquals("the longest silent is closed", -1, crowd.get(0).getInputStream().read());
+        assertEquals(
+                "the longest silent is closed",
+                -1,
+                crowd.get(0).getInputStream().read());
         Peer.write(usual.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
         assertTrue(readLine(usual).contains("200"));
         assertEquals(200, get(gift(3000)).statusCode());
--- a/src/test/java/saffronferry/lifecycle/CompanyTest.java
+++ b/src/test/java/saffronferry/lifecycle/CompanyTest.java
@@ -33,17 +33,22 @@
         Vertx vertx = Vertx.vertx();
         Process other = new ProcessBuilder("sleep", "60").start();
         try {
-            Company company = new Company(vertx, new Succession(at, "d") {
-                @Override
-                Company exchange(Beside own) throws IOException {
-                    looks.incrementAndGet();
-                    return super.exchange(own);
-                }
-            }, file, new Descriptors(1024, 32), new BoundedLog());
+            Company company = new Company(
+                    vertx,
+                    new Succession(at, "d") {
+                        @Override
+                        Company exchange(Beside own) throws IOException {
+                            looks.incrementAndGet();
+                            return super.exchange(own);
+                        }
+                    },
+                    file,
+                    new Descriptors(1024, 32),
+                    new BoundedLog());
             looks.set(0);
             vertx.runOnContext(v -> company.keep(() -> Beside.NOBODY, new Company.Listener() {
                 @Override
-                public void told(Beside beside) { }
+                public void told(Beside beside) {}
 
                 @Override
                 public void banned(Bans bans) {
@@ -51,7 +56,7 @@
                 }
 
                 @Override
-                public void replaced(boolean served) { }
+                public void replaced(boolean served) {}
             }));
             Thread.sleep(1500);
             int alone = looks.get();
--- a/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
@@ -39,8 +39,13 @@
         realms().getJSONObject(0).put("allowancePerS", 70);
         realms().getJSONObject(1).put("name", "athlone-arts");
         ConfigDiff diff = ConfigDiff.between(before, after);
-        assertEquals(Map.of(key("kilbarron-grads"), "70", key("athlone-arts"), "30"),
-                Map.copyOf(new java.util.HashMap<>(diff.changes()) {{ remove(key("lisdara-college")); }}));
+        assertEquals(
+                Map.of(key("kilbarron-grads"), "70", key("athlone-arts"), "30"),
+                Map.copyOf(new java.util.HashMap<>(diff.changes()) {
+                    {
+                        remove(key("lisdara-college"));
+                    }
+                }));
         assertTrue(diff.changes().containsKey(key("lisdara-college")));
         assertEquals(null, diff.changes().get(key("lisdara-college")));
         assertEquals(List.of(), diff.refused());
@@ -48,12 +53,16 @@
 
     @Test
     void eachOtherKeyIsRefusedByName() {
-        after.put("listen", "127.0.0.1:9").put("discovery", "127.0.0.1:8").put("seed", "77").remove("known");
+        after.put("listen", "127.0.0.1:9")
+                .put("discovery", "127.0.0.1:8")
+                .put("seed", "77")
+                .remove("known");
         after.getJSONObject("settings").getJSONObject("rules").put("cold", 9);
         after.getJSONObject("settings").put("more", new JSONObject());
         realms().getJSONObject(0).put("share", 0.5).put("allowancePerS", 51);
         ConfigDiff diff = ConfigDiff.between(before, after);
-        assertEquals(List.of("listen", "settings.more", "settings.realms.kilbarron-grads.share", "settings.rules.cold"),
+        assertEquals(
+                List.of("listen", "settings.more", "settings.realms.kilbarron-grads.share", "settings.rules.cold"),
                 diff.refused());
         assertEquals(Map.of(key("kilbarron-grads"), "51"), diff.changes());
     }
--- a/src/test/java/saffronferry/lifecycle/ConfigTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigTest.java
@@ -42,16 +42,29 @@
     @Test
     public void theFaultyKeyIsNamed() throws IOException {
         Object[][] cases = {
-            {"listen", "nowhere"}, {"listen", null}, {"discovery", "a:b"}, {"discovery", 7}, {"peer_listen", ""},
-            {"peers", "[\"x\"]"}, {"seed", "xyz"}, {"settings", null}, {"settings", "{}"},
-            {"console", 9}, {"console", "9090"}, {"known", "{}"}, {"limits", "{\"sockets\":3}"},
-            {"agree", "{}"}, {"agree", 7}, {"agree", "{\"secret\":\"short\"}"},
+            {"listen", "nowhere"},
+            {"listen", null},
+            {"discovery", "a:b"},
+            {"discovery", 7},
+            {"peer_listen", ""},
+            {"peers", "[\"x\"]"},
+            {"seed", "xyz"},
+            {"settings", null},
+            {"settings", "{}"},
+            {"console", 9},
+            {"console", "9090"},
+            {"known", "{}"},
+            {"limits", "{\"sockets\":3}"},
+            {"agree", "{}"},
+            {"agree", 7},
+            {"agree", "{\"secret\":\"short\"}"},
             {"agree", "{\"secret\":\"long enough it is\",\"bytes_per_s\":900}"},
         };
         for (Object[] c : cases) {
             JSONObject json = example();
             Object value = c[1] instanceof String s && (s.startsWith("{") || s.startsWith("["))
-                    ? new org.json.JSONTokener(s).nextValue() : c[1];
+                    ? new org.json.JSONTokener(s).nextValue()
+                    : c[1];
             json.put((String) c[0], value);
             Exception e = assertThrows(c[0] + "=" + c[1], IllegalArgumentException.class, () -> new Config(json, HERE));
             assertTrue(e.getMessage(), e.getMessage().startsWith("configuration key " + c[0]));
@@ -59,7 +72,9 @@
         JSONObject json = example();
         json.getJSONObject("settings").getJSONObject("rules").put("cold", "long");
         Exception e = assertThrows(IllegalArgumentException.class, () -> new Config(json, HERE));
-        assertTrue(e.getMessage(), e.getMessage().contains("settings") && e.getMessage().contains("cold"));
+        assertTrue(
+                e.getMessage(),
+                e.getMessage().contains("settings") && e.getMessage().contains("cold"));
     }
 
     @Test
@@ -68,8 +83,8 @@
         try {
             JSONObject json = example();
             Files.writeString(file, json.toString());
-            Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString(),
-                    "BALANCER_CONSOLE", "127.0.0.1:7");
+            Map<String, String> environment =
+                    Map.of("BALANCER_CONFIG", file.toString(), "BALANCER_CONSOLE", "127.0.0.1:7");
             assertEquals("127.0.0.1:9090", Config.read(environment).console.toString());
             json.remove("console");
             Files.writeString(file, json.toString());
@@ -106,8 +121,8 @@
 
     @Test
     public void theFileItselfIsNamed() {
-        for (Map<String, String> environment : new Map[] {Map.of(), Map.of("BALANCER_CONFIG", "/none"),
-            Map.of("BALANCER_CONFIG", "pom.xml")}) {
+        for (Map<String, String> environment :
+                new Map[] {Map.of(), Map.of("BALANCER_CONFIG", "/none"), Map.of("BALANCER_CONFIG", "pom.xml")}) {
             Exception e = assertThrows(IllegalArgumentException.class, () -> Config.read(environment));
             assertTrue(e.getMessage(), e.getMessage().contains("BALANCER_CONFIG"));
         }
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -41,20 +41,31 @@
     public void eachCallHasItsAnswerAndTheConnectionEnds() throws Exception {
         start();
         String[][] table = {
-            {"GET", "/ops/readiness", "200"}, {"GET", "/ops/stats", "200"}, {"GET", "/ops/stats?x=1", "200"},
-            {"PUT", "/ops/workers/down/a", "200"}, {"PUT", "/ops/workers/down/a", "200"},
-            {"PUT", "/ops/workers/up/%61", "200"}, {"PUT", "/ops/workers/up/a", "200"},
-            {"PUT", "/ops/workers/down/nobody", "404"}, {"PUT", "/ops/workers/up/nobody", "404"},
-            {"PUT", "/ops/drain/start", "200"}, {"PUT", "/ops/drain/start", "200"},
-            {"PUT", "/ops/drain/stop", "200"}, {"PUT", "/ops/drain/stop", "200"},
-            {"GET", "/ops/drain/start", "405"}, {"PUT", "/ops/stats", "405"}, {"GET", "/up", "404"},
-            {"PUT", "/ops/workers/up/%zz", "400"}};
+            {"GET", "/ops/readiness", "200"},
+            {"GET", "/ops/stats", "200"},
+            {"GET", "/ops/stats?x=1", "200"},
+            {"PUT", "/ops/workers/down/a", "200"},
+            {"PUT", "/ops/workers/down/a", "200"},
+            {"PUT", "/ops/workers/up/%61", "200"},
+            {"PUT", "/ops/workers/up/a", "200"},
+            {"PUT", "/ops/workers/down/nobody", "404"},
+            {"PUT", "/ops/workers/up/nobody", "404"},
+            {"PUT", "/ops/drain/start", "200"},
+            {"PUT", "/ops/drain/start", "200"},
+            {"PUT", "/ops/drain/stop", "200"},
+            {"PUT", "/ops/drain/stop", "200"},
+            {"GET", "/ops/drain/start", "405"},
+            {"PUT", "/ops/stats", "405"},
+            {"GET", "/up", "404"},
+            {"PUT", "/ops/workers/up/%zz", "400"}
+        };
         for (String[] row : table) {
             String answer = raw(head(row[0], row[1]));
             assertTrue(row[1] + ": " + answer, answer.startsWith("HTTP/1.1 " + row[2] + " "));
         }
         assertTrue(raw("rubbish\r\n\r\n").startsWith("HTTP/1.1 400 "));
-        assertTrue(raw("GET /ops/stats HTTP/1.1\r\nX: " + "y".repeat(10_000) + "\r\n\r\n").startsWith("HTTP/1.1 400 "));
+        assertTrue(raw("GET /ops/stats HTTP/1.1\r\nX: " + "y".repeat(10_000) + "\r\n\r\n")
+                .startsWith("HTTP/1.1 400 "));
         Socket slow = caller("");
         for (byte b : head("GET", "/ops/readiness").getBytes(StandardCharsets.US_ASCII)) {
             slow.getOutputStream().write(b);
@@ -95,7 +106,9 @@
     public void theFiguresAreWhatClientsAndWorkersSaw() throws Exception {
         a.script = Peer.slow(300);
         b.close(); // connecting there fails, and is no attempt written
-        members(entry("a", a.address(), 1, "SERVING", 0), entry("b", b.address(), 2, "SERVING", 0),
+        members(
+                entry("a", a.address(), 1, "SERVING", 0),
+                entry("b", b.address(), 2, "SERVING", 0),
                 entry("c", b.address(), 2, "DRAINING", 0));
         start();
         List<CompletableFuture<HttpResponse<String>>> open = new ArrayList<>();
@@ -121,7 +134,8 @@
         assertEquals(2, figure("app_responses{kind=\"directory-page\",result=\"ok\"}"));
         assertEquals(1, figure("app_responses{kind=\"record-gift\",result=\"errors\"}"));
         assertEquals(4, answers);
-        assertEquals(a.requests.size(),
+        assertEquals(
+                a.requests.size(),
                 figure("app_tries{kind=\"directory-page\"}") + figure("app_tries{kind=\"record-gift\"}"));
         assertEquals(0, figure("app_active"));
         assertEquals(3, figure("app_pool_size"));
@@ -143,18 +157,22 @@
     /** Bytes of discovery, of probes and of peers are in the figures as the stand-ins said and heard them. */
     @Test
     public void whatControlCostsIsToldByKind() throws Exception {
-        String told = "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", a.address(), 1, "SERVING", 0)
-                + "]}";
+        String told =
+                "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", a.address(), 1, "SERVING", 0) + "]}";
         discovery.script = tell(told);
         start();
         awaitFigure("app_control_bytes{kind=\"lists\",way=\"in\"}", told.length());
-        assertTrue("and the head of an answer", figure("app_control_bytes{kind=\"lists\",way=\"in\"}")
-                < told.length() + 500);
+        assertTrue(
+                "and the head of an answer",
+                figure("app_control_bytes{kind=\"lists\",way=\"in\"}") < told.length() + 500);
         assertTrue("the call", figure("app_control_bytes{kind=\"lists\",way=\"out\"}") > 50);
         awaitFigure("app_control_bytes{kind=\"probes\",way=\"out\"}", 50);
         awaitFigure("app_control_resident_bytes", 10_000_000);
-        String cpu = call("GET", "/ops/stats").lines().filter(l -> l.startsWith("app_control_cpu_seconds "))
-                .findFirst().orElseThrow();
+        String cpu = call("GET", "/ops/stats")
+                .lines()
+                .filter(l -> l.startsWith("app_control_cpu_seconds "))
+                .findFirst()
+                .orElseThrow();
         assertTrue(cpu, Double.parseDouble(cpu.split(" ")[1]) > 0);
     }
 
@@ -174,8 +192,9 @@
         b.script = Peer.slow(400);
         discovery.script = (request, out) -> {
             Thread.sleep(800);
-            return tell("{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", a.address(), 1, "SERVING",
-                    System.currentTimeMillis()) + "," + entry("b", b.address(), 2, "SERVING", 0) + "]}")
+            return tell("{\"revision\":2,\"complete\":true,\"members\":["
+                            + entry("a", a.address(), 1, "SERVING", System.currentTimeMillis()) + ","
+                            + entry("b", b.address(), 2, "SERVING", 0) + "]}")
                     .play(request, out);
         };
         start();
@@ -348,10 +367,14 @@
         assertTrue(answer(idle).startsWith("HTTP/1.1 200 "));
         yes("/ops/drain/start");
         long begun = System.nanoTime();
-        assertEquals(503, client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding()).statusCode());
+        assertEquals(
+                503,
+                client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding())
+                        .statusCode());
         Peer.write(kept.getOutputStream(), job(3));
         String early = answer(kept);
-        assertTrue("the front may not have turned away yet: " + early,
+        assertTrue(
+                "the front may not have turned away yet: " + early,
                 early.startsWith("HTTP/1.1 200 ") && !early.toLowerCase().contains("connection: close"));
         Thread.sleep(500);
         Peer.write(kept.getOutputStream(), job(4));
@@ -360,7 +383,10 @@
         assertEquals("idle ones end", "", readAll(idle));
         assertTrue(System.nanoTime() - begun < 2_000_000_000L);
         yes("/ops/drain/stop");
-        assertEquals(200, client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding()).statusCode());
+        assertEquals(
+                200,
+                client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding())
+                        .statusCode());
         Socket again = connect();
         Peer.write(again.getOutputStream(), job(5));
         assertTrue(answer(again).startsWith("HTTP/1.1 200 "));
--- a/src/test/java/saffronferry/lifecycle/CrowdTest.java
+++ b/src/test/java/saffronferry/lifecycle/CrowdTest.java
@@ -188,8 +188,8 @@
     @Test
     public void aFailingAcceptIsTriedAgainWithPausesUntilItRecovers() throws Exception {
         long[] until = {0};
-        AtomicInteger calls = startWithFailingAccept(() -> System.nanoTime() < until[0]
-                ? new SocketException("Too many open files") : null);
+        AtomicInteger calls = startWithFailingAccept(
+                () -> System.nanoTime() < until[0] ? new SocketException("Too many open files") : null);
         until[0] = System.nanoTime() + 5_000_000_000L;
         CompletableFuture<HttpResponse<String>> answer = gift(9000);
         assertEquals(200, get(answer).statusCode());
@@ -202,7 +202,8 @@
     public void anErrorWhileAcceptingEndsNothing() throws Exception {
         AtomicInteger left = new AtomicInteger();
         AtomicInteger calls = startWithFailingAccept(() -> left.getAndDecrement() > 0
-                ? new NoClassDefFoundError("Could not initialize class sun.util.calendar.ZoneInfoFile") : null);
+                ? new NoClassDefFoundError("Could not initialize class sun.util.calendar.ZoneInfoFile")
+                : null);
         left.set(3);
         assertEquals(200, get(gift(9000)).statusCode());
         assertEquals(3, calls.get());
@@ -222,7 +223,9 @@
     }
 
     private static void signal(Process process, String name) throws Exception {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .start()
+                .waitFor();
     }
 
     /** A loop that hangs ends the process with the code that the operators' page names. */
--- a/src/test/java/saffronferry/lifecycle/EndingsTest.java
+++ b/src/test/java/saffronferry/lifecycle/EndingsTest.java
@@ -24,7 +24,11 @@
 
     /** How a client goes. */
     private enum Leave {
-        CLOSE, RESET, HALF_CLOSE, CLOSE_BEHIND_A_PIPELINED_REQUEST, CLOSE_BEHIND_A_FLOOD;
+        CLOSE,
+        RESET,
+        HALF_CLOSE,
+        CLOSE_BEHIND_A_PIPELINED_REQUEST,
+        CLOSE_BEHIND_A_FLOOD;
 
         /** Sends what this way of going sends beside its one request, then goes. */
         void go(Socket s, String another) throws IOException {
@@ -73,7 +77,6 @@
         }
     }
 
-
     /** A few requests in one write are served in turn: none overtakes another, and none is opened too early. */
     @Test
     public void requestsSentAtOnceAreServedInTurnUpToABoundAndThenTheConnectionCloses() throws Exception {
@@ -106,20 +109,24 @@
     @Test
     public void anAnswerThatGoesOnAfterItsEndIsClosed() throws Exception {
         b.close();
-        List<Peer.Script> endless = List.of((request, out) -> {
-            Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Peer.chunk(out, "{\"state\":\"done\",\"result\":\"made\"}");
-            return true; // neither a last chunk nor a close
-        }, (request, out) -> {
-            Peer.write(out, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 70000\r\n\r\nhalf");
-            return true;
-        }, (request, out) -> {
-            Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (int i = 0; i < 1000; i++) {
-                Peer.chunk(out, "{\"state\":\"running\",\"share\":0.1,\"more\":\"" + "x".repeat(10_000) + "\"}");
-            }
-            return true;
-        });
+        List<Peer.Script> endless = List.of(
+                (request, out) -> {
+                    Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    Peer.chunk(out, "{\"state\":\"done\",\"result\":\"made\"}");
+                    return true; // neither a last chunk nor a close
+                },
+                (request, out) -> {
+                    Peer.write(out, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 70000\r\n\r\nhalf");
+                    return true;
+                },
+                (request, out) -> {
+                    Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    for (int i = 0; i < 1000; i++) {
+                        Peer.chunk(
+                                out, "{\"state\":\"running\",\"share\":0.1,\"more\":\"" + "x".repeat(10_000) + "\"}");
+                    }
+                    return true;
+                });
         config.getJSONObject("settings").getJSONObject("limits").put("probes", false); // whose connections close, too
         start();
         int closed = 0;
@@ -173,7 +180,8 @@
                         Socket s = server.accept();
                         taken.add(s);
                         if (!ours.contains(s.getPort())) {
-                            said = new String(s.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.ISO_8859_1);
+                            said = new String(
+                                    s.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.ISO_8859_1);
                             bytes += said.length();
                             ended++;
                         }
@@ -203,7 +211,10 @@
     public void aDialThatComesUpLateBeginsNothingForAClientThatHasGone() throws Exception {
         for (boolean cancel : new boolean[] {true, false}) {
             LateWorker late = keep(new LateWorker());
-            config.getJSONObject("settings").getJSONObject("limits").put("cancel", cancel).put("connectTimeout", 8)
+            config.getJSONObject("settings")
+                    .getJSONObject("limits")
+                    .put("cancel", cancel)
+                    .put("connectTimeout", 8)
                     .put("probes", false);
             config.put("listen", "127.0.0.1:" + freePort()).put("console", "127.0.0.1:" + freePort());
             members(entry("late", late.address(), 1, "SERVING", 0));
@@ -220,8 +231,11 @@
     }
 
     private static int told(String request) {
-        return request.lines().filter(l -> l.toLowerCase().startsWith("x-remaining-ms:"))
-                .mapToInt(l -> Integer.parseInt(l.substring(15).trim())).findFirst().orElseThrow();
+        return request.lines()
+                .filter(l -> l.toLowerCase().startsWith("x-remaining-ms:"))
+                .mapToInt(l -> Integer.parseInt(l.substring(15).trim()))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** A client counts from when it sends; so far 5 of 56 further attempts of a day told over 0.15 s more than was left. */
@@ -250,7 +264,10 @@
     @Test
     public void anAttemptDoesNotTellTheTimeOfItsDial() throws Exception {
         LateWorker late = keep(new LateWorker());
-        config.getJSONObject("settings").getJSONObject("limits").put("connectTimeout", 8).put("probes", false);
+        config.getJSONObject("settings")
+                .getJSONObject("limits")
+                .put("connectTimeout", 8)
+                .put("probes", false);
         members(entry("late", late.address(), 1, "SERVING", 0));
         start();
         Socket s = connect();
@@ -267,7 +284,10 @@
     public void aDialThatComesUpAfterTheListSaysThatItsWorkerDrainsBeginsNothing() throws Exception {
         LateWorker late = keep(new LateWorker());
         CountDownLatch dialled = new CountDownLatch(1);
-        config.getJSONObject("settings").getJSONObject("limits").put("connectTimeout", 8).put("probes", false);
+        config.getJSONObject("settings")
+                .getJSONObject("limits")
+                .put("connectTimeout", 8)
+                .put("probes", false);
         members(entry("late", late.address(), 1, "SERVING", 0));
         discovery.script = (request, out) -> {
             Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -275,8 +295,10 @@
             while (!dialled.await(100, java.util.concurrent.TimeUnit.MILLISECONDS)) {
                 Peer.chunk(out, "");
             }
-            Peer.chunk(out, "{\"revision\":2,\"complete\":false,\"members\":["
-                    + entry("late", late.address(), 1, "DRAINING", 0) + "," + entry("a", a.address(), 2, "SERVING", 0) + "]}");
+            Peer.chunk(
+                    out,
+                    "{\"revision\":2,\"complete\":false,\"members\":[" + entry("late", late.address(), 1, "DRAINING", 0)
+                            + "," + entry("a", a.address(), 2, "SERVING", 0) + "]}");
             Thread.sleep(60_000);
             return false;
         };
@@ -292,12 +314,19 @@
     }
 
     /** When a worker breaks the connection of an attempt. */
-    private enum Break { BEHIND_THE_REQUEST, BEHIND_THE_ANSWERS_HEAD, BEHIND_THE_START }
+    private enum Break {
+        BEHIND_THE_REQUEST,
+        BEHIND_THE_ANSWERS_HEAD,
+        BEHIND_THE_START
+    }
 
     /** A job that may have run goes out once where its class is unsafe, by its settings. */
     @Test
     public void anUnsafeJobIsNeverSentASecondTimeOnceItMayHaveRun() throws Exception {
-        config.getJSONObject("settings").getJSONArray("profiles").getJSONObject(0).put("idempotency", "once");
+        config.getJSONObject("settings")
+                .getJSONArray("profiles")
+                .getJSONObject(0)
+                .put("idempotency", "once");
         start();
         for (Break when : Break.values()) {
             a.requests.clear();
@@ -327,8 +356,10 @@
             for (int i = 0; i < 600 && !gone.await(100, java.util.concurrent.TimeUnit.MILLISECONDS); i++) {
                 Peer.chunk(out, "");
             }
-            Peer.chunk(out, "{\"revision\":2,\"complete\":true,\"members\":["
-                    + entry("a", a.address(), 1, "SERVING", 0) + "]}");
+            Peer.chunk(
+                    out,
+                    "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", a.address(), 1, "SERVING", 0)
+                            + "]}");
             Thread.sleep(60_000);
             return false;
         };
--- a/src/test/java/saffronferry/lifecycle/LossyLinks.java
+++ b/src/test/java/saffronferry/lifecycle/LossyLinks.java
@@ -15,16 +15,18 @@
  * them.
  */
 final class LossyLinks extends Thread implements AutoCloseable {
-    private record Late(long at, int from, int to, byte[] bytes) { }
+    private record Late(long at, int from, int to, byte[] bytes) {}
 
     volatile double loss;
     volatile double doubled;
     volatile int mostDelayMs;
     /** Those below it and the others do not hear each other; 0 = all do. */
     volatile int cutAt;
+
     private final InetSocketAddress[] listen;
     /** At [a][b]: where a sends what is for b, and where what b says comes from at a. */
     private final DatagramChannel[][] channels;
+
     private final Selector selector = Selector.open();
     private final SplittableRandom random = new SplittableRandom(38);
     private final PriorityQueue<Late> late = new PriorityQueue<>(Comparator.comparingLong(Late::at));
@@ -50,7 +52,8 @@
 
     /** One dispatcher's address as another is told it. */
     String address(int of, int toldTo) {
-        InetSocketAddress at = of == toldTo ? listen[of]
+        InetSocketAddress at = of == toldTo
+                ? listen[of]
                 : (InetSocketAddress) channels[toldTo][of].socket().getLocalSocketAddress();
         return "127.0.0.1:" + at.getPort();
     }
--- a/src/test/java/saffronferry/lifecycle/Peer.java
+++ b/src/test/java/saffronferry/lifecycle/Peer.java
@@ -24,9 +24,11 @@
     final ServerSocket server;
     /** Head and body of each job or watch, probes left out. */
     final List<String> requests = new CopyOnWriteArrayList<>();
+
     final AtomicInteger closedByOther = new AtomicInteger();
     /** Connections that broke while we wrote to them. */
     final AtomicInteger brokenByOther = new AtomicInteger();
+
     volatile Script script;
     volatile String load = "x0=4,x1=4";
 
@@ -47,7 +49,7 @@
     }
 
     /** Thrown by a script that resets its connection. */
-    static final class Reset extends IOException { }
+    static final class Reset extends IOException {}
 
     private interface Work {
         void run() throws IOException, InterruptedException;
@@ -128,8 +130,12 @@
             head.write(b);
         }
         String text = head.toString(StandardCharsets.ISO_8859_1);
-        int length = text.toLowerCase().lines().filter(l -> l.startsWith("content-length:"))
-                .mapToInt(l -> Integer.parseInt(l.substring(15).trim())).findFirst().orElse(0);
+        int length = text.toLowerCase()
+                .lines()
+                .filter(l -> l.startsWith("content-length:"))
+                .mapToInt(l -> Integer.parseInt(l.substring(15).trim()))
+                .findFirst()
+                .orElse(0);
         return text + new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
     }
 
--- a/src/test/java/saffronferry/lifecycle/ReloadTest.java
+++ b/src/test/java/saffronferry/lifecycle/ReloadTest.java
@@ -13,7 +13,11 @@
 /** SIGHUP on the program itself: it serves on, and asks the discovery that the new file names. */
 public class ReloadTest extends SocketsFixture {
     private static void hangUp(Process process) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     @Test
@@ -36,8 +40,8 @@
         Files.writeString(file, config.put("discovery", next.address()).toString());
         hangUp(process);
         await(() -> next.requests.size() == 1);
-        next.script = tell("{\"revision\":1,\"complete\":false,\"members\":["
-                + entry("a", a.address(), 1, "DRAINING", 0) + "]}");
+        next.script = tell(
+                "{\"revision\":1,\"complete\":false,\"members\":[" + entry("a", a.address(), 1, "DRAINING", 0) + "]}");
         await(() -> next.requests.size() == 2);
         for (String request : next.requests) {
             assertTrue(request, request.contains("from=0 "));
@@ -107,9 +111,13 @@
     private Process launchIgnoringHangup(String prefix, Path file) throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         // the shell cannot take back what it was started with: a second one ignores what the first one does
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "trap '' HUP; exec sh -c \"$0\"", prefix + java
-                + " -XX:TieredStopAtLevel=1 -XX:+UseSerialGC -Xmx64m -Djava.io.tmpdir=" + folder + " -cp "
-                + System.getProperty("java.class.path") + " saffronferry.cli.Main serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                "sh",
+                "-c",
+                "trap '' HUP; exec sh -c \"$0\"",
+                prefix + java
+                        + " -XX:TieredStopAtLevel=1 -XX:+UseSerialGC -Xmx64m -Djava.io.tmpdir=" + folder + " -cp "
+                        + System.getProperty("java.class.path") + " saffronferry.cli.Main serve");
         builder.environment().put("BALANCER_CONFIG", file.toString());
         Process process = builder.inheritIO().start();
         keep(process::destroyForcibly);
@@ -119,7 +127,8 @@
     /** Whether no signal waits to be taken by the process. */
     private static boolean signalTaken(Process process) {
         try {
-            return Files.readString(Path.of("/proc/" + process.pid() + "/status")).contains("ShdPnd:\t0000000000000000");
+            return Files.readString(Path.of("/proc/" + process.pid() + "/status"))
+                    .contains("ShdPnd:\t0000000000000000");
         } catch (java.io.IOException gone) {
             return false;
         }
--- a/src/test/java/saffronferry/lifecycle/RulesOnSocketsTest.java
+++ b/src/test/java/saffronferry/lifecycle/RulesOnSocketsTest.java
@@ -16,7 +16,6 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.junit.After;
 import org.junit.Test;
 
 /** Each rule once, with a whole dispatcher on real sockets between scripted peers. */
@@ -83,7 +82,8 @@
         start();
         HttpResponse<String> answer = get(gift(300));
         assertEquals(503, answer.statusCode());
-        double after = Double.parseDouble(answer.headers().firstValue("Retry-After").orElseThrow());
+        double after =
+                Double.parseDouble(answer.headers().firstValue("Retry-After").orElseThrow());
         assertTrue("" + after, after > 0 && after <= 2);
     }
 
@@ -92,8 +92,10 @@
     public void aDrainNoticeStopsSends() throws Exception {
         discovery.script = (request, out) -> {
             Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Peer.chunk(out, "{\"revision\":2,\"complete\":false,\"members\":["
-                    + entry("a", a.address(), 1, "DRAINING", 0) + "]}");
+            Peer.chunk(
+                    out,
+                    "{\"revision\":2,\"complete\":false,\"members\":[" + entry("a", a.address(), 1, "DRAINING", 0)
+                            + "]}");
             Thread.sleep(30_000);
             return false;
         };
@@ -134,7 +136,8 @@
     /** A watch that fails, ends or falls silent is followed by a new one. */
     @Test
     public void aLostWatchIsFollowedByANewOne() throws Exception {
-        String one = "{\"revision\":7,\"complete\":true,\"members\":[" + entry("b", b.address(), 2, "SERVING", 0) + "]}";
+        String one =
+                "{\"revision\":7,\"complete\":true,\"members\":[" + entry("b", b.address(), 2, "SERVING", 0) + "]}";
         discovery.script = (request, out) -> {
             int turn = discovery.requests.size();
             if (turn == 1) {
@@ -166,9 +169,16 @@
         }
         assertEquals(404, get(ask("no-such-class", 1000)).statusCode());
         assertEquals(400, get(ask("record-gift", -5)).statusCode());
-        assertEquals(405, client.send(request("/x").GET().build(), HttpResponse.BodyHandlers.ofString()).statusCode());
-        HttpRequest big = request("/record-gift").header("X-Txn", "t").header("X-Remaining-Ms", "900").header(KEY, "k")
-                .POST(HttpRequest.BodyPublishers.ofByteArray(new byte[65_537])).build();
+        assertEquals(
+                405,
+                client.send(request("/x").GET().build(), HttpResponse.BodyHandlers.ofString())
+                        .statusCode());
+        HttpRequest big = request("/record-gift")
+                .header("X-Txn", "t")
+                .header("X-Remaining-Ms", "900")
+                .header(KEY, "k")
+                .POST(HttpRequest.BodyPublishers.ofByteArray(new byte[65_537]))
+                .build();
         assertEquals(413, client.send(big, HttpResponse.BodyHandlers.ofString()).statusCode());
         assertEquals(200, get(gift(3000)).statusCode());
     }
@@ -197,7 +207,8 @@
         }
         a.script = Peer::serve;
         b.script = a.script;
-        assertEquals(200, ask("directory-page", 5000).get(700, TimeUnit.MILLISECONDS).statusCode());
+        assertEquals(
+                200, ask("directory-page", 5000).get(700, TimeUnit.MILLISECONDS).statusCode());
     }
 
     /** A worker may drop a connection that it kept; a job written to it would be lost as one that may have run. */
@@ -220,8 +231,10 @@
         members(entry("a", a.address(), 1, "SERVING", 0));
         start();
         try (java.net.Socket s = connect()) {
-            Peer.write(s.getOutputStream(), "POST /record-gift HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\n"
-                    + "X-Remaining-Ms: 20000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
+            Peer.write(
+                    s.getOutputStream(),
+                    "POST /record-gift HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\n"
+                            + "X-Remaining-Ms: 20000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
             await(() -> a.requests.size() == 1);
         }
         await(() -> a.closedByOther.get() >= 1);
@@ -268,7 +281,10 @@
     @Test
     public void aRequestThatIsHalfHereAtTheLastIntakeIsRefusedInFull() throws Exception {
         for (int i = 0; i < 2; i++) {
-            config.getJSONObject("settings").getJSONArray("profiles").getJSONObject(i).put("deadline", 0.5);
+            config.getJSONObject("settings")
+                    .getJSONArray("profiles")
+                    .getJSONObject(i)
+                    .put("deadline", 0.5);
         }
         a.script = Peer.slow(300);
         b.script = a.script;
@@ -276,8 +292,10 @@
         java.net.Socket resting = connect();
         Peer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         java.net.Socket half = connect();
-        Peer.write(half.getOutputStream(), "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: half\r\n"
-                + "X-Remaining-Ms: 500\r\nContent-Length: 60000\r\n\r\nfirst");
+        Peer.write(
+                half.getOutputStream(),
+                "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: half\r\n"
+                        + "X-Remaining-Ms: 500\r\nContent-Length: 60000\r\n\r\nfirst");
         process.destroy();
         assertTrue(readAll(resting).startsWith("HTTP/1.1 ")); // until it is closed: the last intake
         Peer.write(half.getOutputStream(), "x".repeat(59_995));
@@ -321,13 +339,14 @@
         members(entry("a", a.address(), 1, "SERVING", 0));
         a.load = "x0=20,x1=20";
         start();
-        await(() -> { // until what it tells has been learned
-            try {
-                return get(ask("directory-page", 3000)).statusCode() == 200;
-            } catch (Exception e) {
-                return false;
-            }
-        });
+        await(
+                () -> { // until what it tells has been learned
+                    try {
+                        return get(ask("directory-page", 3000)).statusCode() == 200;
+                    } catch (Exception e) {
+                        return false;
+                    }
+                });
         int before = a.requests.size();
         a.script = Peer::keepSilent;
         List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
--- a/src/test/java/saffronferry/lifecycle/SocketsFixture.java
+++ b/src/test/java/saffronferry/lifecycle/SocketsFixture.java
@@ -31,7 +31,8 @@
 abstract class SocketsFixture {
     static final String KEY = "Idempotency-Key";
     final List<AutoCloseable> open = new ArrayList<>();
-    final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    final HttpClient client =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     Peer discovery;
     Peer a;
     Peer b;
@@ -53,7 +54,9 @@
         config = new JSONObject(Files.readString(Path.of("examples/config.json")));
         int udp = freePort();
         folder = Files.createTempDirectory("saffronferry");
-        config.put("listen", "127.0.0.1:" + freePort()).put("console", "127.0.0.1:" + freePort()).put("discovery", discovery.address())
+        config.put("listen", "127.0.0.1:" + freePort())
+                .put("console", "127.0.0.1:" + freePort())
+                .put("discovery", discovery.address())
                 .put("peer_listen", "127.0.0.1:" + udp)
                 .put("peers", new JSONArray().put("127.0.0.1:" + udp).put("127.0.0.1:" + peer.getLocalPort()));
         config.getJSONObject("settings").put("peersTotal", 2);
@@ -109,13 +112,15 @@
     }
 
     static String entry(String id, String address, int cell, String phase, long upSince) {
-        return "{\"id\":\"" + id + "\",\"host_port\":\"" + address + "\",\"locality\":\"dub-north\",\"flavor\":\"big-box\","
-                + "\"cell\":" + cell + ",\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":" + upSince + "}";
+        return "{\"id\":\"" + id + "\",\"host_port\":\"" + address
+                + "\",\"locality\":\"dub-north\",\"flavor\":\"big-box\"," + "\"cell\":" + cell + ",\"phase\":\"" + phase
+                + "\",\"size\":1.0,\"up_since_ms\":" + upSince + "}";
     }
 
     void members(String... entries) {
-        config.put("known", new JSONObject("{\"revision\":1,\"complete\":true,\"members\":["
-                + String.join(",", entries) + "]}"));
+        config.put(
+                "known",
+                new JSONObject("{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", entries) + "]}"));
     }
 
     void start() throws Exception {
@@ -140,13 +145,15 @@
     }
 
     CompletableFuture<HttpResponse<String>> ask(String txn, String lane, int remaining, String... more) {
-        HttpRequest.Builder r = request("/" + lane + "?obj=7f").header("X-Txn", txn).header("X-Lane", lane)
+        HttpRequest.Builder r = request("/" + lane + "?obj=7f")
+                .header("X-Txn", txn)
+                .header("X-Lane", lane)
                 .header("X-Remaining-Ms", Integer.toString(remaining));
         if (more.length > 0) {
             r.headers(more);
         }
-        return client.sendAsync(r.POST(HttpRequest.BodyPublishers.ofString("body")).build(),
-                HttpResponse.BodyHandlers.ofString());
+        return client.sendAsync(
+                r.POST(HttpRequest.BodyPublishers.ofString("body")).build(), HttpResponse.BodyHandlers.ofString());
     }
 
     CompletableFuture<HttpResponse<String>> gift(int remaining) {
@@ -205,13 +212,20 @@
 
     /** A process of ours that may hold so many descriptors, on one core as on the platform. */
     Process launch(Path file, int descriptors, String main, String... arguments) throws IOException {
-        List<String> command = new ArrayList<>(List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
+        List<String> command =
+                new ArrayList<>(List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
         if (Files.isExecutable(Path.of("/usr/bin/taskset"))) {
             command.addAll(List.of("taskset", "-c", "0"));
         }
-        command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx64m", "-Djava.io.tmpdir=" + folder,
-                "-cp", System.getProperty("java.class.path"), main));
+        command.addAll(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xmx64m",
+                "-Djava.io.tmpdir=" + folder,
+                "-cp",
+                System.getProperty("java.class.path"),
+                main));
         command.addAll(List.of(arguments));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("BALANCER_CONFIG", file.toString());
@@ -238,7 +252,9 @@
     /** One operator's call: the status, a space and the text. */
     String call(String method, String path) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + config.getString("console") + path))
-                .method(method, HttpRequest.BodyPublishers.noBody()).timeout(Duration.ofSeconds(5)).build();
+                .method(method, HttpRequest.BodyPublishers.noBody())
+                .timeout(Duration.ofSeconds(5))
+                .build();
         HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
         return answer.statusCode() + " " + answer.body();
     }
@@ -251,8 +267,12 @@
 
     /** One of the figures that operators read. */
     long figure(String name) throws Exception {
-        return call("GET", "/ops/stats").lines().filter(l -> l.startsWith(name + " "))
-                .mapToLong(l -> Long.parseLong(l.substring(name.length() + 1))).findFirst().orElseThrow();
+        return call("GET", "/ops/stats")
+                .lines()
+                .filter(l -> l.startsWith(name + " "))
+                .mapToLong(l -> Long.parseLong(l.substring(name.length() + 1)))
+                .findFirst()
+                .orElseThrow();
     }
 
     int port() {
--- a/src/test/java/saffronferry/lifecycle/SuccessionTest.java
+++ b/src/test/java/saffronferry/lifecycle/SuccessionTest.java
@@ -22,6 +22,7 @@
 public class SuccessionTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
+
     private Succession self;
     private Process other;
 
@@ -78,7 +79,10 @@
         }
         Files.setLastModifiedTime(folder.getRoot().toPath(), longAgo);
         assertEquals(List.of(), self.others());
-        Files.writeString(file("d.process-" + ProcessHandle.current().parent().orElseThrow().pid()), "");
+        Files.writeString(
+                file("d.process-"
+                        + ProcessHandle.current().parent().orElseThrow().pid()),
+                "");
         Files.setLastModifiedTime(folder.getRoot().toPath(), longAgo);
         assertEquals("not read: this test has put the time back", List.of(), self.others());
     }
@@ -86,12 +90,15 @@
     @Test
     public void onlyProcessesThatLiveAreCompany() throws Exception {
         assertEquals(0, self.exchange(Beside.NOBODY).others());
-        assertFalse("nobody is there to read", Files.exists(file("d.told-" + ProcessHandle.current().pid())));
+        assertFalse(
+                "nobody is there to read",
+                Files.exists(file("d.told-" + ProcessHandle.current().pid())));
         Files.writeString(file("d.process-" + other.pid()), "");
         Files.writeString(file("d.process-rubbish"), "");
         assertEquals(new Succession.Company(1, Beside.NOBODY), self.exchange(Beside.NOBODY));
         Files.writeString(file("d.told-" + other.pid()), "{\"jobs\":{\"w\":3,\"x\":-2},\"learned\":[1,2.5]}");
-        Beside heard = self.exchange(new Beside(Map.of("y", 1), new double[] {7})).told();
+        Beside heard =
+                self.exchange(new Beside(Map.of("y", 1), new double[] {7})).told();
         assertEquals(new Beside(Map.of("w", 3, "x", 0), new double[] {1, 2.5}), heard);
         String told = Files.readString(file("d.told-" + ProcessHandle.current().pid()));
         assertTrue(told, new JSONObject("{\"jobs\":{\"y\":1},\"learned\":[7]}").similar(new JSONObject(told)));
--- a/src/test/java/saffronferry/lifecycle/UpgradeTest.java
+++ b/src/test/java/saffronferry/lifecycle/UpgradeTest.java
@@ -25,6 +25,7 @@
     private final AtomicInteger failed = new AtomicInteger();
     /** Not admitted, reset, or closed on with a request written. */
     private final AtomicInteger atTheDoor = new AtomicInteger();
+
     private volatile boolean over;
 
     /** Asks one request after the other, some on a connection of its own, some on a kept one. */
@@ -59,8 +60,10 @@
                 socket = new Socket("127.0.0.1", port());
                 socket.setSoTimeout(8000);
             }
-            Peer.write(socket.getOutputStream(), "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: c" + number + "-"
-                    + ++asked + "\r\nX-Lane: directory-page\r\nX-Remaining-Ms: 6000\r\nContent-Length: 0\r\n\r\n");
+            Peer.write(
+                    socket.getOutputStream(),
+                    "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: c" + number + "-" + ++asked
+                            + "\r\nX-Lane: directory-page\r\nX-Remaining-Ms: 6000\r\nContent-Length: 0\r\n\r\n");
             StringBuilder head = new StringBuilder();
             InputStream in = socket.getInputStream();
             while (head.indexOf("\r\n\r\n") < 0) {
@@ -71,8 +74,11 @@
                 head.append((char) b);
             }
             String text = head.toString().toLowerCase();
-            int length = text.lines().filter(l -> l.startsWith("content-length:"))
-                    .mapToInt(l -> Integer.parseInt(l.substring(15).trim())).findFirst().orElse(0);
+            int length = text.lines()
+                    .filter(l -> l.startsWith("content-length:"))
+                    .mapToInt(l -> Integer.parseInt(l.substring(15).trim()))
+                    .findFirst()
+                    .orElse(0);
             if (in.readNBytes(length).length < length) {
                 throw new IOException("no whole answer");
             }
@@ -206,8 +212,10 @@
         Socket s = connect();
         serving.destroy();
         Thread.sleep(300);
-        Peer.write(s.getOutputStream(), "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: k\r\n"
-                + "X-Lane: directory-page\r\nX-Remaining-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
+        Peer.write(
+                s.getOutputStream(),
+                "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: k\r\n"
+                        + "X-Lane: directory-page\r\nX-Remaining-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
         byte[] answer = s.getInputStream().readNBytes(12);
         assertEquals("it still takes requests", "HTTP/1.1 200", new String(answer, StandardCharsets.US_ASCII));
         assertTrue(serving.waitFor(5, TimeUnit.SECONDS));
--- a/src/test/java/saffronferry/lifecycle/WatchEndsTest.java
+++ b/src/test/java/saffronferry/lifecycle/WatchEndsTest.java
@@ -12,13 +12,16 @@
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static String list(int revision, boolean whole, String... entries) {
-        return "{\"revision\":" + revision + ",\"complete\":" + whole + ",\"members\":[" + String.join(",", entries) + "]}";
+        return "{\"revision\":" + revision + ",\"complete\":" + whole + ",\"members\":[" + String.join(",", entries)
+                + "]}";
     }
 
     /** Then tells that b drains; what is left to take jobs is a. */
     private void thenTellThatBDrains(Peer.Script first) {
-        discovery.script = (request, out) -> discovery.requests.size() == 1 ? first.play(request, out)
-                : tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0))).play(request, out);
+        discovery.script = (request, out) -> discovery.requests.size() == 1
+                ? first.play(request, out)
+                : tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))
+                        .play(request, out);
     }
 
     private void nothingGoesToBAnyMore(int calls) throws Exception {
@@ -64,7 +67,8 @@
                 }
                 return false;
             });
-            config.put("discovery", discovery.address()).put("listen", "127.0.0.1:" + freePort())
+            config.put("discovery", discovery.address())
+                    .put("listen", "127.0.0.1:" + freePort())
                     .put("console", "127.0.0.1:" + freePort());
             start();
             nothingGoesToBAnyMore(2);
@@ -76,7 +80,8 @@
     public void aProcessServesOnlyOnceDiscoveryHasToldItsList() throws Exception {
         discovery.script = (request, out) -> {
             Thread.sleep(700);
-            return tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0))).play(request, out);
+            return tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))
+                    .play(request, out);
         };
         start();
         for (int i = 0; i < 8; i++) {
@@ -89,8 +94,10 @@
     @Test
     public void whereListsArePushedTheWatchIsOpenedUnasked() throws Exception {
         config.getJSONObject("settings").put("registryMode", "push");
-        discovery.script = (request, out) -> discovery.requests.size() == 1 ? false
-                : tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0))).play(request, out);
+        discovery.script = (request, out) -> discovery.requests.size() == 1
+                ? false
+                : tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))
+                        .play(request, out);
         start();
         nothingGoesToBAnyMore(2);
     }
--- a/src/test/java/saffronferry/ops/CallTest.java
+++ b/src/test/java/saffronferry/ops/CallTest.java
@@ -26,7 +26,8 @@
         "PUT, /ops/workers/a, UNKNOWN,",
         "GET, /ops/stats/, UNKNOWN,",
         "GET, /, UNKNOWN,",
-        "GET, '', UNKNOWN,"})
+        "GET, '', UNKNOWN,"
+    })
     void readsMethodAndPath(String method, String path, Kind kind, String worker) {
         assertEquals(new Call(kind, worker), Call.read(method, path));
     }
--- a/src/test/java/saffronferry/ops/OpsTest.java
+++ b/src/test/java/saffronferry/ops/OpsTest.java
@@ -27,13 +27,32 @@
         figures.tried(1);
         figures.answered(7, Result.OK); // of no class: counts nowhere and breaks nothing
         figures.tried(-1);
-        List<String> lines = figures.text(new Figures.Now(14, 9, 2, List.of(
-                new Figures.More("app_x", "gauge", "x", 0.25), new Figures.More("app_y", "counter", "y", 1e9)))).lines().filter(l -> !l.startsWith("#")).toList();
-        assertEquals(List.of("app_responses{kind=\"page\",result=\"ok\"} 2",
-                "app_responses{kind=\"page\",result=\"shed\"} 0", "app_responses{kind=\"page\",result=\"errors\"} 0",
-                "app_responses{kind=\"gift\",result=\"ok\"} 0", "app_responses{kind=\"gift\",result=\"shed\"} 1",
-                "app_responses{kind=\"gift\",result=\"errors\"} 1", "app_tries{kind=\"page\"} 0",
-                "app_tries{kind=\"gift\"} 1", "app_active 14", "app_pool_size 9", "app_pool_ejected 2", "app_x 0.250", "app_y 1000000000"), lines);
+        List<String> lines = figures.text(new Figures.Now(
+                        14,
+                        9,
+                        2,
+                        List.of(
+                                new Figures.More("app_x", "gauge", "x", 0.25),
+                                new Figures.More("app_y", "counter", "y", 1e9))))
+                .lines()
+                .filter(l -> !l.startsWith("#"))
+                .toList();
+        assertEquals(
+                List.of(
+                        "app_responses{kind=\"page\",result=\"ok\"} 2",
+                        "app_responses{kind=\"page\",result=\"shed\"} 0",
+                        "app_responses{kind=\"page\",result=\"errors\"} 0",
+                        "app_responses{kind=\"gift\",result=\"ok\"} 0",
+                        "app_responses{kind=\"gift\",result=\"shed\"} 1",
+                        "app_responses{kind=\"gift\",result=\"errors\"} 1",
+                        "app_tries{kind=\"page\"} 0",
+                        "app_tries{kind=\"gift\"} 1",
+                        "app_active 14",
+                        "app_pool_size 9",
+                        "app_pool_ejected 2",
+                        "app_x 0.250",
+                        "app_y 1000000000"),
+                lines);
     }
 
     @Test
@@ -46,19 +65,24 @@
         spend.said(ControlSpend.Kind.DATAGRAMS, 256);
         spend.heard(ControlSpend.Kind.PROBES, 44);
         spend.sampled(11_000, 650, 70_000_000);
-        assertEquals(List.of("app_control_bytes{kind=\"lists\",way=\"in\"} 3500",
-                "app_control_bytes{kind=\"lists\",way=\"out\"} 0",
-                "app_control_bytes{kind=\"datagrams\",way=\"in\"} 0",
-                "app_control_bytes{kind=\"datagrams\",way=\"out\"} 256",
-                "app_control_bytes{kind=\"probes\",way=\"in\"} 44",
-                "app_control_bytes{kind=\"probes\",way=\"out\"} 0", "app_control_bytes_per_second 380",
-                "app_control_cpu_seconds 0.650", "app_control_core_percent 1.500",
-                "app_control_resident_bytes 70000000"),
+        assertEquals(
+                List.of(
+                        "app_control_bytes{kind=\"lists\",way=\"in\"} 3500",
+                        "app_control_bytes{kind=\"lists\",way=\"out\"} 0",
+                        "app_control_bytes{kind=\"datagrams\",way=\"in\"} 0",
+                        "app_control_bytes{kind=\"datagrams\",way=\"out\"} 256",
+                        "app_control_bytes{kind=\"probes\",way=\"in\"} 44",
+                        "app_control_bytes{kind=\"probes\",way=\"out\"} 0",
+                        "app_control_bytes_per_second 380",
+                        "app_control_cpu_seconds 0.650",
+                        "app_control_core_percent 1.500",
+                        "app_control_resident_bytes 70000000"),
                 spend.text().lines().filter(l -> !l.startsWith("#")).toList());
         for (int s = 16; s <= 300; s += 5) {
             spend.sampled(s * 1_000, 650 + s, 1);
         }
-        assertTrue(spend.text().contains("\napp_control_core_percent 0.100\n"), "the burst is long ago: " + spend.text());
+        assertTrue(
+                spend.text().contains("\napp_control_core_percent 0.100\n"), "the burst is long ago: " + spend.text());
         assertTrue(spend.text().contains("\napp_control_bytes_per_second 0\n"), spend.text());
     }
 
@@ -77,15 +101,31 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "{", "{\"version\":1,\"down\":[\"a\"", "{\"version\":1}", "{\"down\":[]}", "[]",
-        "{\"version\":2,\"down\":[]}", "{\"version\":1,\"down\":[{}]}", "\u0000\u0000"})
+    @ValueSource(
+            strings = {
+                "",
+                "{",
+                "{\"version\":1,\"down\":[\"a\"",
+                "{\"version\":1}",
+                "{\"down\":[]}",
+                "[]",
+                "{\"version\":2,\"down\":[]}",
+                "{\"version\":1,\"down\":[{}]}",
+                "\u0000\u0000"
+            })
     void aDamagedFileOfBansIsNamedAsSuch(String text) {
         assertThrows(IllegalArgumentException.class, () -> Bans.read(text));
     }
 
     @ParameterizedTest
-    @CsvSource({"0, TURNING, 300", "299, TURNING, 1", "300, LEAVING, 900", "1199, LEAVING, 1", "1200, EMPTY, -1",
-        "100000, EMPTY, -1"})
+    @CsvSource({
+        "0, TURNING, 300",
+        "299, TURNING, 1",
+        "300, LEAVING, 900",
+        "1199, LEAVING, 1",
+        "1200, EMPTY, -1",
+        "100000, EMPTY, -1"
+    })
     void aCallEmptiesInSteps(long after, Phase phase, long untilNext) {
         Drain drain = new Drain();
         assertEquals(Phase.OPEN, drain.phase(5));
@@ -168,7 +208,7 @@
                             ended = true;
                         }
                     }
-                    default -> { }
+                    default -> {}
                 }
                 assertEquals(!called && !ended, drain.phase(now) == Phase.OPEN);
                 assertEquals(ended, drain.ending());
--- a/src/test/java/saffronferry/rig/FleetUseTest.java
+++ b/src/test/java/saffronferry/rig/FleetUseTest.java
@@ -29,10 +29,15 @@
         for (int i = 0; i < 2; i++) {
             JSONObject p = each.getJSONObject(i);
             assertEquals(i, p.getInt("dispatcher"));
-            assertTrue(p.toString(), p.getDouble("seconds") > 2 && p.getDouble("core_percent") > 0
-                    && p.getDouble("resident_mb") > 20 && p.getDouble("wake_ups_per_s") > 1);
-            assertTrue("they speak with each other: " + p, p.getDouble("bytes_per_s_datagrams_in") > 0
-                    && p.getDouble("bytes_per_s_datagrams_out") > 0);
+            assertTrue(
+                    p.toString(),
+                    p.getDouble("seconds") > 2
+                            && p.getDouble("core_percent") > 0
+                            && p.getDouble("resident_mb") > 20
+                            && p.getDouble("wake_ups_per_s") > 1);
+            assertTrue(
+                    "they speak with each other: " + p,
+                    p.getDouble("bytes_per_s_datagrams_in") > 0 && p.getDouble("bytes_per_s_datagrams_out") > 0);
             assertTrue("discovery says that it is there: " + p, p.getDouble("bytes_per_s_lists_in") > 0);
             assertTrue("what is no count is no rate: " + p, !p.has("bytes_per_s_per_second"));
         }
--- a/src/test/java/saffronferry/rig/IdleDispatcherTest.java
+++ b/src/test/java/saffronferry/rig/IdleDispatcherTest.java
@@ -16,7 +16,8 @@
     @Test
     public void anIdleDispatcherIsMeasuredAndNothingIsLeft() throws Exception {
         long before = ProcessHandle.current().children().count();
-        JSONObject play = IdleDispatcher.play(ScenarioReader.parse("small.toml", """
+        JSONObject play = IdleDispatcher.play(
+                ScenarioReader.parse("small.toml", """
                 length_s = 2
                 [fleet]
                 zones = ["a", "b"]
@@ -27,13 +28,16 @@
         assertEquals(play.toString(), 30, play.getInt("workers"));
         assertTrue("changes came while it was measured: " + f, f.getInt("list_changes") > 0);
         assertTrue("their bytes are counted: " + f, f.getLong("list_bytes_in") > 100 * f.getInt("list_changes"));
-        assertTrue("30 entries, and one more while one drains: " + f,
+        assertTrue(
+                "30 entries, and one more while one drains: " + f,
                 f.getLong("list_whole_bytes") > 3_000 && f.getLong("list_whole_bytes") < 6_000);
-        assertTrue("it spends something, and no more than there is: " + f,
+        assertTrue(
+                "it spends something, and no more than there is: " + f,
                 f.getDouble("core_percent") > 0 && f.getDouble("core_percent") < 800);
         assertTrue("the loop's part is known: " + f, f.getDouble("core_percent_loop") > 0);
-        assertTrue("a JVM's size: " + f, f.getDouble("resident_mb") > 20
-                && f.getDouble("resident_mb") <= f.getDouble("resident_peak_mb"));
+        assertTrue(
+                "a JVM's size: " + f,
+                f.getDouble("resident_mb") > 20 && f.getDouble("resident_mb") <= f.getDouble("resident_peak_mb"));
         assertTrue("its ticks wake it: " + f, f.getDouble("wake_ups_per_s") > 1);
     }
 
@@ -49,7 +53,10 @@
             last = ProcessUse.of(ProcessHandle.current().pid());
         }
         assertTrue("worked: " + work, last.corePercent(first, 0.05) >= 100 - 1e-6);
-        assertTrue(last.corePercentByThread(first, 0.05).values().stream().mapToDouble(p -> p).sum() > 50);
+        assertTrue(last.corePercentByThread(first, 0.05).values().stream()
+                        .mapToDouble(p -> p)
+                        .sum()
+                > 50);
         assertTrue(last.residentMb() > 10 && last.peakMb() >= last.residentMb());
         assertThrows(IOException.class, () -> ProcessUse.of(Long.MAX_VALUE));
     }
--- a/src/test/java/saffronferry/rig/RigTest.java
+++ b/src/test/java/saffronferry/rig/RigTest.java
@@ -26,9 +26,14 @@
     /** Which of four dispatchers hear which: a row for each sender, a mark for each that it reaches. */
     private static String reach(Scenario s, long at, double chance) {
         PeerLinks links = new PeerLinks(s, 0);
-        return IntStream.range(0, 4).mapToObj(from -> IntStream.range(0, 4).mapToObj(to ->
-                from == to ? "." : Integer.toString(links.copies(at, from, to, () -> chance).size()))
-                .collect(Collectors.joining())).collect(Collectors.joining(" "));
+        return IntStream.range(0, 4)
+                .mapToObj(from -> IntStream.range(0, 4)
+                        .mapToObj(to -> from == to
+                                ? "."
+                                : Integer.toString(
+                                        links.copies(at, from, to, () -> chance).size()))
+                        .collect(Collectors.joining()))
+                .collect(Collectors.joining(" "));
     }
 
     @Test
@@ -42,10 +47,13 @@
             {".000 1.11 11.1 111.", "shape=\"mute\"", "part=0.25"},
             {".111 0.11 01.1 011.", "shape=\"deaf\"", "part=0.25"},
             {".111 1.11 11.1 111.", "shape=\"all\"", "loss=0.4"},
-            {".222 2.22 22.2 222.", "shape=\"all\"", "loss=0.4", "doubled=1.0"}};
+            {".222 2.22 22.2 222.", "shape=\"all\"", "loss=0.4", "doubled=1.0"}
+        };
         for (String[] c : cases) {
-            String[] values = Stream.concat(Stream.of("fleet.dispatchers=4"),
-                    Stream.of(c).skip(1).map(v -> "trouble[1]." + v)).toArray(String[]::new);
+            String[] values = Stream.concat(
+                            Stream.of("fleet.dispatchers=4"),
+                            Stream.of(c).skip(1).map(v -> "trouble[1]." + v))
+                    .toArray(String[]::new);
             assertEquals(String.join(" ", c), c[0], reach(scenario(values), 1_000_000, 0.5));
         }
         Scenario flaps = scenario("fleet.dispatchers=4", "trouble[1].flap_s=6");
@@ -111,12 +119,19 @@
         JSONObject seen = Rig.play(s, 1, logs);
         assertEquals(before, ProcessHandle.current().children().count());
         String log = Files.readString(logs.resolve("dispatcher-0.log"));
-        assertEquals("started twice: " + log, 2, log.lines().filter(l -> l.contains("serving: ")).count());
-        for (Path file : List.of(logs.resolve("dispatcher-0.log"), logs.resolve("dispatcher-1.log"),
-                logs.resolve("dispatcher-2.log"), logs)) {
+        assertEquals(
+                "started twice: " + log,
+                2,
+                log.lines().filter(l -> l.contains("serving: ")).count());
+        for (Path file : List.of(
+                logs.resolve("dispatcher-0.log"),
+                logs.resolve("dispatcher-1.log"),
+                logs.resolve("dispatcher-2.log"),
+                logs)) {
             Files.delete(file);
         }
-        assertTrue(seen.toString(), seen.getInt("requests") > 20 && seen.getInt("served") > seen.getInt("requests") / 2);
+        assertTrue(
+                seen.toString(), seen.getInt("requests") > 20 && seen.getInt("served") > seen.getInt("requests") / 2);
         assertTrue("the judge has looked: " + seen, seen.getInt("judged") > 2 * seen.getInt("served"));
         assertTrue("datagrams crossed the relay: " + seen, seen.getInt("datagrams") > 50);
         assertEquals(seen.toString(), 0, seen.getInt("rules_broken"));
--- a/src/test/java/saffronferry/scale/ScaleTest.java
+++ b/src/test/java/saffronferry/scale/ScaleTest.java
@@ -50,7 +50,7 @@
     }
 
     private static Scale.Play play(Scenario scenario) {
-        return Scale.play(scenario, Map.of(), 1, second -> { });
+        return Scale.play(scenario, Map.of(), 1, second -> {});
     }
 
     private static List<WorkerInfo> workers() {
@@ -72,9 +72,11 @@
         JSONObject json = new JSONObject(new String(line, StandardCharsets.UTF_8));
         assertTrue(json.getBoolean("complete") && json.getJSONArray("members").length() == told.size());
         assertEquals('\n', line[line.length - 1]);
-        List<WorkerInfo> read = lines.read(line).entries().stream().map(e -> e.info()).toList();
+        List<WorkerInfo> read =
+                lines.read(line).entries().stream().map(e -> e.info()).toList();
         assertEquals(told, read);
-        List<WorkerInfo> again = lines.read(line).entries().stream().map(e -> e.info()).toList();
+        List<WorkerInfo> again =
+                lines.read(line).entries().stream().map(e -> e.info()).toList();
         for (int i = 0; i < told.size(); i++) {
             assertNotSame(told.get(i).address(), read.get(i).address());
             assertNotSame(read.get(i).address(), again.get(i).address(), "each dispatcher has its own");
@@ -108,7 +110,7 @@
 
     @Test
     void theModuleIsToldWhatWasReadAndWhatIsSaidIsCounted() throws Exception {
-        Meter meter = new Meter(small(""), now -> { });
+        Meter meter = new Meter(small(""), now -> {});
         Scribe scribe = new Scribe();
         Brain hollow = meter.wrap(scribe, 0);
         List<WorkerInfo> told = workers();
@@ -122,8 +124,10 @@
         assertNotSame(told.get(0), seen.get(0));
         assertArrayEquals(datagram, ((News.PeerSaid) scribe.news.get(1)).bytes());
         Meter.Account account = meter.accounts.get(0);
-        assertEquals(meter.lines.line(told, ListKind.CHANGES).length,
-                account.bytes[Meter.Kind.LIST_IN.ordinal()], "a start's copy is from a file");
+        assertEquals(
+                meter.lines.line(told, ListKind.CHANGES).length,
+                account.bytes[Meter.Kind.LIST_IN.ordinal()],
+                "a start's copy is from a file");
         assertEquals(3, account.bytes[Meter.Kind.DATAGRAM_IN.ordinal()]);
         assertEquals(120, account.bytes[Meter.Kind.DATAGRAM_OUT.ordinal()]);
         assertEquals(3, account.messages[Meter.Kind.PROBE_OUT.ordinal()]);
@@ -135,7 +139,7 @@
     /** The first whole list belongs to the start, however late it comes; the next one is the day's. */
     @Test
     void theFirstWholeListIsTheStartsAndNoOther() throws Exception {
-        Meter meter = new Meter(small(""), now -> { });
+        Meter meter = new Meter(small(""), now -> {});
         Brain hollow = meter.wrap(new Scribe(), 0);
         Meter.Account account = meter.accounts.get(0);
         int whole = meter.lines.line(workers(), ListKind.WHOLE).length;
@@ -155,7 +159,7 @@
     /** What is before the first request, or after the last, is none of the day's. */
     @Test
     void onlyTheDayCounts() throws Exception {
-        Meter meter = new Meter(small(""), now -> { });
+        Meter meter = new Meter(small(""), now -> {});
         Brain hollow = meter.wrap(new Scribe(), 0);
         hollow.report(World.DAY_STARTS - 1, new News.PeerSaid(1, new byte[10]));
         hollow.report(World.DAY_STARTS + 3_000_000, new News.PeerSaid(1, new byte[10]));
@@ -173,19 +177,31 @@
         Scenario scenario = small("[[trouble]]\nkind = \"replace\"\nat_s = 0.5\nsize = 1\n");
         Map<String, Double> one = seedsOwn(play(scenario).figures());
         assertEquals(one, seedsOwn(play(scenario).figures()));
-        assertNotEquals(one, seedsOwn(Scale.play(scenario, Map.of(), 2, second -> { }).figures()));
-        for (String figure : List.of("datagram_bytes_out_per_s", "datagram_bytes_in_per_s",
-                "list_bytes_in_per_s", "probe_bytes_out_per_s", "messages_per_request", "start_control_bytes")) {
+        assertNotEquals(
+                one, seedsOwn(Scale.play(scenario, Map.of(), 2, second -> {}).figures()));
+        for (String figure : List.of(
+                "datagram_bytes_out_per_s",
+                "datagram_bytes_in_per_s",
+                "list_bytes_in_per_s",
+                "probe_bytes_out_per_s",
+                "messages_per_request",
+                "start_control_bytes")) {
             assertTrue(one.get(figure) > 0, figure + " in " + one);
         }
-        assertEquals(World.play(small(""), Policy.NETWORKED_QUEUES, 1).goal(),
-                play(small("")).figures().get("goal_share"), 0.0001);
+        assertEquals(
+                World.play(small(""), Policy.NETWORKED_QUEUES, 1).goal(),
+                play(small("")).figures().get("goal_share"),
+                0.0001);
     }
 
     private static Map<String, Double> seedsOwn(Map<String, Double> figures) {
         Map<String, Double> own = new HashMap<>(figures);
-        own.keySet().removeIf(f -> f.endsWith("_us") || f.endsWith("_ms") || f.endsWith("_percent")
-                || f.contains("heap") || f.equals("decision_us_per_request"));
+        own.keySet()
+                .removeIf(f -> f.endsWith("_us")
+                        || f.endsWith("_ms")
+                        || f.endsWith("_percent")
+                        || f.contains("heap")
+                        || f.equals("decision_us_per_request"));
         return own;
     }
 
@@ -199,8 +215,12 @@
     void limitsAreJudgedFromTheirSide() throws Exception {
         Scale.Play play = play(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
         assertEquals(2, play.broken().size(), play.broken().toString());
-        assertTrue(play.broken().get(0).matches("control_bytes_per_s [0-9.]+ over 10"), play.broken().get(0));
-        assertTrue(play.broken().get(1).matches("goal_share 0\\.\\d+ under 1"), play.broken().get(1));
+        assertTrue(
+                play.broken().get(0).matches("control_bytes_per_s [0-9.]+ over 10"),
+                play.broken().get(0));
+        assertTrue(
+                play.broken().get(1).matches("goal_share 0\\.\\d+ under 1"),
+                play.broken().get(1));
         JSONObject json = Scale.json("small.toml", 1, List.of(play));
         JSONObject first = json.getJSONArray("plays").getJSONObject(0);
         assertEquals(10, first.getJSONObject("limits").getInt("control_bytes_per_s"));
@@ -231,16 +251,20 @@
             for (Path file : files.sorted().toList()) {
                 Scenario whole = ScenarioReader.read(file);
                 int zones = whole.zones().size();
-                List<String> fewer = new ArrayList<>(List.of("fleet.dispatchers=" + zones,
-                        "fleet.workers=" + 4 * zones, "length_s=4"));
+                List<String> fewer = new ArrayList<>(
+                        List.of("fleet.dispatchers=" + zones, "fleet.workers=" + 4 * zones, "length_s=4"));
                 for (int i = 0; i < whole.troubles().size(); i++) {
                     fewer.add("trouble[" + i + "].at_s=1");
                     fewer.add("trouble[" + i + "].length_s=2");
                 }
                 Scale.Play play = play(ScenarioReader.read(file, fewer));
-                assertEquals(List.of(), play.broken().stream().filter(b -> b.startsWith("rule")).toList(), file + "");
+                assertEquals(
+                        List.of(),
+                        play.broken().stream().filter(b -> b.startsWith("rule")).toList(),
+                        file + "");
                 assertTrue(play.figures().get("served_share") > 0.5, file + ": " + play.figures());
-                assertFalse(file.endsWith("deploy.toml") ^ whole.limits().stated().isEmpty(), file + " states limits");
+                assertFalse(
+                        file.endsWith("deploy.toml") ^ whole.limits().stated().isEmpty(), file + " states limits");
             }
         }
     }
--- a/src/test/java/saffronferry/scale/fit/CapacityPage.java
+++ b/src/test/java/saffronferry/scale/fit/CapacityPage.java
@@ -38,8 +38,7 @@
     private int line;
 
     /** {@code results} and {@code code} read the files that the page names. */
-    CapacityPage(String page, String text, Function<String, ResultFile> results,
-            Function<String, String> code) {
+    CapacityPage(String page, String text, Function<String, ResultFile> results, Function<String, String> code) {
         this.page = page;
         this.text = text;
         this.results = results;
@@ -129,8 +128,8 @@
         } else if (source.startsWith("letter") || source.startsWith("assumed")) {
             values.put(name, number(value[0]).doubleValue());
         } else {
-            throw new IllegalArgumentException(name + ": source " + source
-                    + " is neither a result's, the code's, the letter's nor assumed");
+            throw new IllegalArgumentException(
+                    name + ": source " + source + " is neither a result's, the code's, the letter's nor assumed");
         }
     }
 
@@ -138,14 +137,14 @@
         Comparison all = from.comparison(results);
         Fit fit = all.of(from.form());
         expect(name + " best form", row.get("best form"), all.best().form().label());
-        expect(name + " measured over", row.get("measured over"),
-                plain(fit.least()) + " to " + plain(fit.most()));
+        expect(name + " measured over", row.get("measured over"), plain(fit.least()) + " to " + plain(fit.most()));
         if (from.at() > fit.most()) {
             stretched.add(name);
         }
         if (from.at() != 0) {
-            String far = from.at() > fit.most() ? "stretched " + new BigDecimal(from.at() / fit.most())
-                    .setScale(1, RoundingMode.HALF_UP) + " times" : "within";
+            String far = from.at() > fit.most()
+                    ? "stretched " + new BigDecimal(from.at() / fit.most()).setScale(1, RoundingMode.HALF_UP) + " times"
+                    : "within";
             expect(name + " stretch", row.get("stretch"), far);
             if (value.length != 2) {
                 throw new IllegalArgumentException(name + ": a forecast has its half width, as 3 ± 1");
@@ -176,8 +175,8 @@
         same(name + " need", row.get("need"), need);
         boolean far = names(from).stream().anyMatch(stretched::contains);
         if (far != row.get("range").startsWith("stretched")) {
-            tell(name + ": range says " + row.get("range") + ", but " + (far ? "a figure of it is stretched"
-                    : "none of its figures is"));
+            tell(name + ": range says " + row.get("range") + ", but "
+                    + (far ? "a figure of it is stretched" : "none of its figures is"));
         }
         String limit = unquoted(row.get("limit"));
         if (limit.equals("none") || limit.equals("not stated")) {
@@ -198,7 +197,11 @@
             }
         }
         try {
-            return new Expression(formula).withValues(values).evaluate().getNumberValue().doubleValue();
+            return new Expression(formula)
+                    .withValues(values)
+                    .evaluate()
+                    .getNumberValue()
+                    .doubleValue();
         } catch (EvaluationException | ParseException e) {
             throw new IllegalArgumentException(name + ": " + formula + ": " + e.getMessage());
         }
@@ -217,8 +220,10 @@
 
     private void checkWorst(List<Map<String, String>> worst) {
         List<String> inOrder = ratios.entrySet().stream()
-                .sorted((a, b) -> number(b.getValue()).compareTo(number(a.getValue()))).map(Map.Entry::getKey)
-                .limit(worst.size()).toList();
+                .sorted((a, b) -> number(b.getValue()).compareTo(number(a.getValue())))
+                .map(Map.Entry::getKey)
+                .limit(worst.size())
+                .toList();
         for (int i = 0; i < worst.size(); i++) {
             Map<String, String> row = worst.get(i);
             line = Integer.parseInt(row.get("line"));
@@ -261,7 +266,8 @@
     }
 
     private static String plain(double size) {
-        String plain = new BigDecimal(size).setScale(size == Math.rint(size) ? 0 : 2, RoundingMode.HALF_UP)
+        String plain = new BigDecimal(size)
+                .setScale(size == Math.rint(size) ? 0 : 2, RoundingMode.HALF_UP)
                 .toPlainString();
         return plain.contains(".") ? plain : String.format(Locale.ROOT, "%,d", Long.parseLong(plain));
     }
--- a/src/test/java/saffronferry/scale/fit/CapacityPageTest.java
+++ b/src/test/java/saffronferry/scale/fit/CapacityPageTest.java
@@ -50,22 +50,21 @@
     }
 
     private static List<String> wrong(String page, String result) {
-        return new CapacityPage("p", page, name -> new ResultFile(name, result),
-                file -> "static final int MOST_WORD = 1_12;").wrong();
+        return new CapacityPage(
+                        "p", page, name -> new ResultFile(name, result), file -> "static final int MOST_WORD = 1_12;")
+                .wrong();
     }
 
     @Test
     void thePageSaysWhatWasMeasured() {
         Map<String, ResultFile> read = new HashMap<>();
-        Function<String, ResultFile> results = name -> read.computeIfAbsent(name,
-                n -> new ResultFile(n, read(RESULTS.resolve(n))));
-        CapacityPage page = new CapacityPage(PAGE.toString(), read(PAGE), results,
-                file -> read(Path.of(file)));
+        Function<String, ResultFile> results =
+                name -> read.computeIfAbsent(name, n -> new ResultFile(n, read(RESULTS.resolve(n))));
+        CapacityPage page = new CapacityPage(PAGE.toString(), read(PAGE), results, file -> read(Path.of(file)));
         List<String> wrong = page.wrong();
         assertEquals("", String.join("\n", wrong));
         // guards against tables that are no longer taken for tables
-        assertTrue(page.figures() >= 100 && page.rows() >= 30,
-                page.figures() + " figures, " + page.rows() + " rows");
+        assertTrue(page.figures() >= 100 && page.rows() >= 30, page.figures() + " figures, " + page.rows() + " rows");
     }
 
     @Test
@@ -99,19 +98,20 @@
 
     @Test
     void aResultThatDriftsIsFound() {
-        assertTrue(wrong(SMALL, RESULT.replace("12.04", "12.06")).get(0)
-                .startsWith("p line 5: at_10: says 12.0"));
-        assertTrue(wrong(SMALL, RESULT.replace("82}", "89}")).get(0)
-                .startsWith("p line 6: at_160: says 162.0"));
+        assertTrue(wrong(SMALL, RESULT.replace("12.04", "12.06")).get(0).startsWith("p line 5: at_10: says 12.0"));
+        assertTrue(wrong(SMALL, RESULT.replace("82}", "89}")).get(0).startsWith("p line 6: at_160: says 162.0"));
     }
 
     @Test
     void whatIsNoFigureIsTold() {
-        assertEquals("p line 5: r.json: plays: none with {n=11}",
+        assertEquals(
+                "p line 5: r.json: plays: none with {n=11}",
                 wrong(SMALL.replace("n=10`", "n=11`"), RESULT).get(0));
-        assertEquals("p line 3: rate: source hearsay is neither a result's, the code's, the letter's nor "
-                + "assumed", wrong(SMALL.replace("letter", "hearsay"), RESULT).get(0));
-        assertEquals("p line 12: gangs ratio: says 0, is -",
+        assertEquals(
+                "p line 3: rate: source hearsay is neither a result's, the code's, the letter's nor " + "assumed",
+                wrong(SMALL.replace("letter", "hearsay"), RESULT).get(0));
+        assertEquals(
+                "p line 12: gangs ratio: says 0, is -",
                 wrong(SMALL.replace("128 | - |", "128 | 0 |"), RESULT).get(0));
     }
 }
--- a/src/test/java/saffronferry/scale/fit/FitTest.java
+++ b/src/test/java/saffronferry/scale/fit/FitTest.java
@@ -17,14 +17,16 @@
     private static final double[] SIZES = {200, 2000, 8000, 21000};
 
     private static List<Point> series(DoubleUnaryOperator figure, double... sizes) {
-        return DoubleStream.of(sizes).mapToObj(n -> new Point(n, figure.applyAsDouble(n))).toList();
+        return DoubleStream.of(sizes)
+                .mapToObj(n -> new Point(n, figure.applyAsDouble(n)))
+                .toList();
     }
 
     /** Worked out by the formulas of least squares, apart from the library. */
     @Test
     void aLineHasItsSlopeSpreadAndForecast() {
-        List<Point> points = List.of(new Point(1, 2.2), new Point(2, 2.8), new Point(3, 3.6),
-                new Point(4, 4.5), new Point(5, 5.1));
+        List<Point> points =
+                List.of(new Point(1, 2.2), new Point(2, 2.8), new Point(3, 3.6), new Point(4, 4.5), new Point(5, 5.1));
         Fit fit = Fit.of(Form.LINE, points);
         assertEquals(1.39, fit.intercept(), 1e-12);
         assertEquals(0.75, fit.slope(), 1e-12);
@@ -38,8 +40,15 @@
 
     @Test
     void eachFormIsToldFromTheOthersWhereNothingIsLeftToChance() {
-        Map<Form, DoubleUnaryOperator> exact = Map.of(Form.CONSTANT, n -> 7, Form.LINE, n -> 3 + 0.002 * n,
-                Form.N_LOG_N, n -> 3 + 0.0001 * n * Math.log(n), Form.N_SQUARED, n -> 3 + 1e-8 * n * n);
+        Map<Form, DoubleUnaryOperator> exact = Map.of(
+                Form.CONSTANT,
+                n -> 7,
+                Form.LINE,
+                n -> 3 + 0.002 * n,
+                Form.N_LOG_N,
+                n -> 3 + 0.0001 * n * Math.log(n),
+                Form.N_SQUARED,
+                n -> 3 + 1e-8 * n * n);
         exact.forEach((form, figure) -> {
             Comparison c = Comparison.of(series(figure, SIZES));
             assertEquals(form, c.best().form());
@@ -73,15 +82,25 @@
     /** What does not grow with the size is told so, however it scatters. */
     @Test
     void scatterAloneIsNoGrowth() {
-        assertEquals(Form.CONSTANT, Comparison.of(List.of(new Point(24, 5.1), new Point(48, 4.9),
-                new Point(96, 5.05), new Point(192, 4.95), new Point(384, 5.02))).best().form());
+        assertEquals(
+                Form.CONSTANT,
+                Comparison.of(List.of(
+                                new Point(24, 5.1),
+                                new Point(48, 4.9),
+                                new Point(96, 5.05),
+                                new Point(192, 4.95),
+                                new Point(384, 5.02)))
+                        .best()
+                        .form());
     }
 
     /** More plays at the same sizes are no more sizes. */
     @Test
     void twoSizesAreTooFew() {
         List<Point> points = List.of(new Point(1, 1), new Point(2, 2), new Point(1, 1.1), new Point(2, 2.1));
-        assertEquals("too few sizes: 2, needed 3",
-                assertThrows(IllegalArgumentException.class, () -> Fit.of(Form.LINE, points)).getMessage());
+        assertEquals(
+                "too few sizes: 2, needed 3",
+                assertThrows(IllegalArgumentException.class, () -> Fit.of(Form.LINE, points))
+                        .getMessage());
     }
 }
--- a/src/test/java/saffronferry/scale/fit/SourceTest.java
+++ b/src/test/java/saffronferry/scale/fit/SourceTest.java
@@ -28,8 +28,7 @@
         assertEquals(4, value("r.json pick_us @ workers=300, zones=2"));
         assertEquals(70, value("r.json pick_us @ network.loss=0.20"));
         assertEquals(425 / 27500.0, value("slope r.json pick_us over workers @ zones=2"), 1e-12);
-        assertEquals(2.75 + 425 / 27500.0 * 775,
-                value("fit r.json pick_us over workers at 1000 @ zones=2"), 1e-9);
+        assertEquals(2.75 + 425 / 27500.0 * 775, value("fit r.json pick_us over workers at 1000 @ zones=2"), 1e-9);
         assertEquals(2.75, value("fit r.json pick_us over workers at 1000 by constant @ zones=2"), 1e-9);
         assertTrue(value("half r.json pick_us over workers at 1000 @ zones=2") > 0);
     }
@@ -42,24 +41,33 @@
                 "r.json who @ workers=100", "r.json: plays[0]: who: expected a number, got a",
                 "fit r.json pick_us over size at 3", "r.json: plays[0]: size: expected a number, got null",
                 "r.json pick_us @ workers", "expected KEY=VALUE, got workers");
-        wrong.forEach((source, message) -> assertEquals(message,
-                assertThrows(IllegalArgumentException.class, () -> value(source)).getMessage(), source));
-        for (String bad : new String[] {"r.json", "fit r.json pick_us over workers", "6.7",
-            "slope r.json a over b at 3"}) {
-            assertTrue(assertThrows(IllegalArgumentException.class, () -> Source.parse(bad)).getMessage()
-                    .startsWith("expected FILE FIGURE @ KEY=VALUE"), bad);
+        wrong.forEach((source, message) -> assertEquals(
+                message,
+                assertThrows(IllegalArgumentException.class, () -> value(source))
+                        .getMessage(),
+                source));
+        for (String bad :
+                new String[] {"r.json", "fit r.json pick_us over workers", "6.7", "slope r.json a over b at 3"}) {
+            assertTrue(
+                    assertThrows(IllegalArgumentException.class, () -> Source.parse(bad))
+                            .getMessage()
+                            .startsWith("expected FILE FIGURE @ KEY=VALUE"),
+                    bad);
         }
     }
 
     @Test
     void aBrokenFileIsToldWithItsLineOrKey() {
-        assertTrue(assertThrows(IllegalArgumentException.class,
-                () -> new ResultFile("r.json", "{\n\"plays\": [}")).getMessage()
+        assertTrue(assertThrows(IllegalArgumentException.class, () -> new ResultFile("r.json", "{\n\"plays\": [}"))
+                .getMessage()
                 .matches("r\\.json: .*line 2.*"));
         assertTrue(assertThrows(IllegalArgumentException.class, () -> new ResultFile("r.json", "{}"))
-                .getMessage().matches("r\\.json: .*\"plays\".*"));
+                .getMessage()
+                .matches("r\\.json: .*\"plays\".*"));
         ResultFile none = new ResultFile("r.json", "{\"plays\": [{\"workers\": 3}]}");
-        assertEquals("r.json: plays[0].figures: expected an object", assertThrows(
-                IllegalArgumentException.class, () -> none.mean("pick_us", Map.of())).getMessage());
+        assertEquals(
+                "r.json: plays[0].figures: expected an object",
+                assertThrows(IllegalArgumentException.class, () -> none.mean("pick_us", Map.of()))
+                        .getMessage());
     }
 }
--- a/src/test/java/saffronferry/settings/WindowTest.java
+++ b/src/test/java/saffronferry/settings/WindowTest.java
@@ -13,10 +13,13 @@
     /** A repeat is sent once its connection is up, so it has to be decided on that much before the window's end. */
     @ParameterizedTest
     @CsvSource({"40, 0.25, 39750000", "1.5, 0.4, 1100000", "0.2, 0.25, 0"})
-    void aRepeatIsDecidedOnWhileAConnectionMayStillComeUpInTheWindow(double keyTtl, double connect, long until) throws IOException {
-        JSONObject settings = new JSONObject(Files.readString(Path.of("examples/config.json"))).getJSONObject("settings");
+    void aRepeatIsDecidedOnWhileAConnectionMayStillComeUpInTheWindow(double keyTtl, double connect, long until)
+            throws IOException {
+        JSONObject settings =
+                new JSONObject(Files.readString(Path.of("examples/config.json"))).getJSONObject("settings");
         settings.getJSONObject("limits").put("connectTimeout", connect);
         settings.getJSONArray("profiles").getJSONObject(1).put("keyTtl", keyTtl);
-        assertEquals(until, new SettingsReader(1, settings).settings.classes().get(1).keyTtl());
+        assertEquals(
+                until, new SettingsReader(1, settings).settings.classes().get(1).keyTtl());
     }
 }
--- a/src/test/java/saffronferry/state/LedgerTest.java
+++ b/src/test/java/saffronferry/state/LedgerTest.java
@@ -57,17 +57,17 @@
                 throw error;
             }
             started.add(attempt);
-            return () -> { };
+            return () -> {};
         }
 
         @Override
-        public void probe(String subchannel, String address) { }
+        public void probe(String subchannel, String address) {}
 
         @Override
-        public void tell(int peer, byte[] bytes) { }
+        public void tell(int peer, byte[] bytes) {}
 
         @Override
-        public void watch(long revision) { }
+        public void watch(long revision) {}
 
         @Override
         public long wake(long delay, Runnable what) {
@@ -88,10 +88,18 @@
 
     private void begin() throws Exception {
         JSONObject config = new JSONObject(Files.readString(Path.of("examples/config.json")));
-        ledger = new Ledger<>(new Balancer(new SettingsReader(1, config.getJSONObject("settings")).settings),
-                new Clock(), ports, figures);
-        ledger.resolved(new ListUpdate(1, true, List.of(new ListUpdate.Entry(
-                new WorkerInfo("a", WorkerState.IN_SERVICE, 0, 0, 0, 1), "127.0.0.1:1"))), true);
+        ledger = new Ledger<>(
+                new Balancer(new SettingsReader(1, config.getJSONObject("settings")).settings),
+                new Clock(),
+                ports,
+                figures);
+        ledger.resolved(
+                new ListUpdate(
+                        1,
+                        true,
+                        List.of(new ListUpdate.Entry(
+                                new WorkerInfo("a", WorkerState.IN_SERVICE, 0, 0, 0, 1), "127.0.0.1:1"))),
+                true);
         timers.clear();
     }
 
