--- a/src/test/java/saffronferry/state/ResolverResultTest.java
+++ b/src/test/java/saffronferry/state/ResolverResultTest.java
@@ -20,8 +20,12 @@
     }
 
     private static ListUpdate whole(long revision, int from, int to) {
-        return new ListUpdate(revision, true, IntStream.range(from, to)
-                .mapToObj(i -> entry("w" + i, WorkerState.IN_SERVICE)).toList());
+        return new ListUpdate(
+                revision,
+                true,
+                IntStream.range(from, to)
+                        .mapToObj(i -> entry("w" + i, WorkerState.IN_SERVICE))
+                        .toList());
     }
 
     @Test
@@ -42,8 +46,7 @@
         ResolverResult result = new ResolverResult();
         result.take(whole(1, 0, 10));
         result.take(whole(2, 2, 10));
-        result.take(new ListUpdate(3, false, List.of(entry("w2", WorkerState.GONE),
-                entry("d", WorkerState.DRAINING))));
+        result.take(new ListUpdate(3, false, List.of(entry("w2", WorkerState.GONE), entry("d", WorkerState.DRAINING))));
         for (String id : List.of("w0", "w1", "w2", "w9", "d")) {
             assertTrue(result.knows(id), id);
         }
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -29,8 +29,8 @@
 
 /** Tables of cases for what comes off the wire. */
 public class ParsersTest {
-    private static final RpcParser RPCS = new RpcParser(List.of(jobClass("page", Effect.SAFE),
-            jobClass("gift", Effect.KEYED)), List.of("acme"));
+    private static final RpcParser RPCS =
+            new RpcParser(List.of(jobClass("page", Effect.SAFE), jobClass("gift", Effect.KEYED)), List.of("acme"));
     private static final LoadParser LOADS = new LoadParser("x0");
 
     private static JobClass jobClass(String name, Effect effect) {
@@ -59,8 +59,9 @@
         };
         for (Object[] c : cases) {
             RpcInfo r = rpc((String) c[0], (String) c[1]);
-            assertEquals(List.of(c).subList(2, 7), List.<Object>of(r.rpcClass(), r.tenant(), r.remaining(),
-                    r.slots(), r.repeat()));
+            assertEquals(
+                    List.of(c).subList(2, 7),
+                    List.<Object>of(r.rpcClass(), r.tenant(), r.remaining(), r.slots(), r.repeat()));
         }
     }
 
@@ -102,9 +103,12 @@
     public void loadReports() {
         assertEquals(new Report(7, 2, 3), LOADS.parse("inflight=7, queue=2,x0=3,x1=1.5,util=0.6\n"));
         assertEquals(new Report(Double.NaN, Double.NaN, 3), LOADS.parse("x0=3,x1=full,x"));
-        assertEquals("busy to the last slot", 0, LOADS.parse("load_share=0.9,x0=0,x1=0").freeSlots(), 0);
-        for (String nothing : new String[] {"", "util=0.5", "{}", "=,=", null,
-            "tps=0,load_share=0,x0=0,x1=0"}) {
+        assertEquals(
+                "busy to the last slot",
+                0,
+                LOADS.parse("load_share=0.9,x0=0,x1=0").freeSlots(),
+                0);
+        for (String nothing : new String[] {"", "util=0.5", "{}", "=,=", null, "tps=0,load_share=0,x0=0,x1=0"}) {
             assertNull(nothing, LOADS.parse(nothing));
         }
     }
@@ -124,10 +128,15 @@
             assertEquals(c[2] + " once", p.heard);
         }
         String[][] lines = {
-            {"{\"state\":\"started\"}", "started"}, {"{\"state\":\"running\",\"share\":0.4}", "running"},
-            {"{\"state\":\"done\",\"result\":\"r\"}", "OK once r"}, {"{\"state\":\"failed\"}", "ERROR once"},
-            {"{\"state\":\"returned\"}", "FULL once"}, {"{\"state\":\"lost\"}", "RESET once"},
-            {"{\"state\":\"new\"}", ""}, {"{}", ""}, {"", ""},
+            {"{\"state\":\"started\"}", "started"},
+            {"{\"state\":\"running\",\"share\":0.4}", "running"},
+            {"{\"state\":\"done\",\"result\":\"r\"}", "OK once r"},
+            {"{\"state\":\"failed\"}", "ERROR once"},
+            {"{\"state\":\"returned\"}", "FULL once"},
+            {"{\"state\":\"lost\"}", "RESET once"},
+            {"{\"state\":\"new\"}", ""},
+            {"{}", ""},
+            {"", ""},
         };
         for (String[] c : lines) {
             AttemptProbe p = new AttemptProbe();
@@ -148,12 +157,19 @@
         ListUpdate u = lists.parse("{\"revision\":4,\"complete\":true,\"members\":[" + entry + "]}", left::add);
         assertEquals(5000, u.entries().get(0).info().startedAt());
         assertEquals("127.0.0.1:9", u.entries().get(0).address());
-        for (String bad : new String[] {"", "[]", "{}", "{\"revision\":4,\"complete\":true}",
-            "{\"revision\":4,\"complete\":true,\"members\":{}}", "{\"complete\":true,\"members\":[]}",
-            "{\"revision\":4,\"complete\":true,\"members\":[" + entry + "]", "{\"revision\":4,\"revision\":5,"
-            + "\"complete\":true,\"members\":[]}", "{\"revision\":null,\"complete\":true,\"members\":[]}",
-            "{\"revision\":4,\"complete\":1,\"members\":[]}", "{\"revision\":4,\"complete\":true,\"members\":["
-            + entry.replace("\"cell\":3", "\"id\":\"s\"") + "]}"}) {
+        for (String bad : new String[] {
+            "",
+            "[]",
+            "{}",
+            "{\"revision\":4,\"complete\":true}",
+            "{\"revision\":4,\"complete\":true,\"members\":{}}",
+            "{\"complete\":true,\"members\":[]}",
+            "{\"revision\":4,\"complete\":true,\"members\":[" + entry + "]",
+            "{\"revision\":4,\"revision\":5," + "\"complete\":true,\"members\":[]}",
+            "{\"revision\":null,\"complete\":true,\"members\":[]}",
+            "{\"revision\":4,\"complete\":1,\"members\":[]}",
+            "{\"revision\":4,\"complete\":true,\"members\":[" + entry.replace("\"cell\":3", "\"id\":\"s\"") + "]}"
+        }) {
             assertThrows(bad, IllegalArgumentException.class, () -> lists.parse(bad, left::add));
         }
         assertEquals(List.of(), left);
@@ -165,12 +181,21 @@
         ListParser lists = new ListParser(List.of("m1"), List.of("a"));
         String entry = "{\"id\":\"s\",\"host_port\":\"127.0.0.1:9\",\"locality\":\"a\",\"flavor\":\"m1\",\"cell\":3,"
                 + "\"phase\":\"SERVING\",\"size\":1.0,\"up_since_ms\":5}";
-        for (String bad : new String[] {"{}", "7", "null", entry.replace("SERVING", "ASLEEP"), entry.replace(":9", ":x"),
-            entry.replace("\"id\"", "\"di\""), entry.replace("\"s\"", "[1,{}]"), "[" + entry + "]",
-            entry.replace("\"SERVING\"", "{\"phase\":\"SERVING\"}"), entry.replace("\"127.0.0.1:9\"", "null")}) {
+        for (String bad : new String[] {
+            "{}",
+            "7",
+            "null",
+            entry.replace("SERVING", "ASLEEP"),
+            entry.replace(":9", ":x"),
+            entry.replace("\"id\"", "\"di\""),
+            entry.replace("\"s\"", "[1,{}]"),
+            "[" + entry + "]",
+            entry.replace("\"SERVING\"", "{\"phase\":\"SERVING\"}"),
+            entry.replace("\"127.0.0.1:9\"", "null")
+        }) {
             List<String> left = new ArrayList<>();
-            ListUpdate u = lists.parse("{\"revision\":4,\"complete\":true,\"members\":[" + bad + "," + entry + "]}",
-                    left::add);
+            ListUpdate u = lists.parse(
+                    "{\"revision\":4,\"complete\":true,\"members\":[" + bad + "," + entry + "]}", left::add);
             assertEquals(bad, 1, u.entries().size());
             assertEquals(bad, 1, left.size());
             assertTrue(left.get(0), left.get(0).startsWith("entry 0: "));
@@ -181,11 +206,17 @@
     @Test
     public void entriesOfAnotherVersionAreRead() {
         ListParser lists = new ListParser(List.of("m1"), List.of("a"));
-        ListUpdate u = lists.parse("{\"news\":{\"members\":[]},\"members\":[{\"id\":\"s\",\"phase\":\"DELETED\","
-                + "\"tags\":{\"id\":\"x\",\"phase\":[1]},\"flavor\":null,\"locality\":{},\"cell\":\"7\"}],"
-                + "\"complete\":false,\"revision\":9}", bad -> fail(bad));
-        assertEquals(new ListUpdate(9, false, List.of(new ListUpdate.Entry(
-                new WorkerInfo("s", WorkerState.GONE, -1, -1, 0, 7), ""))), u);
+        ListUpdate u = lists.parse(
+                "{\"news\":{\"members\":[]},\"members\":[{\"id\":\"s\",\"phase\":\"DELETED\","
+                        + "\"tags\":{\"id\":\"x\",\"phase\":[1]},\"flavor\":null,\"locality\":{},\"cell\":\"7\"}],"
+                        + "\"complete\":false,\"revision\":9}",
+                bad -> fail(bad));
+        assertEquals(
+                new ListUpdate(
+                        9,
+                        false,
+                        List.of(new ListUpdate.Entry(new WorkerInfo("s", WorkerState.GONE, -1, -1, 0, 7), ""))),
+                u);
     }
 
     /** Of a list that is as long as a fleet's, no tree is made: allocation is the same on any machine. */
@@ -193,7 +224,10 @@
     public void aLongListTakesLittleMoreMemoryThanItsText() {
         StringBuilder text = new StringBuilder("{\"revision\":4,\"complete\":true,\"members\":[");
         for (int i = 0; i < 2_000; i++) {
-            text.append(i == 0 ? "" : ",").append("{\"id\":\"w").append(i).append("\",\"host_port\":\"127.0.0.1:9\",")
+            text.append(i == 0 ? "" : ",")
+                    .append("{\"id\":\"w")
+                    .append(i)
+                    .append("\",\"host_port\":\"127.0.0.1:9\",")
                     .append("\"locality\":\"a\",\"flavor\":\"m1\",\"cell\":3,\"phase\":\"SERVING\",\"size\":1.0,")
                     .append("\"up_since_ms\":0}");
         }
@@ -211,8 +245,15 @@
     public void anObjectIsFoundInATextWithoutReadingIt() {
         String[][] cases = {
             {"{\"x\":1}", "{\"a\":[{\"known\":{}}],\"known\" : {\"x\":1} ,\"b\":2}"},
-            {"{}", "{\"known\":{}}"}, {null, "{\"known\":null}"}, {null, "{\"known\":7}"}, {null, "{\"a\":{\"known\":{}}}"},
-            {null, ""}, {null, "[]"}, {null, "{\"known\":{"}, {null, "project"}, {"{\"x\":\"}\"}", "{\"known\":{\"x\":\"}\"}}"},
+            {"{}", "{\"known\":{}}"},
+            {null, "{\"known\":null}"},
+            {null, "{\"known\":7}"},
+            {null, "{\"a\":{\"known\":{}}}"},
+            {null, ""},
+            {null, "[]"},
+            {null, "{\"known\":{"},
+            {null, "project"},
+            {"{\"x\":\"}\"}", "{\"known\":{\"x\":\"}\"}}"},
         };
         for (String[] c : cases) {
             int[] at = ListParser.find(c[1], "known");
@@ -263,8 +304,11 @@
             {new java.net.SocketException("Too many open files"), Outcome.NOT_SENT},
             {new java.net.BindException("Address already in use"), Outcome.NOT_SENT},
             {new java.io.IOException("closed"), Outcome.CONNECT_FAILED},
-            {new io.netty.channel.ChannelException("Failed to open a socket.",
-                    new java.net.SocketException("Too many open files in system")), Outcome.NOT_SENT},
+            {
+                new io.netty.channel.ChannelException(
+                        "Failed to open a socket.", new java.net.SocketException("Too many open files in system")),
+                Outcome.NOT_SENT
+            },
             {new java.net.SocketException(), Outcome.CONNECT_FAILED},
         };
         for (Object[] c : cases) {
