--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import saffronferry.Book.Attempt;
-import saffronferry.Book.HeldQueue;
-import saffronferry.Book.Job;
-import saffronferry.Book.JobMap;
-import saffronferry.Book.Peer;
-import saffronferry.Book.Worker;
+import saffronferry.DispatcherState.Attempt;
+import saffronferry.DispatcherState.HeldQueue;
+import saffronferry.DispatcherState.Job;
+import saffronferry.DispatcherState.JobMap;
+import saffronferry.DispatcherState.Peer;
+import saffronferry.DispatcherState.Worker;
 import saffronferry.Contract.Actions;
 import saffronferry.Contract.Effect;
 import saffronferry.Contract.Group;
@@ -951,7 +951,7 @@
                 return false;
             }
             if (j.spec.effect() == Effect.KEYED
-                    && (now >= a.sentAt + j.spec.keyTtl() - TICK || !Book.sameGroup(j.spec.group(), a.worker, w))) {
+                    && (now >= a.sentAt + j.spec.keyTtl() - TICK || !DispatcherState.sameGroup(j.spec.group(), a.worker, w))) {
                 return false;
             }
         }
@@ -963,7 +963,7 @@
             if (x != w
                     && x.state == WorkerState.IN_SERVICE
                     && !x.suspect
-                    && (j.spec.effect() != Effect.KEYED || Book.sameGroup(j.spec.group(), w, x))) {
+                    && (j.spec.effect() != Effect.KEYED || DispatcherState.sameGroup(j.spec.group(), w, x))) {
                 return true;
             }
         }
@@ -1049,11 +1049,11 @@
         for (Peer y : peers) {
             if (y.heard > 0 && y.zone >= 0) {
                 int how = y.zone + (shares.counts(y.number, now) ? 0 : 1 << 20);
-                mark = (int) Book.mix(mark, 1 + y.number * s.zones() + how);
+                mark = (int) DispatcherState.mix(mark, 1 + y.number * s.zones() + how);
             }
         }
         for (int z = 0; z < heardIn.length; z++) {
-            mark = (int) Book.mix(mark, served(z) ? z : ~z);
+            mark = (int) DispatcherState.mix(mark, served(z) ? z : ~z);
         }
         if (mark != homesMark) {
             homesMark = mark;
--- a/src/main/java/saffronferry/Book.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -15,8 +15,8 @@
 import saffronferry.fleet.Loan;
 
 /** What the module remembers of workers, jobs and peers. Data only: {@link Dispatcher} decides. */
-final class Book {
-    private Book() {}
+final class DispatcherState {
+    private DispatcherState() {}
 
     static boolean sameGroup(Group group, Worker a, Worker b) {
         return switch (group) {
--- a/src/main/java/saffronferry/Homes.java
+++ b/src/main/java/saffronferry/Homes.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import java.util.BitSet;
-import saffronferry.Book.Worker;
+import saffronferry.DispatcherState.Worker;
 import saffronferry.fleet.ColdShares;
 import saffronferry.fleet.Owners;
 
@@ -47,7 +47,7 @@
         }
         int best = zone;
         for (int z = 0; z < zones; z++) {
-            best = served.get(z) && Book.mix(w.hash, z) > Book.mix(w.hash, best) ? z : best;
+            best = served.get(z) && DispatcherState.mix(w.hash, z) > DispatcherState.mix(w.hash, best) ? z : best;
         }
         return best;
     }
--- a/src/main/java/saffronferry/Silence.java
+++ b/src/main/java/saffronferry/Silence.java
@@ -1,7 +1,7 @@
 package saffronferry;
 
-import saffronferry.Book.Attempt;
-import saffronferry.Book.Worker;
+import saffronferry.DispatcherState.Attempt;
+import saffronferry.DispatcherState.Worker;
 
 /** How improbable a worker's silence is, if it is well. {@link Dispatcher} decides what follows from it. */
 final class Silence {
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -332,7 +332,7 @@
                 .findFirst()
                 .orElseThrow();
         Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
-        offer.add(new Book.Worker(foreign, 0).hash, 1);
+        offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
         rig.told.clear();
         rig.module.peerMessage(rig.now, 1, offer.bytes());
         assertEquals(1, rig.sentTo(foreign));
@@ -347,7 +347,7 @@
         Rig rig = new Rig(plan.settings());
         rig.list(Rig.worker("a"), Rig.worker("far", 1, WorkerState.IN_SERVICE, rig.now));
         Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
-        offer.add(new Book.Worker("far", 0).hash, 1);
+        offer.add(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // heard often enough not to be taken for gone
             rig.run((after == 1 ? 1 : 5) * Rig.S);
             rig.module.peerMessage(rig.now, 1, offer.bytes());
@@ -364,7 +364,7 @@
         plan.zones = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
         Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
-        offer.add(new Book.Worker("far", 0).hash, 3);
+        offer.add(new DispatcherState.Worker("far", 0).hash, 3);
         rig.module.peerMessage(rig.now, 1, offer.bytes());
         for (long id = 1; id <= 60; id++) {
             rig.ask(id);
@@ -393,7 +393,7 @@
         assertEquals(0, rig.sends.size());
         for (int i = 0; i < 5; i++) {
             Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
-            offer.add(new Book.Worker("far", 0).hash, 4);
+            offer.add(new DispatcherState.Worker("far", 0).hash, 4);
             rig.module.peerMessage(rig.now, 1, offer.bytes());
         }
         assertTrue(rig.sends.size() >= 4, rig.sends.size() + " sent"); // P is one in nine at first
@@ -409,7 +409,7 @@
             rig.run(60 * Rig.MS);
             for (String own : List.of("a", "b", "c", "d")) {
                 Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * Rig.MS);
-                borrows.add(new Book.Worker(own, 0).hash, 2);
+                borrows.add(new DispatcherState.Worker(own, 0).hash, 2);
                 rig.module.peerMessage(rig.now, 1, borrows.bytes());
             }
             rig.ask(1);
@@ -430,7 +430,7 @@
         plan.zones = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
         Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
-        offer.add(new Book.Worker("far", 0).hash, 4);
+        offer.add(new DispatcherState.Worker("far", 0).hash, 4);
         rig.module.peerMessage(rig.now, 1, offer.bytes());
         for (long id = 1; id <= 30; id++) {
             rig.ask(id);
@@ -484,8 +484,8 @@
         byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes();
         rig.module.peerMessage(rig.now, 1, here);
         rig.run(40 * Rig.MS);
-        int a = new Book.Worker("a", 0).hash;
-        int b = new Book.Worker("b", 0).hash;
+        int a = new DispatcherState.Worker("a", 0).hash;
+        int b = new DispatcherState.Worker("b", 0).hash;
         String moved = borrows(rig).contains(a + " 2") ? "a" : "b";
         int hash = moved.equals("a") ? a : b;
         assertEquals(List.of(hash + " 2"), borrows(rig)); // one of the two has gone to the other, with its jobs
@@ -504,7 +504,7 @@
                 List.of(new JobClass("c", 300 * Rig.MS, 2, 90 * Rig.S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * Rig.S, -1));
         WorkerInfo[] all = {Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d")};
         int[] hashes = Arrays.stream(all)
-                .mapToInt(w -> new Book.Worker(w.address(), 0).hash)
+                .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
                 .toArray();
         int[] two = Owners.share(hashes, new int[] {0, 2});
@@ -550,7 +550,7 @@
             rig.ask(id);
         }
         Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
-        offer.add(new Book.Worker("far", 0).hash, 4);
+        offer.add(new DispatcherState.Worker("far", 0).hash, 4);
         for (int i = 0; i < 5; i++) {
             rig.module.peerMessage(rig.now, 1, offer.bytes());
         }
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -36,7 +36,7 @@
         return field(of, name).get(of);
     }
 
-    private static Book.Worker worker(Rig rig, String address) throws ReflectiveOperationException {
+    private static DispatcherState.Worker worker(Rig rig, String address) throws ReflectiveOperationException {
         return ((Fleet) get(rig.module, "fleet")).byAddress.get(address);
     }
 
@@ -288,7 +288,7 @@
 
     private static void borrow(Rig rig, int slots) {
         Message m = new Message(Message.Type.BORROWS, 0, 1, 1, 5, 50 * Rig.MS);
-        IntStream.range(0, 8).forEach(i -> m.add(new Book.Worker("w" + i, 0).hash, slots));
+        IntStream.range(0, 8).forEach(i -> m.add(new DispatcherState.Worker("w" + i, 0).hash, slots));
         rig.module.peerMessage(rig.now, 1, m.bytes());
     }
 
@@ -326,7 +326,7 @@
     void jobsOfPeersAtWorkersOfThePastAreForgotten() throws Exception {
         Rig rig = withBorrowedSlots(1);
         borrow(rig, 0);
-        Book.Peer peer = ((Book.Peer[]) get(rig.module, "peers"))[1];
+        DispatcherState.Peer peer = ((DispatcherState.Peer[]) get(rig.module, "peers"))[1];
         assertEquals(0, ((Collection<?>) get(peer, "holds")).size());
     }
 
--- a/src/test/java/saffronferry/FleetTest.java
+++ b/src/test/java/saffronferry/FleetTest.java
@@ -20,7 +20,7 @@
     void afterManyReleasesTheGoneAreForgotten() {
         Fleet fleet = new Fleet(1, 1, 0);
         for (int i = 0; i < 2000; i++) {
-            Book.Worker w = new Book.Worker("w" + i, 0);
+            DispatcherState.Worker w = new DispatcherState.Worker("w" + i, 0);
             w.state = i < 10 ? Contract.WorkerState.IN_SERVICE : Contract.WorkerState.GONE;
             fleet.byAddress.put(w.address, w);
             fleet.touch(w);
@@ -87,7 +87,7 @@
     private static Fleet of(int workers) {
         Fleet fleet = new Fleet(1, 1, 0);
         for (int i = 0; i < workers; i++) {
-            Book.Worker w = new Book.Worker("10.0.0." + i, 0);
+            DispatcherState.Worker w = new DispatcherState.Worker("10.0.0." + i, 0);
             w.state = Contract.WorkerState.IN_SERVICE;
             fleet.byAddress.put(w.address, w);
             fleet.touch(w);
@@ -99,7 +99,7 @@
     @Test
     void everyWorkerIsFoundByItsHash() {
         Fleet fleet = of(20);
-        for (Book.Worker w : fleet.byAddress.values()) {
+        for (DispatcherState.Worker w : fleet.byAddress.values()) {
             assertEquals(w, fleet.find(0, w.hash));
         }
     }
@@ -110,14 +110,14 @@
         Fleet fleet = of(50);
         SplittableRandom dice = new SplittableRandom(1);
         for (int i = 0; i < 500; i++) {
-            Book.Worker changed = fleet.ours[dice.nextInt(50)];
+            DispatcherState.Worker changed = fleet.ours[dice.nextInt(50)];
             changed.suspect = !changed.suspect;
             fleet.place(changed, true);
             int turn = dice.nextInt();
             int most = 1 + dice.nextInt(50);
-            List<Book.Worker> walked = new ArrayList<>();
+            List<DispatcherState.Worker> walked = new ArrayList<>();
             for (int k = 0; k < most; k++) {
-                Book.Worker w = fleet.ours[(Math.floorMod(turn, 50) + k) % 50];
+                DispatcherState.Worker w = fleet.ours[(Math.floorMod(turn, 50) + k) % 50];
                 if (w.suspect) {
                     walked.add(w);
                 }
@@ -130,7 +130,7 @@
     @Test
     void theGoneAreWatchedNoMore() {
         Fleet fleet = of(1100);
-        Book.Worker old = fleet.ours[0];
+        DispatcherState.Worker old = fleet.ours[0];
         old.suspect = true;
         fleet.chill(old, 1);
         fleet.place(old, true);
@@ -139,7 +139,7 @@
         arrange(fleet, alone(1, 0));
         assertEquals(1099, fleet.byAddress.size());
         assertEquals(List.of(), fleet.watched(0, 1099));
-        Book.Worker young = new Book.Worker(old.address, 0);
+        DispatcherState.Worker young = new DispatcherState.Worker(old.address, 0);
         young.state = Contract.WorkerState.IN_SERVICE;
         young.suspect = true;
         fleet.byAddress.put(young.address, young);
@@ -163,9 +163,9 @@
         SplittableRandom dice = new SplittableRandom(1);
         ColdShares shares = new ColdShares(0, 3);
         Homes homes = new Homes(2, 1, shares);
-        List<Book.Worker> all = new ArrayList<>();
+        List<DispatcherState.Worker> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            all.add(new Book.Worker("10.0.0." + i, i % 3 - 1));
+            all.add(new DispatcherState.Worker("10.0.0." + i, i % 3 - 1));
             all.get(i).state = Contract.WorkerState.IN_SERVICE;
             fleet.byAddress.put(all.get(i).address, all.get(i));
             fleet.touch(all.get(i));
@@ -181,14 +181,14 @@
             BitSet served = BitSet.valueOf(new long[] {dice.nextInt(50) == 0 ? 2 : 3});
             boolean anew = (round / 50 & 1) == 0 && homes.hear(near, near, served) || round == 0;
             fleet.arrange(homes, anew, KNOWN).forEach(w -> fleet.place(w, w.ours));
-            Book.Worker w = all.get(dice.nextInt(all.size()));
+            DispatcherState.Worker w = all.get(dice.nextInt(all.size()));
             w.suspect = !w.suspect;
             fleet.place(w, w.ours);
             compare(fleet, homes, all);
         }
     }
 
-    private static void change(Fleet fleet, Book.Worker w, SplittableRandom dice) {
+    private static void change(Fleet fleet, DispatcherState.Worker w, SplittableRandom dice) {
         if (dice.nextInt(3) == 0) {
             fleet.chill(w, 1 + dice.nextInt(600));
         } else {
@@ -198,21 +198,21 @@
         }
     }
 
-    private static void compare(Fleet fleet, Homes homes, List<Book.Worker> all) {
-        List<Book.Worker> sorted = all.stream()
+    private static void compare(Fleet fleet, Homes homes, List<DispatcherState.Worker> all) {
+        List<DispatcherState.Worker> sorted = all.stream()
                 .filter(w -> w.state != Contract.WorkerState.GONE)
-                .sorted(Comparator.comparing((Book.Worker w) -> w.hash).thenComparing(w -> w.address))
+                .sorted(Comparator.comparing((DispatcherState.Worker w) -> w.hash).thenComparing(w -> w.address))
                 .toList();
         for (int z = 0; z < 2; z++) {
             int zone = z;
             assertEquals(sorted.stream().filter(w -> homes.zoneOf(w) == zone).toList(), List.of(fleet.ring[z]));
         }
-        List<Book.Worker> here = List.of(fleet.ring[1]);
+        List<DispatcherState.Worker> here = List.of(fleet.ring[1]);
         int[] owners = homes.deal(fleet.ring[1]);
         for (int i = 0; i < owners.length; i++) {
             assertEquals(owners[i], here.get(i).dealtTo);
         }
-        List<Book.Worker> ours = here.stream().filter(homes::ours).toList();
+        List<DispatcherState.Worker> ours = here.stream().filter(homes::ours).toList();
         assertEquals(ours, List.of(fleet.ours));
         assertEquals(
                 ours,
@@ -225,7 +225,7 @@
         assertEquals(ours.stream().filter(w -> w.suspect).toList(), fleet.watched(0, ours.size()));
         for (int k = 0; k < fleet.groups(); k++) {
             int kind = k == 2 ? -1 : k;
-            List<Book.Worker> present =
+            List<DispatcherState.Worker> present =
                     here.stream().filter(w -> w.kind == kind).toList();
             assertEquals(present.size(), fleet.present(k));
             assertEquals(
--- a/src/test/java/saffronferry/MessageTest.java
+++ b/src/test/java/saffronferry/MessageTest.java
@@ -22,7 +22,7 @@
         m.cold = true;
         m.word = word;
         m.hears = (BitSet) word.clone();
-        m.lend(new Book.Worker("cold", 0).hash, 18);
+        m.lend(new DispatcherState.Worker("cold", 0).hash, 18);
         return m;
     }
 
@@ -82,10 +82,10 @@
             new Case("for the process before", NOW - 100_000, NOW - 50_000, 0, false),
             new Case("from the future", NOW + 300_000, 0, 0, false)
         }) {
-            Book.Peer y = new Book.Peer(1);
+            DispatcherState.Peer y = new DispatcherState.Peer(1);
             y.borrowed.taken(c.lentBefore);
             Message m = Message.read(lending(c.at, 2).bytes(), NOW);
-            y.offers(new Book.Worker[] {new Book.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
+            y.offers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
             assertEquals(c.counts, y.enough(0, 1, 600_000), c.name);
             if (c.counts) {
                 y.use(0, 1, 600_000);
@@ -97,10 +97,10 @@
     /** What is not used goes back to who lent it, once, and never more than was lent. */
     @Test
     void aPartComesBackOnceToTheProcessThatLentIt() {
-        Book.Worker w = new Book.Worker("cold", 0);
-        Book.Peer lender = new Book.Peer(0);
+        DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
+        DispatcherState.Peer lender = new DispatcherState.Peer(0);
         Message offer = lending(NOW, 2);
-        lender.offers(new Book.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
+        lender.offers(new DispatcherState.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
         assertTrue(!lender.lentInVain(true, NOW + 399_000, 400_000) && lender.lentInVain(true, NOW + 400_000, 400_000));
         assertTrue(lender.lentInVain(false, NOW, 400_000), "nobody waits");
         byte[] bytes = lender.giveBack(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
@@ -138,13 +138,13 @@
     /** What is lent is out of the lender's budget before the datagram leaves. */
     @Test
     void theLenderSpendsFirst() {
-        Book.Worker w = new Book.Worker("cold", 0);
-        Book.Peer y = new Book.Peer(1);
+        DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
+        DispatcherState.Peer y = new DispatcherState.Peer(1);
         y.zone = 0;
         Message m = lending(NOW, 2);
         assertTrue(y.mayLend(m, NOW, 0));
         assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
-        y.lend(w, Book.Peer.whole(600_000), m, NOW);
+        y.lend(w, DispatcherState.Peer.whole(600_000), m, NOW);
         assertEquals(false, w.cold.covers(250_000, NOW, 1, 8, 0.5), "it owes what is lent");
         assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two parts must differ in time");
         assertNotNull(Message.read(m.bytes(), NOW));
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -54,7 +54,7 @@
                 .findFirst()
                 .orElseThrow();
         Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
-        offer.add(new Book.Worker(foreign, 0).hash, 1);
+        offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
         rig.module.peerMessage(rig.now, 1, offer.bytes());
         Rig.Send lent = rig.sends.stream()
                 .filter(s -> s.worker().equals(foreign))
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -120,7 +120,7 @@
                         20,
                         50_000);
                 for (int k = 0; k < 4; k++) {
-                    m.add(new Book.Worker("w" + dice.nextInt(14), 0).hash, dice.nextInt(4));
+                    m.add(new DispatcherState.Worker("w" + dice.nextInt(14), 0).hash, dice.nextInt(4));
                 }
                 rig.module.peerMessage(rig.now, dice.nextInt(plan.peers), m.bytes());
             } else if (what < 95) {
@@ -178,7 +178,7 @@
                     }
                     assertTrue(spec.effect() != Effect.UNSAFE, "an unsafe request again");
                     if (spec.effect() == Effect.KEYED) {
-                        assertTrue(Book.sameGroup(spec.group(), new Place(t.worker).worker, new Place(w).worker));
+                        assertTrue(DispatcherState.sameGroup(spec.group(), new Place(t.worker).worker, new Place(w).worker));
                         assertTrue(s.at() < t.send.at() + spec.keyTtl());
                     }
                 }
@@ -204,9 +204,9 @@
             }
         }
 
-        private record Place(Book.Worker worker) {
+        private record Place(DispatcherState.Worker worker) {
             Place(WorkerInfo w) {
-                this(new Book.Worker(w.address(), 0));
+                this(new DispatcherState.Worker(w.address(), 0));
                 worker.zone = w.zone();
                 worker.cell = w.cell();
             }
