--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -68,7 +68,7 @@
     private final Settings s;
     private final Actions out;
     private final SplittableRandom random;
-    private final Fleet fleet;
+    private final WorkerIndex fleet;
     private final JobMap jobs = new JobMap();
     private final HeldQueue[][] queues; // by class and rank
     private final PriorityQueue<Job> leaving = new PriorityQueue<>(Job.BY_DEADLINE);
@@ -96,7 +96,7 @@
         s = settings;
         out = actions;
         random = new SplittableRandom(settings.seed());
-        fleet = new Fleet(settings.zones(), settings.kinds(), settings.zone());
+        fleet = new WorkerIndex(settings.zones(), settings.kinds(), settings.zone());
         heardIn = new long[settings.zones()];
         queues = new HeldQueue[settings.classes().size()][];
         for (int c = 0; c < queues.length; c++) {
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -64,7 +64,7 @@
         int takenThen;
         long takenAt;
         int openAt = -1;
-        boolean borrowed; // these three: as Fleet has it in its indexes
+        boolean borrowed; // these three: as WorkerIndex has it in its indexes
         boolean watched;
         boolean counts;
         final ArrayList<Attempt> attempts = new ArrayList<>(4);
--- a/src/main/java/saffronferry/Fleet.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -18,7 +18,7 @@
 import saffronferry.fleet.Sharing;
 
 /** The workers, in the groups in which the module looks them up. Data only: it decides who belongs where. */
-final class Fleet {
+final class WorkerIndex {
     /** As many known workers cost little; beyond, those that are gone are forgotten. */
     private static final int MANY = 1024;
 
@@ -28,14 +28,14 @@
     /** Of these, the workers that this dispatcher owns. */
     Worker[] ours = new Worker[0];
     /** Cold workers, and of these the ones of our zone, and of these our own; in the order of the ring. */
-    private final TreeSet<Worker> cold = new TreeSet<>(Fleet::byHash);
+    private final TreeSet<Worker> cold = new TreeSet<>(WorkerIndex::byHash);
 
-    private final TreeSet<Worker> coldHere = new TreeSet<>(Fleet::byHash);
-    private final TreeSet<Worker> coldOurs = new TreeSet<>(Fleet::byHash);
+    private final TreeSet<Worker> coldHere = new TreeSet<>(WorkerIndex::byHash);
+    private final TreeSet<Worker> coldOurs = new TreeSet<>(WorkerIndex::byHash);
     /** Our own that have jobs of ours or are suspect: silence means nothing at others. */
-    private final TreeSet<Worker> watched = new TreeSet<>(Fleet::byHash);
+    private final TreeSet<Worker> watched = new TreeSet<>(WorkerIndex::byHash);
     /** Others' workers that have jobs of ours. */
-    private final TreeSet<Worker> borrowed = new TreeSet<>(Fleet::byHash);
+    private final TreeSet<Worker> borrowed = new TreeSet<>(WorkerIndex::byHash);
 
     private final Set<Worker> gone = new HashSet<>();
     /** Whose place may have changed since the last arrangement; and whether all are. */
@@ -54,7 +54,7 @@
     private final int[] count;
 
     /** Workers of so many zones and kinds, as one of that zone looks them up. */
-    Fleet(int zones, int kinds, int zone) {
+    WorkerIndex(int zones, int kinds, int zone) {
         this.zone = zone;
         ring = new Worker[zones][0];
         open = new Worker[kinds + 1][8];
@@ -455,7 +455,7 @@
 
     private static List<Worker> inOrder(Collection<Worker> some) {
         List<Worker> all = new ArrayList<>(some);
-        all.sort(Fleet::byHash);
+        all.sort(WorkerIndex::byHash);
         return all;
     }
 
@@ -500,7 +500,7 @@
     }
 
     private static Worker[] with(Worker[] sorted, Worker w) {
-        int at = -1 - Arrays.binarySearch(sorted, w, Fleet::byHash);
+        int at = -1 - Arrays.binarySearch(sorted, w, WorkerIndex::byHash);
         Worker[] more = new Worker[sorted.length + 1];
         System.arraycopy(sorted, 0, more, 0, at);
         more[at] = w;
@@ -509,7 +509,7 @@
     }
 
     private static Worker[] without(Worker[] sorted, Worker w) {
-        int at = Arrays.binarySearch(sorted, w, Fleet::byHash);
+        int at = Arrays.binarySearch(sorted, w, WorkerIndex::byHash);
         Worker[] fewer = new Worker[sorted.length - 1];
         System.arraycopy(sorted, 0, fewer, 0, at);
         System.arraycopy(sorted, at + 1, fewer, at, fewer.length - at);
--- a/src/test/java/saffronferry/FleetTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -14,11 +14,11 @@
 import saffronferry.fleet.ColdShares;
 import saffronferry.fleet.Sharing;
 
-class FleetTest {
+class WorkerIndexTest {
     /** Guards against memory that grows with every release of the workers. */
     @Test
     void afterManyReleasesTheGoneAreForgotten() {
-        Fleet fleet = new Fleet(1, 1, 0);
+        WorkerIndex fleet = new WorkerIndex(1, 1, 0);
         for (int i = 0; i < 2000; i++) {
             DispatcherState.Worker w = new DispatcherState.Worker("w" + i, 0);
             w.state = i < 10 ? Contract.WorkerState.IN_SERVICE : Contract.WorkerState.GONE;
@@ -84,8 +84,8 @@
         return homes;
     }
 
-    private static Fleet of(int workers) {
-        Fleet fleet = new Fleet(1, 1, 0);
+    private static WorkerIndex of(int workers) {
+        WorkerIndex fleet = new WorkerIndex(1, 1, 0);
         for (int i = 0; i < workers; i++) {
             DispatcherState.Worker w = new DispatcherState.Worker("10.0.0." + i, 0);
             w.state = Contract.WorkerState.IN_SERVICE;
@@ -98,7 +98,7 @@
 
     @Test
     void everyWorkerIsFoundByItsHash() {
-        Fleet fleet = of(20);
+        WorkerIndex fleet = of(20);
         for (DispatcherState.Worker w : fleet.byAddress.values()) {
             assertEquals(w, fleet.find(0, w.hash));
         }
@@ -107,7 +107,7 @@
     /** As a walk over all of our own finds them, from any place on and round the end. */
     @Test
     void thoseWatchedAreMetInTheOrderOfTheRing() {
-        Fleet fleet = of(50);
+        WorkerIndex fleet = of(50);
         SplittableRandom dice = new SplittableRandom(1);
         for (int i = 0; i < 500; i++) {
             DispatcherState.Worker changed = fleet.ours[dice.nextInt(50)];
@@ -129,7 +129,7 @@
     /** Guards against a worker that is gone and stands in the way of a new one at its address. */
     @Test
     void theGoneAreWatchedNoMore() {
-        Fleet fleet = of(1100);
+        WorkerIndex fleet = of(1100);
         DispatcherState.Worker old = fleet.ours[0];
         old.suspect = true;
         fleet.chill(old, 1);
@@ -152,14 +152,14 @@
         assertSame(young, fleet.watched(0, 1).get(0));
     }
 
-    private static void arrange(Fleet fleet, Homes homes) {
+    private static void arrange(WorkerIndex fleet, Homes homes) {
         fleet.arrange(homes, false, KNOWN).forEach(w -> fleet.place(w, w.ours));
     }
 
     /** Whatever became of workers: as walks over the whole list find them. */
     @Test
     void eachWorkerHasItsPlaceInAllIndexes() {
-        Fleet fleet = new Fleet(2, 2, 1);
+        WorkerIndex fleet = new WorkerIndex(2, 2, 1);
         SplittableRandom dice = new SplittableRandom(1);
         ColdShares shares = new ColdShares(0, 3);
         Homes homes = new Homes(2, 1, shares);
@@ -188,7 +188,7 @@
         }
     }
 
-    private static void change(Fleet fleet, DispatcherState.Worker w, SplittableRandom dice) {
+    private static void change(WorkerIndex fleet, DispatcherState.Worker w, SplittableRandom dice) {
         if (dice.nextInt(3) == 0) {
             fleet.chill(w, 1 + dice.nextInt(600));
         } else {
@@ -198,7 +198,7 @@
         }
     }
 
-    private static void compare(Fleet fleet, Homes homes, List<DispatcherState.Worker> all) {
+    private static void compare(WorkerIndex fleet, Homes homes, List<DispatcherState.Worker> all) {
         List<DispatcherState.Worker> sorted = all.stream()
                 .filter(w -> w.state != Contract.WorkerState.GONE)
                 .sorted(Comparator.comparing((DispatcherState.Worker w) -> w.hash).thenComparing(w -> w.address))
