--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -83,7 +83,7 @@
     private final TalkBudget talk;
     private final CallPace calls;
     private final ColdShares shares;
-    private final Homes homes;
+    private final WorkerOwnership homes;
     private final ColdRate coldRate;
     private int processes = 1; // of this dispatcher: budgets are for both together
     private int heldSlots, arrivals, homesMark, turn, neighbour, probeTurn, checkTurn, goneByNow;
@@ -110,7 +110,7 @@
             peers[i] = new Peer(i);
         }
         shares = new ColdShares(settings.self(), settings.peers());
-        homes = new Homes(settings.zones(), settings.zone(), shares);
+        homes = new WorkerOwnership(settings.zones(), settings.zone(), shares);
         coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
         repeats = new RepeatBudget(settings.peers());
         calls = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -364,7 +364,7 @@
      * @param anew whether any worker may change hands
      * @return whose place may have changed, in the order of the ring
      */
-    List<Worker> arrange(Homes homes, boolean anew, Lessons known) {
+    List<Worker> arrange(WorkerOwnership homes, boolean anew, Lessons known) {
         boolean all = anew || allTouched;
         boolean seats = all;
         // danger: slots that were learned meanwhile open or close all workers of a kind, also those at rest
@@ -396,7 +396,7 @@
     }
 
     /** Which of some workers are ours; {@code many}: it is not worth while to put in or take out each. */
-    private void own(List<Worker> moved, Homes homes, boolean many) {
+    private void own(List<Worker> moved, WorkerOwnership homes, boolean many) {
         for (Worker w : moved) {
             boolean mine = w.seat == zone && homes.ours(w);
             if (mine != w.ours && !many) {
@@ -443,7 +443,7 @@
     }
 
     /** Deals our zone's workers anew; touched are those that change hands. */
-    private void deal(Homes homes) {
+    private void deal(WorkerOwnership homes) {
         int[] owners = homes.deal(here());
         for (int i = 0; i < owners.length; i++) {
             if (ring[zone][i].dealtTo != owners[i]) {
@@ -481,7 +481,7 @@
     }
 
     /** Puts all workers, in the order of the ring, into their zones. */
-    private void seatAll(List<Worker> all, Homes homes) {
+    private void seatAll(List<Worker> all, WorkerOwnership homes) {
         List<List<Worker>> lists = new ArrayList<>();
         for (int z = 0; z < ring.length; z++) {
             lists.add(new ArrayList<>());
--- a/src/main/java/saffronferry/Homes.java
+++ b/src/main/java/saffronferry/WorkerOwnership.java
@@ -7,7 +7,7 @@
 import saffronferry.fleet.Owners;
 
 /** Which zone's dispatchers fill a worker, and which one of ours, as far as heard. */
-final class Homes {
+final class WorkerOwnership {
     private final int zone;
     private final int zones;
     private final ColdShares shares;
@@ -16,7 +16,7 @@
     private BitSet served = new BitSet();
 
     /** Of so many zones, as one of that zone knows them. */
-    Homes(int zones, int zone, ColdShares shares) {
+    WorkerOwnership(int zones, int zone, ColdShares shares) {
         this.zones = zones;
         this.zone = zone;
         this.shares = shares;
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -76,8 +76,8 @@
             new Lessons(2, List.of(Rig.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
 
     /** One dispatcher; zones keep their workers. */
-    private static Homes alone(int zones, int zone) {
-        Homes homes = new Homes(zones, zone, new ColdShares(0, 1));
+    private static WorkerOwnership alone(int zones, int zone) {
+        WorkerOwnership homes = new WorkerOwnership(zones, zone, new ColdShares(0, 1));
         BitSet served = new BitSet();
         served.set(0, zones);
         homes.hear(new int[] {0}, new int[] {0}, served);
@@ -152,7 +152,7 @@
         assertSame(young, fleet.watched(0, 1).get(0));
     }
 
-    private static void arrange(WorkerIndex fleet, Homes homes) {
+    private static void arrange(WorkerIndex fleet, WorkerOwnership homes) {
         fleet.arrange(homes, false, KNOWN).forEach(w -> fleet.place(w, w.ours));
     }
 
@@ -162,7 +162,7 @@
         WorkerIndex fleet = new WorkerIndex(2, 2, 1);
         SplittableRandom dice = new SplittableRandom(1);
         ColdShares shares = new ColdShares(0, 3);
-        Homes homes = new Homes(2, 1, shares);
+        WorkerOwnership homes = new WorkerOwnership(2, 1, shares);
         List<DispatcherState.Worker> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             all.add(new DispatcherState.Worker("10.0.0." + i, i % 3 - 1));
@@ -198,7 +198,7 @@
         }
     }
 
-    private static void compare(WorkerIndex fleet, Homes homes, List<DispatcherState.Worker> all) {
+    private static void compare(WorkerIndex fleet, WorkerOwnership homes, List<DispatcherState.Worker> all) {
         List<DispatcherState.Worker> sorted = all.stream()
                 .filter(w -> w.state != Contract.WorkerState.GONE)
                 .sorted(Comparator.comparing((DispatcherState.Worker w) -> w.hash).thenComparing(w -> w.address))
