--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -206,7 +206,7 @@
         double bestScore = 0;
         // danger: deaf ones take all warm workers for free; a cold one, seldom asked, would stay idle
         for (Worker w : fleet.coldOurs()) {
-            if (w.openAt >= 0 && w.cold.small() && usable(j, w)) {
+            if (w.openIndex >= 0 && w.coldBudget.small() && usable(j, w)) {
                 return w;
             }
         }
@@ -214,7 +214,7 @@
             int n = j.spec.kind() < 0 || j.spec.kind() == k ? fleet.openIn(k) : 0;
             for (int i = 0; i < Math.min(n, SAMPLE); i++) {
                 Worker w = fleet.open(k, n <= SAMPLE ? i : random.nextInt(n));
-                double score = free(w) - w.speed + random.nextDouble() * 0.2 - (w.zone == s.zone() ? 0 : 100);
+                double score = free(w) - w.runningTimeRatio + random.nextDouble() * 0.2 - (w.zone == s.zone() ? 0 : 100);
                 if ((best == null || score > bestScore) && usable(j, w)) {
                     best = w;
                     bestScore = score;
@@ -232,7 +232,7 @@
     }
 
     private boolean fits(Job j, Worker w) {
-        return (j.spec.kind() < 0 || j.spec.kind() == w.kind) && now >= w.restUntil;
+        return (j.spec.kind() < 0 || j.spec.kind() == w.kind) && now >= w.backoffUntil;
     }
 
     /** Danger: held on, a job too large for any worker would drive P to 0 and end our offers. */
@@ -387,7 +387,7 @@
                     && y.enough(i, j.request.slots(), cost(j, w))
                     && fits(j, w)
                     && (w.coldSince == 0 || y.lent[i] && !j.broke)
-                    && !(w.suspect && now < w.trialAt)
+                    && !(w.suspect && now < w.nextTrialAt)
                     && maySend(j, w)) {
                 return i;
             }
@@ -403,9 +403,9 @@
         unhold(j);
         j.add(a);
         w.attempts.add(a);
-        w.mine += j.request.slots();
-        if (w.ours) {
-            w.cold.send(cost(j, w), s.tellsStart() ? now : 0);
+        w.localSlots += j.request.slots();
+        if (w.ownedLocally) {
+            w.coldBudget.send(cost(j, w), s.tellsStart() ? now : 0);
         }
         if (w.suspect) {
             awaitTrial(w);
@@ -424,19 +424,19 @@
     private double free(Worker w) {
         // on trial: one job at a time
         double slots = w.failedTrials > 0 ? 1 : known.usable(kindIndex(w.kind));
-        return slots - w.mine - w.others;
+        return slots - w.localSlots - w.peerSlots;
     }
 
     /** Keeps the set of workers that may have a free slot in step with what is known. */
     private void refresh(Worker w) {
-        int taken = w.mine + w.others;
-        w.lately += (w.takenThen - w.lately) * (1 - Math.exp((w.takenAt - now) / REPORT_AGE));
-        if (w.takenThen == 0 && taken > 0) {
+        int taken = w.localSlots + w.peerSlots;
+        w.averageUsedSlots += (w.usedSlotsAtUpdate - w.averageUsedSlots) * (1 - Math.exp((w.usedSlotsUpdatedAt - now) / REPORT_AGE));
+        if (w.usedSlotsAtUpdate == 0 && taken > 0) {
             w.busySince = now;
         }
-        w.takenThen = taken;
-        w.takenAt = now;
-        fleet.place(w, w.ours && w.state == WorkerState.IN_SERVICE && !w.suspect && free(w) >= 1);
+        w.usedSlotsAtUpdate = taken;
+        w.usedSlotsUpdatedAt = now;
+        fleet.place(w, w.ownedLocally && w.state == WorkerState.IN_SERVICE && !w.suspect && free(w) >= 1);
     }
 
     private void learn(Worker w, Report report) {
@@ -449,9 +449,9 @@
         known.learnIdle(k, x0);
         if (!Double.isNaN(report.held()) && !Double.isNaN(report.queued())) {
             known.learnSlots(k, x0 + report.held() - report.queued());
-        } else if (w.ours) { // the one that fills a worker knows of all jobs there
+        } else if (w.ownedLocally) { // the one that fills a worker knows of all jobs there
             // the report is old: what it leaves out is what all of us had there lately, not what we have now
-            double total = x0 - (report.queued() > 0 ? report.queued() : 0) + w.lately;
+            double total = x0 - (report.queued() > 0 ? report.queued() : 0) + w.averageUsedSlots;
             known.learnSlots(k, total);
         }
         refresh(w);
@@ -460,8 +460,8 @@
     private void probeSome() {
         for (int i = 0; i < 4 && probing && probeCredit >= 1 && fleet.owned() > 0; i++) {
             Worker w = fleet.own(Math.floorMod(probeTurn++, fleet.owned()));
-            if (w.state == WorkerState.IN_SERVICE && now - w.probedAt > MAX_PERIOD) {
-                w.probedAt = now - random.nextLong(MAX_PERIOD / 4);
+            if (w.state == WorkerState.IN_SERVICE && now - w.lastProbeAt > MAX_PERIOD) {
+                w.lastProbeAt = now - random.nextLong(MAX_PERIOD / 4);
                 probeCredit -= 1;
                 out.probe(w.address);
             }
@@ -479,7 +479,7 @@
             learn(w, report);
         }
         if (w != null && report == null && known.weight[kindIndex(w.kind)] == 0) {
-            w.probedAt = now - MAX_PERIOD + PROBE_AGAIN;
+            w.lastProbeAt = now - MAX_PERIOD + PROBE_AGAIN;
         }
         drain();
     }
@@ -567,7 +567,7 @@
     private Message lend(Peer y, Message m) {
         double part = Peer.whole(known.longest());
         for (Worker w : y.mayLend(m, now, s.zone()) ? fleet.coldOurs() : List.<Worker>of()) {
-            if (w.openAt >= 0 && coldCovers(w, part, true)) {
+            if (w.openIndex >= 0 && coldCovers(w, part, true)) {
                 y.lend(w, part, m, now);
             }
         }
@@ -584,11 +584,11 @@
 
     /** A job on a slot that another dispatcher fills: it must hear of it at once, and of its end. */
     private void tellLender(Worker w) {
-        if (w.ours || w.lender < 0) {
+        if (w.ownedLocally || w.lender < 0) {
             return;
         }
         Message m = message(Message.Type.BORROWS);
-        m.add(w.hash, w.mine);
+        m.add(w.hash, w.localSlots);
         tell(w.lender, m);
         peers[w.lender].toldOfHold(now);
     }
@@ -679,7 +679,7 @@
     private void checkHealth() {
         int step = Math.min(fleet.owned(), 1 + fleet.owned() / 8);
         for (Worker w : fleet.watched(checkTurn, step)) {
-            if (w.suspect && w.attempts.isEmpty() && now >= w.trialAt) {
+            if (w.suspect && w.attempts.isEmpty() && now >= w.nextTrialAt) {
                 clear(w, w.failedTrials);
             }
             if (!w.suspect && Silence.nats(w, now, known, s) > SUSPECT_NATS) {
@@ -713,7 +713,7 @@
     }
 
     private void awaitTrial(Worker w) {
-        w.trialAt = now + spread(TRIAL << Math.min(w.failedTrials, DOUBLINGS));
+        w.nextTrialAt = now + spread(TRIAL << Math.min(w.failedTrials, DOUBLINGS));
         w.failedTrials = next(w.failedTrials);
     }
 
@@ -728,9 +728,9 @@
     }
 
     private void sign(Worker w) {
-        w.lastSign = now;
-        w.resets = 0;
-        if (w.suspect && w.errors < ERRORS) {
+        w.lastSignOfLifeAt = now;
+        w.consecutiveResets = 0;
+        if (w.suspect && w.consecutiveErrors < ERRORS) {
             clear(w, 0);
         }
     }
@@ -764,7 +764,7 @@
         Attempt a = attempt(id, number);
         if (a != null) {
             if (started && a.startedAt == 0) {
-                a.worker.cold.growth.started(now, a.sentAt);
+                a.worker.coldBudget.growth.started(now, a.sentAt);
             }
             a.startedAt = started ? now : a.startedAt;
             a.lastNote = now;
@@ -798,7 +798,7 @@
         j.broke |= outcome == Outcome.RESET;
         j.inFlight--;
         w.attempts.remove(a);
-        w.mine -= j.request.slots();
+        w.localSlots -= j.request.slots();
         observe(a, outcome, took);
         if (report != null) {
             learn(w, report);
@@ -821,32 +821,32 @@
         Worker w = a.worker;
         switch (outcome) {
             case OK -> {
-                w.errors = 0;
-                w.fulls = a.sentAt > w.fullAt ? 0 : w.fulls;
+                w.consecutiveErrors = 0;
+                w.consecutiveFulls = a.sentAt > w.lastFullAt ? 0 : w.consecutiveFulls;
                 int c = a.job.request.jobClass();
                 long ran = a.startedAt > 0 ? Math.max(1, now - a.startedAt) : Math.max(1, took);
                 known.ran(c, kindIndex(w.kind), ran);
-                w.speed += (Math.min(4, ran / known.mean[c]) - w.speed) * 0.05;
+                w.runningTimeRatio += (Math.min(4, ran / known.mean[c]) - w.runningTimeRatio) * 0.05;
                 sign(w);
             }
             case ERROR -> {
                 sign(w);
                 // danger: a worker that fails each job at once is always free and would draw all of them
-                if (++w.errors >= ERRORS) {
+                if (++w.consecutiveErrors >= ERRORS) {
                     suspect(w);
                 }
             }
             case FULL -> {
                 // danger: a worker that drains before the list says so turns everything away
-                w.restUntil = now + spread(FULL_REST << Math.min(w.fulls, FULL_DOUBLINGS));
-                w.fulls = next(w.fulls);
-                w.fullAt = now;
-                w.cold.growth.waited(now);
+                w.backoffUntil = now + spread(FULL_REST << Math.min(w.consecutiveFulls, FULL_DOUBLINGS));
+                w.consecutiveFulls = next(w.consecutiveFulls);
+                w.lastFullAt = now;
+                w.coldBudget.growth.waited(now);
             }
             case CONNECT_FAILED -> broken(w, false);
             // danger: one broken connection is no broken worker; that one breaks all, and gives no other sign
             case RESET -> {
-                if (++w.resets >= RESETS) {
+                if (++w.consecutiveResets >= RESETS) {
                     broken(w, true);
                 }
             }
@@ -973,10 +973,10 @@
     /** Whether our part of a cold worker's budget, which grows with its capacity, is enough for that work. */
     private boolean coldCovers(Worker w, double work, boolean waits) {
         double rate = coldRate.of(now - w.coldSince) * known.whole(kindIndex(w.kind)) / processes;
-        double part = w.cold.part(shares, now, w.hash, w.zone == s.zone());
+        double part = w.coldBudget.part(shares, now, w.hash, w.zone == s.zone());
         // danger: who goes beyond its part while warm workers have room fills slow ones first
-        part = waits ? w.cold.growth.of(part, now) : part;
-        return w.cold.covers(work, now, part, rate, shares.phase(w.hash));
+        part = waits ? w.coldBudget.growth.of(part, now) : part;
+        return w.coldBudget.covers(work, now, part, rate, shares.phase(w.hash));
     }
 
     /** Slot time a job is expected to take there, on its own. */
@@ -1073,12 +1073,12 @@
         }
         int[] counted = Arrays.stream(near).filter(y -> shares.counts(y, now)).toArray();
         for (Worker w : fleet.arrange(homes, homes.hear(near, counted, served), known)) {
-            if (w.seat == s.zone()) {
+            if (w.assignedZone == s.zone()) {
                 own(w, homes.owner(w));
             }
-            for (int i = 0; w.others > 0 && i < peers.length; i++) {
+            for (int i = 0; w.peerSlots > 0 && i < peers.length; i++) {
                 // its process took the jobs with it, or who fills it now hears of them: nobody will tell us
-                boolean elsewhere = !w.ours && peers[i].zone == s.zone();
+                boolean elsewhere = !w.ownedLocally && peers[i].zone == s.zone();
                 if (elsewhere || w.state == WorkerState.GONE) {
                     peers[i].hold(w, 0, now);
                 }
@@ -1089,8 +1089,8 @@
 
     private void own(Worker w, int owner) {
         // danger: it changes hands with jobs on it, and who fills it now would count their slots as free
-        boolean unknown = w.mine > 0 && w.lender != owner;
-        w.lender = w.ours ? -1 : unknown ? owner : w.lender;
+        boolean unknown = w.localSlots > 0 && w.lender != owner;
+        w.lender = w.ownedLocally ? -1 : unknown ? owner : w.lender;
         if (unknown) {
             tellLender(w);
         }
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -40,33 +40,34 @@
         int zone;
         int cell;
         WorkerState state;
-        long coldSince; // 0 = warm
-        final ColdBudget cold = new ColdBudget();
-        int mine; // slots our jobs take there
-        int others; // slots that peers say their jobs take there
-        double speed = 1; // running time over the class's mean
-        long restUntil;
+        long coldSince; // 0: warm
+        final ColdBudget coldBudget = new ColdBudget();
+        int localSlots; // in use by jobs of this dispatcher
+        int peerSlots; // in use by jobs of peers, as they reported
+        double runningTimeRatio = 1; // running time over the mean of the class
+        long backoffUntil;
         boolean suspect;
-        long trialAt;
+        long nextTrialAt;
         int failedTrials;
-        long lastSign;
+        long lastSignOfLifeAt;
         long busySince;
-        long probedAt;
-        long fullAt;
-        int fulls;
-        int errors; // in a row
-        int resets; // since the last sign of life
-        int seat = -1; // zone whose dispatchers fill it; -1: none, or it is gone
-        int dealtTo = -1; // dispatcher of our zone that fills it while it is warm
-        int lender = -1; // dispatcher that offered a slot there last
-        boolean ours; // this dispatcher fills it first
-        double lately; // slots taken, averaged over about the age of a report
-        int takenThen;
-        long takenAt;
-        int openAt = -1;
-        boolean borrowed; // these three: as WorkerIndex has it in its indexes
-        boolean watched;
-        boolean counts;
+        long lastProbeAt;
+        long lastFullAt;
+        int consecutiveFulls;
+        int consecutiveErrors;
+        int consecutiveResets; // since the last sign of life
+        int assignedZone = -1; // zone whose dispatchers send to it; -1: none, or the worker is gone
+        int warmOwner = -1; // dispatcher of this zone that owns it while it is warm
+        int lender = -1; // dispatcher that last offered a slot there
+        boolean ownedLocally; // this dispatcher is its owner
+        double averageUsedSlots; // slots in use, averaged over about the age of a report
+        int usedSlotsAtUpdate;
+        long usedSlotsUpdatedAt;
+        int openIndex = -1; // position among the open workers of its kind; -1: not open
+        // membership in the indexes of WorkerIndex
+        boolean inBorrowedIndex;
+        boolean inWatchedIndex;
+        boolean countedAvailable;
         final ArrayList<Attempt> attempts = new ArrayList<>(4);
 
         Worker(String address, int kind) {
@@ -282,8 +283,8 @@
          */
         Message holds(long now, Iterable<Worker> workers, Message m) {
             for (Worker w : workers) {
-                if (w.lender == number && !w.ours && w.mine > 0) {
-                    m.add(w.hash, w.mine);
+                if (w.lender == number && !w.ownedLocally && w.localSlots > 0) {
+                    m.add(w.hash, w.localSlots);
                 }
             }
             holdsDue = m.entries == 0 ? 0 : now + HOLDS_TOLD;
@@ -349,7 +350,7 @@
 
         /** Lends it a part of a worker's budget: spent here before it is told, and so never spent twice. */
         void lend(Worker w, double part, Message m, long now) {
-            w.cold.spend(part);
+            w.coldBudget.spend(part);
             out.lent(w.hash, m.at, part);
             lentInAll += (long) part;
             m.lend(w.hash, units(part));
@@ -386,7 +387,7 @@
             for (int i = 0; i < named.length; i++) {
                 if (named[i] != null) {
                     double back = out.back(m.hash[i], m.at, m.amount(i) * Message.LENT_UNIT, now);
-                    named[i].cold.back(back);
+                    named[i].coldBudget.back(back);
                     backInAll += (long) back;
                 }
             }
@@ -451,11 +452,11 @@
                 at++;
             }
             if (at < holds.size()) {
-                w.others -= holds.remove(at).slots;
+                w.peerSlots -= holds.remove(at).slots;
             }
             if (slots > 0) {
                 holds.add(new Hold(w, slots, now));
-                w.others += slots;
+                w.peerSlots += slots;
             }
         }
 
@@ -471,7 +472,7 @@
             for (int i = holds.size() - 1; i >= 0; i--) {
                 if (holds.get(i).told < before) {
                     Hold dropped = holds.remove(i);
-                    dropped.worker.others -= dropped.slots;
+                    dropped.worker.peerSlots -= dropped.slots;
                     changed.accept(dropped.worker);
                 }
             }
--- a/src/main/java/saffronferry/Silence.java
+++ b/src/main/java/saffronferry/Silence.java
@@ -14,13 +14,13 @@
     /** What the running times of their classes make of all our jobs there staying unanswered, in nats. */
     static double nats(Worker w, long now, Lessons known, Contract.Settings s) {
         double nats = 0;
-        long quietFrom = Math.max(w.lastSign, w.busySince);
+        long quietFrom = Math.max(w.lastSignOfLifeAt, w.busySince);
         for (Attempt a : w.attempts) {
             if (a.cancelled) {
                 continue;
             }
             long since = Math.max(a.sentAt, quietFrom);
-            double m = known.mean[a.job.request.jobClass()] * Math.max(1, w.speed);
+            double m = known.mean[a.job.request.jobClass()] * Math.max(1, w.runningTimeRatio);
             nats += s.tellsStart() && a.startedAt == 0 && now - since > START_NOTICE ? NOTICE_NATS : 0;
             boolean told = s.progressEvery() > 0 && a.lastNote > 0;
             nats += told && now - a.lastNote > 3 * s.progressEvery() ? NO_PROGRESS_NATS : 0;
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -116,8 +116,8 @@
     Map<String, Integer> jobs() {
         Map<String, Integer> jobs = new HashMap<>();
         for (Worker w : byAddress.values()) {
-            if (w.mine > 0) {
-                jobs.put(w.address, w.mine);
+            if (w.localSlots > 0) {
+                jobs.put(w.address, w.localSlots);
             }
         }
         return jobs;
@@ -165,12 +165,12 @@
     /** A worker has started anew then. */
     void chill(Worker w, long start) {
         w.coldSince = start;
-        w.cold.reset();
+        w.coldBudget.reset();
         cold.add(w);
         touch(w);
-        if (w.seat == zone && w.state != WorkerState.GONE) {
+        if (w.assignedZone == zone && w.state != WorkerState.GONE) {
             set(coldHere, w, true);
-            set(coldOurs, w, w.ours);
+            set(coldOurs, w, w.ownedLocally);
         }
     }
 
@@ -256,12 +256,12 @@
 
     /** Keeps a worker's places in step with what is known of it; whether it may have a free slot. */
     void place(Worker w, boolean can) {
-        if (w.borrowed != (w.mine > 0 && !w.ours)) {
-            w.borrowed = !w.borrowed;
-            set(borrowed, w, w.borrowed);
+        if (w.inBorrowedIndex != (w.localSlots > 0 && !w.ownedLocally)) {
+            w.inBorrowedIndex = !w.inBorrowedIndex;
+            set(borrowed, w, w.inBorrowedIndex);
         }
         // what others have there counts no more once it is known who fills it
-        if (w.others > 0 && !w.ours && w.state != WorkerState.GONE) {
+        if (w.peerSlots > 0 && !w.ownedLocally && w.state != WorkerState.GONE) {
             touch(w);
         }
         watch(w);
@@ -270,9 +270,9 @@
     }
 
     private void count(Worker w) {
-        boolean counts = w.seat == zone && w.state == WorkerState.IN_SERVICE && !w.suspect;
-        if (counts != w.counts) {
-            w.counts = counts;
+        boolean counts = w.assignedZone == zone && w.state == WorkerState.IN_SERVICE && !w.suspect;
+        if (counts != w.countedAvailable) {
+            w.countedAvailable = counts;
             counted[groupOf(w)] += counts ? 1 : -1;
         }
     }
@@ -288,9 +288,9 @@
     }
 
     private void watch(Worker w) {
-        boolean watch = w.ours && (w.suspect || !w.attempts.isEmpty());
-        if (watch != w.watched) {
-            w.watched = watch;
+        boolean watch = w.ownedLocally && (w.suspect || !w.attempts.isEmpty());
+        if (watch != w.inWatchedIndex) {
+            w.inWatchedIndex = watch;
             if (watch) {
                 watched.add(w);
             } else {
@@ -314,7 +314,7 @@
     }
 
     private void setOpen(Worker w, boolean can) {
-        if (can == w.openAt >= 0) {
+        if (can == w.openIndex >= 0) {
             return;
         }
         int g = groupOf(w);
@@ -322,13 +322,13 @@
             if (count[g] == open[g].length) {
                 open[g] = Arrays.copyOf(open[g], 2 * count[g]);
             }
-            w.openAt = count[g];
+            w.openIndex = count[g];
             open[g][count[g]++] = w;
         } else {
             Worker last = open[g][--count[g]];
-            open[g][w.openAt] = last;
-            last.openAt = w.openAt;
-            w.openAt = -1;
+            open[g][w.openIndex] = last;
+            last.openIndex = w.openIndex;
+            w.openIndex = -1;
         }
     }
 
@@ -381,7 +381,7 @@
             }
         }
         if (!homes.dealt()) {
-            moved.forEach(w -> w.dealtTo = homes.only());
+            moved.forEach(w -> w.warmOwner = homes.only());
         } else if (seats) {
             deal(homes);
             moved = all ? moved : inOrder(touched);
@@ -398,14 +398,14 @@
     /** Which of some workers are ours; {@code many}: it is not worth while to put in or take out each. */
     private void own(List<Worker> moved, WorkerOwnership homes, boolean many) {
         for (Worker w : moved) {
-            boolean mine = w.seat == zone && homes.ours(w);
-            if (mine != w.ours && !many) {
+            boolean mine = w.assignedZone == zone && homes.ours(w);
+            if (mine != w.ownedLocally && !many) {
                 ours = mine ? with(ours, w) : without(ours, w);
             }
-            w.ours = mine;
+            w.ownedLocally = mine;
         }
         if (many) {
-            ours = Arrays.stream(ring[zone]).filter(w -> w.ours).toArray(Worker[]::new);
+            ours = Arrays.stream(ring[zone]).filter(w -> w.ownedLocally).toArray(Worker[]::new);
         }
     }
 
@@ -415,8 +415,8 @@
             coldOurs.clear();
         }
         for (Worker w : moved) {
-            set(coldHere, w, w.coldSince != 0 && w.seat == zone);
-            set(coldOurs, w, w.coldSince != 0 && w.ours);
+            set(coldHere, w, w.coldSince != 0 && w.assignedZone == zone);
+            set(coldOurs, w, w.coldSince != 0 && w.ownedLocally);
         }
     }
 
@@ -446,8 +446,8 @@
     private void deal(WorkerOwnership homes) {
         int[] owners = homes.deal(here());
         for (int i = 0; i < owners.length; i++) {
-            if (ring[zone][i].dealtTo != owners[i]) {
-                ring[zone][i].dealtTo = owners[i];
+            if (ring[zone][i].warmOwner != owners[i]) {
+                ring[zone][i].warmOwner = owners[i];
                 touched.add(ring[zone][i]);
             }
         }
@@ -465,19 +465,19 @@
 
     /** Puts one worker into its zone; whether our zone's workers are others now. */
     private boolean seat(Worker w, int home) {
-        int from = w.seat;
-        w.seat = seatOf(w, home);
-        if (from == w.seat) {
+        int from = w.assignedZone;
+        w.assignedZone = seatOf(w, home);
+        if (from == w.assignedZone) {
             return false;
         }
         if (from >= 0) {
             ring[from] = without(ring[from], w);
         }
-        if (w.seat >= 0) {
-            ring[w.seat] = with(ring[w.seat], w);
+        if (w.assignedZone >= 0) {
+            ring[w.assignedZone] = with(ring[w.assignedZone], w);
         }
-        present[groupOf(w)] += (w.seat == zone ? 1 : 0) - (from == zone ? 1 : 0);
-        return w.seat == zone || from == zone;
+        present[groupOf(w)] += (w.assignedZone == zone ? 1 : 0) - (from == zone ? 1 : 0);
+        return w.assignedZone == zone || from == zone;
     }
 
     /** Puts all workers, in the order of the ring, into their zones. */
@@ -488,10 +488,10 @@
         }
         Arrays.fill(present, 0);
         for (Worker w : all) {
-            w.seat = seatOf(w, homes.zoneOf(w));
-            if (w.seat >= 0) {
-                lists.get(w.seat).add(w);
-                present[groupOf(w)] += w.seat == zone ? 1 : 0;
+            w.assignedZone = seatOf(w, homes.zoneOf(w));
+            if (w.assignedZone >= 0) {
+                lists.get(w.assignedZone).add(w);
+                present[groupOf(w)] += w.assignedZone == zone ? 1 : 0;
             }
         }
         for (int z = 0; z < ring.length; z++) {
--- a/src/main/java/saffronferry/WorkerOwnership.java
+++ b/src/main/java/saffronferry/WorkerOwnership.java
@@ -69,7 +69,7 @@
 
     /** Who fills a worker of our zone now. */
     int owner(Worker w) {
-        return w.coldSince == 0 ? w.dealtTo : shares.guardian(w.hash);
+        return w.coldSince == 0 ? w.warmOwner : shares.guardian(w.hash);
     }
 
     /** Whether we do. */
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -60,13 +60,13 @@
     void aWorkerThatKeepsSayingFullIsAskedAgainHoweverOftenItDid() throws Exception {
         plan.maxAttempts = 1;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        worker(rig, "a").fulls = Integer.MAX_VALUE - 2;
+        worker(rig, "a").consecutiveFulls = Integer.MAX_VALUE - 2;
         for (long id = 1; id <= 70; id++) {
             rig.ask(id);
             assertEquals(
-                    id, rig.sends.size(), "the worker rests until " + worker(rig, "a").restUntil + " at " + rig.now);
+                    id, rig.sends.size(), "the worker rests until " + worker(rig, "a").backoffUntil + " at " + rig.now);
             rig.answer(id, 0, Outcome.FULL);
-            long rest = worker(rig, "a").restUntil - rig.now;
+            long rest = worker(rig, "a").backoffUntil - rig.now;
             assertTrue(rest >= 3_200 * Rig.MS && rest <= 4 * Rig.S, "rests " + rest);
             rig.run(4 * Rig.S);
         }
@@ -81,7 +81,7 @@
             rig.ask(id);
             assertEquals(id, rig.sends.size(), "not tried at " + rig.now);
             rig.answer(id, 0, Outcome.CONNECT_FAILED);
-            long wait = worker(rig, "a").trialAt - rig.now;
+            long wait = worker(rig, "a").nextTrialAt - rig.now;
             assertTrue(wait >= 8 * Rig.S && wait <= 10 * Rig.S, "waits " + wait);
             rig.run(11 * Rig.S);
         }
@@ -295,7 +295,7 @@
     private static int others(Rig rig) throws Exception {
         int sum = 0;
         for (int i = 0; i < 8; i++) {
-            sum += worker(rig, "w" + i).others;
+            sum += worker(rig, "w" + i).peerSlots;
         }
         return sum;
     }
--- a/src/test/java/saffronferry/MessageTest.java
+++ b/src/test/java/saffronferry/MessageTest.java
@@ -126,13 +126,13 @@
             assertEquals(c.back, out.back(m.hash[0], m.at, m.amount(0) * Message.LENT_UNIT, c.backAt), c.name);
             assertEquals(0, out.back(m.hash[0], m.at, m.amount(0) * Message.LENT_UNIT, c.backAt), c.name + ", doubled");
         }
-        assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
-        w.cold.spend(900_000);
-        w.cold.covers(600_000, NOW + 1_000_000, 1, 8, 0.5);
-        w.cold.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // filled again meanwhile
-        w.cold.back(900_000);
-        w.cold.spend(1_700_000);
-        assertTrue(!w.cold.covers(1, NOW + 2_000_000, 1, 8, 0.5), "no more is kept than of what was never lent");
+        assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
+        w.coldBudget.spend(900_000);
+        w.coldBudget.covers(600_000, NOW + 1_000_000, 1, 8, 0.5);
+        w.coldBudget.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // filled again meanwhile
+        w.coldBudget.back(900_000);
+        w.coldBudget.spend(1_700_000);
+        assertTrue(!w.coldBudget.covers(1, NOW + 2_000_000, 1, 8, 0.5), "no more is kept than of what was never lent");
     }
 
     /** What is lent is out of the lender's budget before the datagram leaves. */
@@ -143,9 +143,9 @@
         y.zone = 0;
         Message m = lending(NOW, 2);
         assertTrue(y.mayLend(m, NOW, 0));
-        assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
+        assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
         y.lend(w, DispatcherState.Peer.whole(600_000), m, NOW);
-        assertEquals(false, w.cold.covers(250_000, NOW, 1, 8, 0.5), "it owes what is lent");
+        assertEquals(false, w.coldBudget.covers(250_000, NOW, 1, 8, 0.5), "it owes what is lent");
         assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two parts must differ in time");
         assertNotNull(Message.read(m.bytes(), NOW));
     }
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -153,7 +153,7 @@
     }
 
     private static void arrange(WorkerIndex fleet, WorkerOwnership homes) {
-        fleet.arrange(homes, false, KNOWN).forEach(w -> fleet.place(w, w.ours));
+        fleet.arrange(homes, false, KNOWN).forEach(w -> fleet.place(w, w.ownedLocally));
     }
 
     /** Whatever became of workers: as walks over the whole list find them. */
@@ -180,10 +180,10 @@
                     .toArray();
             BitSet served = BitSet.valueOf(new long[] {dice.nextInt(50) == 0 ? 2 : 3});
             boolean anew = (round / 50 & 1) == 0 && homes.hear(near, near, served) || round == 0;
-            fleet.arrange(homes, anew, KNOWN).forEach(w -> fleet.place(w, w.ours));
+            fleet.arrange(homes, anew, KNOWN).forEach(w -> fleet.place(w, w.ownedLocally));
             DispatcherState.Worker w = all.get(dice.nextInt(all.size()));
             w.suspect = !w.suspect;
-            fleet.place(w, w.ours);
+            fleet.place(w, w.ownedLocally);
             compare(fleet, homes, all);
         }
     }
@@ -210,14 +210,14 @@
         List<DispatcherState.Worker> here = List.of(fleet.ring[1]);
         int[] owners = homes.deal(fleet.ring[1]);
         for (int i = 0; i < owners.length; i++) {
-            assertEquals(owners[i], here.get(i).dealtTo);
+            assertEquals(owners[i], here.get(i).warmOwner);
         }
         List<DispatcherState.Worker> ours = here.stream().filter(homes::ours).toList();
         assertEquals(ours, List.of(fleet.ours));
         assertEquals(
                 ours,
                 all.stream()
-                        .filter(w -> w.ours)
+                        .filter(w -> w.ownedLocally)
                         .sorted(Comparator.comparing(sorted::indexOf))
                         .toList());
         assertEquals(ours.stream().filter(w -> w.coldSince != 0).toList(), List.copyOf(fleet.coldOurs()));
