--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -228,7 +228,7 @@
         return fits(j, w)
                 && free(w) >= j.request.slots()
                 && maySend(j, w)
-                && (w.coldSince == 0 || !j.broke && coldCovers(w, cost(j, w), heldSlots > 0));
+                && (w.coldSince == 0 || !j.resetDuringAttempt && coldCovers(w, cost(j, w), heldSlots > 0));
     }
 
     private boolean fits(Job j, Worker w) {
@@ -271,7 +271,7 @@
             Worker w = choose(j);
             if (w != null) {
                 sendTo(j, w);
-            } else if (j.tries > 0 || j.request.slots() > 1) {
+            } else if (j.attemptCount > 0 || j.request.slots() > 1) {
                 j.queue.moveTo(j, queues[j.request.jobClass()][BOUND]);
             } else {
                 blocked[j.request.jobClass()] = true;
@@ -297,7 +297,7 @@
                 if (j == null || blocked[c] || !kindOpen(j.spec.kind())) {
                     continue;
                 }
-                double score = overload ? j.spec.worth() / known.mean[c] : -(j.arrived + (double) slack(c));
+                double score = overload ? j.spec.worth() / known.mean[c] : -(j.arrivedAt + (double) slack(c));
                 if (best == null || score > bestScore) {
                     best = j;
                     bestScore = score;
@@ -312,9 +312,9 @@
 
     private void retireLate(int c, int rank) {
         Job j = queues[c][rank].head;
-        while (j != null && j.arrived + slack(c) < now) {
+        while (j != null && j.arrivedAt + slack(c) < now) {
             Job next = j.next;
-            boolean keep = j.inFlight > 0 || roomForLate() && j.spec.lateWorth() > 0;
+            boolean keep = j.attemptsInFlight > 0 || roomForLate() && j.spec.lateWorth() > 0;
             // no slot will be idle for more of them: an early refusal costs less than a late one
             if (keep) {
                 j.queue.moveTo(j, queues[c][LATE]);
@@ -386,7 +386,7 @@
             if (w != null
                     && y.enough(i, j.request.slots(), cost(j, w))
                     && fits(j, w)
-                    && (w.coldSince == 0 || y.lent[i] && !j.broke)
+                    && (w.coldSince == 0 || y.lent[i] && !j.resetDuringAttempt)
                     && !(w.suspect && now < w.nextTrialAt)
                     && maySend(j, w)) {
                 return i;
@@ -399,7 +399,7 @@
         if (w == null || !mayOpen) {
             return false;
         }
-        Attempt a = new Attempt(j, w, j.tries, now);
+        Attempt a = new Attempt(j, w, j.attemptCount, now);
         unhold(j);
         j.add(a);
         w.attempts.add(a);
@@ -696,10 +696,10 @@
         refresh(w);
         for (Attempt a : new ArrayList<>(w.attempts)) {
             Job j = a.job;
-            if (j.over
+            if (j.finished
                     || j.streaming
                     || j.spec.effect() == Effect.UNSAFE
-                    || j.tries >= s.maxAttempts()
+                    || j.attemptCount >= s.maxAttempts()
                     || a.cancelled
                     || now > j.request.validUntil() - 3 * TICK) {
                 continue;
@@ -755,7 +755,7 @@
     // ---- ends of attempts and requests ----
     private Attempt attempt(long id, int number) {
         Job j = jobs.get(id);
-        return j != null && number >= 0 && number < j.tries ? j.attempts[number] : null;
+        return j != null && number >= 0 && number < j.attemptCount ? j.attempts[number] : null;
     }
 
     @Override
@@ -767,7 +767,7 @@
                 a.worker.coldBudget.growth.started(now, a.sentAt);
             }
             a.startedAt = started ? now : a.startedAt;
-            a.lastNote = now;
+            a.lastProgressAt = now;
             sign(a.worker);
         }
     }
@@ -794,9 +794,9 @@
         Worker w = a.worker;
         a.ended = true;
         a.neverRan = outcome.neverRan;
-        a.failed = outcome == Outcome.ERROR;
-        j.broke |= outcome == Outcome.RESET;
-        j.inFlight--;
+        a.workerReportedError = outcome == Outcome.ERROR;
+        j.resetDuringAttempt |= outcome == Outcome.RESET;
+        j.attemptsInFlight--;
         w.attempts.remove(a);
         w.localSlots -= j.request.slots();
         observe(a, outcome, took);
@@ -805,13 +805,13 @@
         }
         refresh(w);
         tellLender(w);
-        if (j.over && j.inFlight == 0) {
+        if (j.finished && j.attemptsInFlight == 0) {
             jobs.remove(id);
         }
-        if (!j.over && over) {
+        if (!j.finished && over) {
             finish(j);
         }
-        if (!j.over && j.inFlight == 0) {
+        if (!j.finished && j.attemptsInFlight == 0) {
             again(j);
         }
         drain();
@@ -859,9 +859,9 @@
         if (j.queue != null) {
             return;
         }
-        boolean repeatable = j.spec.effect() != Effect.UNSAFE || j.nothingMayHaveRun();
+        boolean repeatable = j.spec.effect() != Effect.UNSAFE || j.provenNotRun();
         boolean can =
-                repeatable && j.tries < s.maxAttempts() && now < j.request.validUntil() - 3 * TICK && mayRepeat(j);
+                repeatable && j.attemptCount < s.maxAttempts() && now < j.request.validUntil() - 3 * TICK && mayRepeat(j);
         if (can) {
             hold(j, true);
         } else {
@@ -871,7 +871,7 @@
 
     /** Takes a repeat out of the budget, at once: many jobs may be held for it before any is sent. */
     private boolean mayRepeat(Job j) {
-        return j.nothingMayHaveRun() || repeats.take();
+        return j.provenNotRun() || repeats.take();
     }
 
     private void end(Job j) {
@@ -891,17 +891,17 @@
     }
 
     private void finish(Job j) {
-        j.over = true;
+        j.finished = true;
         unhold(j);
         // danger: what is over must not fill memory until its client would have left
         if (++goneByNow > 64 + leaving.size() / 2) {
-            leaving.removeIf(x -> x.over);
+            leaving.removeIf(x -> x.finished);
             goneByNow = 0;
         }
-        if (j.inFlight == 0) {
+        if (j.attemptsInFlight == 0) {
             jobs.remove(j.request.id());
         }
-        for (int i = 0; i < j.tries && !j.streaming; i++) {
+        for (int i = 0; i < j.attemptCount && !j.streaming; i++) {
             cancel(j.attempts[i]);
         }
     }
@@ -917,7 +917,7 @@
     public void clientGone(long clock, long id) {
         now = clock;
         Job j = jobs.get(id);
-        if (j != null && !j.over) {
+        if (j != null && !j.finished) {
             finish(j);
         }
     }
@@ -925,26 +925,26 @@
     // ---- the rules' guards ----
     private static boolean mayRefuse(Job j) {
         return j.spec.effect() == Effect.SAFE
-                || j.nothingMayHaveRun()
+                || j.provenNotRun()
                 || j.spec.effect() == Effect.KEYED && j.spec.group() == Group.ALL;
     }
 
     /** May the job be sent to this worker now? Every path passes here. */
     private boolean maySend(Job j, Worker w) {
-        if (j.over
+        if (j.finished
                 || j.streaming
-                || j.tries >= s.maxAttempts()
+                || j.attemptCount >= s.maxAttempts()
                 || w.state != WorkerState.IN_SERVICE
-                || j.inFlight > 0 && !s.parallel()) {
+                || j.attemptsInFlight > 0 && !s.parallel()) {
             return false;
         }
-        for (int i = 0; i < j.tries; i++) {
+        for (int i = 0; i < j.attemptCount; i++) {
             Attempt a = j.attempts[i];
             if (a.ended && a.neverRan) {
                 continue;
             }
             // danger: the worker that failed it has a free slot at once, and would get all its attempts
-            if (a.failed && a.worker == w && anotherFor(j, w)) {
+            if (a.workerReportedError && a.worker == w && anotherFor(j, w)) {
                 return false;
             }
             if (j.spec.effect() == Effect.UNSAFE || a.worker == w && !a.ended) {
@@ -1230,7 +1230,7 @@
     private void retryHeld() {
         for (int c = 0; c < queues.length; c++) {
             Job j = queues[c][IN_SHARE].head;
-            boolean pressed = j != null && now - j.arrived > slack(c) / 2;
+            boolean pressed = j != null && now - j.arrivedAt > slack(c) / 2;
             if (pressed && random.nextDouble() >= acceptance()) {
                 spill(j);
             }
@@ -1241,7 +1241,7 @@
     private void endLeaving() {
         while (!leaving.isEmpty() && leaving.peek().request.validUntil() <= now + 2 * TICK) {
             Job j = leaving.poll();
-            if (j.inFlight == 0 && !j.over) {
+            if (j.attemptsInFlight == 0 && !j.finished) {
                 end(j);
             } else {
                 unhold(j);
@@ -1265,9 +1265,9 @@
 
     /** Danger: an answer must not wait for the deadline when no worker of the job's group is left. */
     private boolean hopeless(Job j) {
-        return j.inFlight == 0
+        return j.attemptsInFlight == 0
                 && j.spec.effect() == Effect.KEYED
-                && !j.nothingMayHaveRun()
+                && !j.provenNotRun()
                 && fleet.all().stream().noneMatch(w -> maySend(j, w));
     }
 }
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -84,10 +84,10 @@
         final int number;
         final long sentAt;
         long startedAt;
-        long lastNote;
+        long lastProgressAt;
         boolean ended;
         boolean neverRan;
-        boolean failed; // the worker said so
+        boolean workerReportedError;
         boolean cancelled;
 
         Attempt(Job job, Worker worker, int number, long sentAt) {
@@ -99,7 +99,7 @@
     }
 
     static final class Job {
-        /** A class, since the class archive cannot hold what the library's combinators make at run time. */
+        /** A named class: the class data sharing archive cannot hold lambdas made by comparator combinators. */
         static final Comparator<Job> BY_DEADLINE = new Comparator<>() {
             @Override
             public int compare(Job a, Job b) {
@@ -110,37 +110,41 @@
 
         final Request request;
         final JobClass spec;
-        final long arrived;
+        final long arrivedAt;
         final boolean overShare;
         Attempt[] attempts = new Attempt[2];
-        int tries;
-        int inFlight;
-        boolean over;
+        int attemptCount;
+        int attemptsInFlight;
+        boolean finished;
         boolean streaming;
-        /** A worker broke under it: one of much work must not push cold ones over in turn. */
-        boolean broke;
+        /**
+         * A connection broke while a worker ran the job. The job may have been too much for it, so no cold worker gets
+         * it: a heavy job would overload one cold worker after the other.
+         */
+        boolean resetDuringAttempt;
 
         HeldQueue queue;
         Job next;
         Job previous;
 
-        Job(Request request, JobClass spec, long arrived, boolean overShare) {
+        Job(Request request, JobClass spec, long arrivedAt, boolean overShare) {
             this.request = request;
             this.spec = spec;
-            this.arrived = arrived;
+            this.arrivedAt = arrivedAt;
             this.overShare = overShare;
         }
 
-        void add(Attempt a) {
-            if (tries == attempts.length) {
-                attempts = Arrays.copyOf(attempts, 2 * tries);
+        void add(Attempt attempt) {
+            if (attemptCount == attempts.length) {
+                attempts = Arrays.copyOf(attempts, 2 * attemptCount);
             }
-            attempts[tries++] = a;
-            inFlight++;
+            attempts[attemptCount++] = attempt;
+            attemptsInFlight++;
         }
 
-        boolean nothingMayHaveRun() {
-            for (int i = 0; i < tries; i++) {
+        /** Whether every attempt has ended with proof that the worker did not run the job. */
+        boolean provenNotRun() {
+            for (int i = 0; i < attemptCount; i++) {
                 if (!attempts[i].ended || !attempts[i].neverRan) {
                     return false;
                 }
@@ -149,49 +153,49 @@
         }
     }
 
-    /** Held jobs of one class and rank, oldest first. */
+    /** Held jobs of one class and rank, oldest first; a doubly linked list through the jobs. */
     static final class HeldQueue {
         int slots;
         Job head;
         Job tail;
 
-        void add(Job j, boolean front) {
-            slots += j.request.slots();
-            j.queue = this;
-            j.next = front ? head : null;
-            j.previous = front ? null : tail;
-            if (j.previous != null) {
-                j.previous.next = j;
+        void add(Job job, boolean front) {
+            slots += job.request.slots();
+            job.queue = this;
+            job.next = front ? head : null;
+            job.previous = front ? null : tail;
+            if (job.previous != null) {
+                job.previous.next = job;
             } else {
-                head = j;
+                head = job;
             }
-            if (j.next != null) {
-                j.next.previous = j;
+            if (job.next != null) {
+                job.next.previous = job;
             } else {
-                tail = j;
+                tail = job;
             }
         }
 
-        void moveTo(Job j, HeldQueue other) {
-            remove(j);
-            other.add(j, false);
+        void moveTo(Job job, HeldQueue other) {
+            remove(job);
+            other.add(job, false);
         }
 
-        void remove(Job j) {
-            slots -= j.request.slots();
-            if (j.previous != null) {
-                j.previous.next = j.next;
+        void remove(Job job) {
+            slots -= job.request.slots();
+            if (job.previous != null) {
+                job.previous.next = job.next;
             } else {
-                head = j.next;
+                head = job.next;
             }
-            if (j.next != null) {
-                j.next.previous = j.previous;
+            if (job.next != null) {
+                job.next.previous = job.previous;
             } else {
-                tail = j.previous;
+                tail = job.previous;
             }
-            j.queue = null;
-            j.next = null;
-            j.previous = null;
+            job.queue = null;
+            job.next = null;
+            job.previous = null;
         }
     }
 
@@ -482,7 +486,7 @@
         private record Hold(Worker worker, int slots, long told) {}
     }
 
-    /** Jobs by request id, open addressing: no boxing, and nothing ever depends on its order. */
+    /** Jobs by request id: a hash table with linear probing, which needs no boxed keys. It is never iterated. */
     static final class JobMap {
         private Job[] slots = new Job[256];
         private int size;
@@ -502,26 +506,26 @@
             return null;
         }
 
-        void put(Job j) {
+        void put(Job job) {
             if (2 * ++size > slots.length) {
                 Job[] old = slots;
                 slots = new Job[2 * old.length];
-                for (Job o : old) {
-                    if (o != null) {
-                        insert(o);
+                for (Job existing : old) {
+                    if (existing != null) {
+                        insert(existing);
                     }
                 }
             }
-            insert(j);
+            insert(job);
         }
 
-        private void insert(Job j) {
+        private void insert(Job job) {
             int mask = slots.length - 1;
-            int i = home(j.request.id(), mask);
+            int i = home(job.request.id(), mask);
             while (slots[i] != null) {
                 i = i + 1 & mask;
             }
-            slots[i] = j;
+            slots[i] = job;
         }
 
         void remove(long id) {
--- a/src/main/java/saffronferry/Silence.java
+++ b/src/main/java/saffronferry/Silence.java
@@ -22,8 +22,8 @@
             long since = Math.max(a.sentAt, quietFrom);
             double m = known.mean[a.job.request.jobClass()] * Math.max(1, w.runningTimeRatio);
             nats += s.tellsStart() && a.startedAt == 0 && now - since > START_NOTICE ? NOTICE_NATS : 0;
-            boolean told = s.progressEvery() > 0 && a.lastNote > 0;
-            nats += told && now - a.lastNote > 3 * s.progressEvery() ? NO_PROGRESS_NATS : 0;
+            boolean told = s.progressEvery() > 0 && a.lastProgressAt > 0;
+            nats += told && now - a.lastProgressAt > 3 * s.progressEvery() ? NO_PROGRESS_NATS : 0;
             // a heavy tail is assumed: a long job alone proves little
             nats += 3 * Math.log((2 * m + now - a.sentAt) / (2 * m + since - a.sentAt));
         }
