--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -352,7 +352,7 @@
     // Danger: a draw among all neighbours of a large fleet meets one with nothing to give; the job is held
     // while slots that others offered pass. Who has none for it is no neighbour in this draw
     private double weight(Job j, Peer y) {
-        return isNeighbour(y) && y.p >= SPILL_P && offerFor(j, y) >= 0 ? drawWeight(p, y.r) : 0;
+        return isNeighbour(y) && y.acceptance >= SPILL_P && offerFor(j, y) >= 0 ? drawWeight(p, y.combinedAcceptance) : 0;
     }
 
     static double drawWeight(double p, double r) {
@@ -364,7 +364,7 @@
     }
 
     private boolean fresh(Peer y) {
-        return y.heard > 0 && now - y.heard <= y.horizon();
+        return y.lastHeardAt > 0 && now - y.lastHeardAt <= y.silenceTimeout();
     }
 
     /** A high P says that nobody waits, not that a slot is free: only a slot that y offered is used, once. */
@@ -373,20 +373,20 @@
         if (i < 0) {
             return null;
         }
-        y.use(i, j.request.slots(), cost(j, y.offers[i]));
-        y.offers[i].lender = y.number;
-        fleet.touch(y.offers[i]);
-        return y.offers[i];
+        y.consumeOffer(i, j.request.slots(), cost(j, y.offeredWorkers[i]));
+        y.offeredWorkers[i].lender = y.number;
+        fleet.touch(y.offeredWorkers[i]);
+        return y.offeredWorkers[i];
     }
 
     /** Which of y's offers the job may use, or -1. */
     private int offerFor(Job j, Peer y) {
-        for (int i = 0; i < y.offers.length && now - y.offeredAt < OFFER_LIFE; i++) {
-            Worker w = y.offers[i];
+        for (int i = 0; i < y.offeredWorkers.length && now - y.offeredAt < OFFER_LIFE; i++) {
+            Worker w = y.offeredWorkers[i];
             if (w != null
-                    && y.enough(i, j.request.slots(), cost(j, w))
+                    && y.offerCovers(i, j.request.slots(), cost(j, w))
                     && fits(j, w)
-                    && (w.coldSince == 0 || y.lent[i] && !j.resetDuringAttempt)
+                    && (w.coldSince == 0 || y.offeredAsBudget[i] && !j.resetDuringAttempt)
                     && !(w.suspect && now < w.nextTrialAt)
                     && maySend(j, w)) {
                 return i;
@@ -490,7 +490,7 @@
         m.at = now;
         m.cold = coldHere;
         if (coldHere || now < wordUntil) {
-            Peer.word(peers, shares, s.zone(), m);
+            Peer.attachMembership(peers, shares, s.zone(), m);
         }
         return m;
     }
@@ -532,7 +532,7 @@
     /** Danger: a word to each of many zones takes the place of those to our own. They hear us in turn. */
     private void tellNeighbours() {
         neighbour = 1 + neighbour % Math.max(1, s.zones() - 1);
-        Peer y = Peer.anyOf((s.zone() + neighbour) % s.zones(), peers, random.nextInt(peers.length));
+        Peer y = Peer.firstInZone((s.zone() + neighbour) % s.zones(), peers, random.nextInt(peers.length));
         if (y != null && y.zone != s.zone()) {
             tell(y.number, offers().undated());
         }
@@ -542,7 +542,7 @@
     private double notAccepting() {
         double product = 1;
         for (Peer y : peers) {
-            product *= isNeighbour(y) ? 1 - y.p : 1;
+            product *= isNeighbour(y) ? 1 - y.acceptance : 1;
         }
         return product;
     }
@@ -565,7 +565,7 @@
 
     /** Parts of what cold workers of ours can take, for one that asks; spent before they are told. */
     private Message lend(Peer y, Message m) {
-        double part = Peer.whole(known.longest());
+        double part = Peer.roundUpToBudgetUnits(known.longest());
         for (Worker w : y.mayLend(m, now, s.zone()) ? fleet.coldOurs() : List.<Worker>of()) {
             if (w.openIndex >= 0 && coldCovers(w, part, true)) {
                 y.lend(w, part, m, now);
@@ -576,10 +576,10 @@
 
     /** Danger: a cold worker's parts that nobody here waits for lie idle beside jobs held elsewhere. */
     private void giveBack(Peer y, boolean wanted) {
-        if (!y.lentInVain(wanted, now, OFFER_LIFE)) {
+        if (!y.hasUnusedLoan(wanted, now, OFFER_LIFE)) {
             return;
         }
-        tell(y.number, y.giveBack(message(Message.Type.RETURNS)));
+        tell(y.number, y.returnUnusedBudget(message(Message.Type.RETURNS)));
     }
 
     /** A job on a slot that another dispatcher fills: it must hear of it at once, and of its end. */
@@ -590,7 +590,7 @@
         Message m = message(Message.Type.BORROWS);
         m.add(w.hash, w.localSlots);
         tell(w.lender, m);
-        peers[w.lender].toldOfHold(now);
+        peers[w.lender].scheduleHoldsReport(now);
     }
 
     @Override
@@ -602,11 +602,11 @@
         }
         Peer y = peers[peer];
         // danger: a silence of days (one of us was stopped) must not count as the pace at which it speaks
-        if (y.heard > 0 && !fresh(y)) {
+        if (y.lastHeardAt > 0 && !fresh(y)) {
             y.forget(this::refresh);
         }
-        boolean stranger = y.heard == 0;
-        y.hear(m, now, MAX_PERIOD);
+        boolean stranger = y.lastHeardAt == 0;
+        y.recordMessage(m, now, MAX_PERIOD);
         if (m.cold && m.zone == s.zone()) {
             wordUntil = now + ColdShares.LEASE;
         } // our list may be late
@@ -617,19 +617,19 @@
         // a stranger may just have started: let it know us too
         if (stranger || asks && fleet.anyOpen()) {
             Message answer = asks ? lend(y, offers()) : offers();
-            tell(peer, stranger ? Peer.welcome(shares, answer) : answer);
+            tell(peer, stranger ? Peer.attachOtherZones(shares, answer) : answer);
         }
         Worker[] named = fleet.find(m.type == Message.Type.OFFERS ? y.zone : s.zone(), m); // whose workers
         if (m.type == Message.Type.OFFERS) {
             giveBack(y, false); // what it lent before makes room for what it offers now
-            y.offers(named, m, now, bornAt, OFFER_LIFE);
+            y.recordOffers(named, m, now, bornAt, OFFER_LIFE);
             offersUntil = y.zone == s.zone() && m.entries > 0 ? now + OFFER_LIFE : offersUntil;
         } else if (m.type == Message.Type.RETURNS) {
-            y.takeBack(named, m, now);
+            y.acceptReturnedBudget(named, m, now);
         } else if (m.type == Message.Type.HOLDS) {
-            y.holdsOnly(named, m.count, now, this::refresh);
+            y.replaceHolds(named, m.count, now, this::refresh);
         } else {
-            y.holds(named, m.count, now, this::refresh);
+            y.updateHolds(named, m.count, now, this::refresh);
         }
         r = 1 - (1 - p) * notAccepting();
         drain();
@@ -655,17 +655,17 @@
     /** A peer that fell silent (restart, cut, death) no longer holds slots here. */
     private void forgetSilentPeers() {
         for (Peer y : peers) {
-            if (y.heard > 0 && !fresh(y)) {
+            if (y.lastHeardAt > 0 && !fresh(y)) {
                 y.forget(this::refresh);
             }
-            y.dropOldHolds(now, this::refresh);
+            y.dropExpiredHolds(now, this::refresh);
         }
     }
 
     private void learnShares() {
-        Peer.Traffic t = Peer.traffic(peers, s.self(), s.zone(), rate);
-        share = t.ofZone();
-        trafficShare = t.ofAll();
+        Peer.TrafficShares traffic = Peer.trafficShares(peers, s.self(), s.zone(), rate);
+        share = traffic.ofZone();
+        trafficShare = traffic.ofFleet();
         zoneSlots = 0;
         // danger: who does not fill a worker would take it for cold for good, and use no slot offered there
         homesMark = fleet.warmUp(now - s.cold()) ? 0 : homesMark; // it goes from its guardian to its owner
@@ -1047,7 +1047,7 @@
         settled = now - bornAt > SETTLE || peers.length == 1;
         int mark = settled ? 1 : 0;
         for (Peer y : peers) {
-            if (y.heard > 0 && y.zone >= 0) {
+            if (y.lastHeardAt > 0 && y.zone >= 0) {
                 int how = y.zone + (shares.counts(y.number, now) ? 0 : 1 << 20);
                 mark = (int) DispatcherState.mix(mark, 1 + y.number * s.zones() + how);
             }
@@ -1064,7 +1064,7 @@
     /** Who has dispatchers, who of ours fills which worker, and what follows for those that change hands. */
     private void arrange() {
         int[] near = Arrays.stream(peers)
-                .filter(y -> y.number == s.self() || y.heard > 0 && y.zone == s.zone())
+                .filter(y -> y.number == s.self() || y.lastHeardAt > 0 && y.zone == s.zone())
                 .mapToInt(y -> y.number)
                 .toArray();
         BitSet served = new BitSet();
@@ -1080,7 +1080,7 @@
                 // its process took the jobs with it, or who fills it now hears of them: nobody will tell us
                 boolean elsewhere = !w.ownedLocally && peers[i].zone == s.zone();
                 if (elsewhere || w.state == WorkerState.GONE) {
-                    peers[i].hold(w, 0, now);
+                    peers[i].setHold(w, 0, now);
                 }
             }
             refresh(w);
@@ -1172,7 +1172,7 @@
         processes = other.equals(Beside.NOBODY) ? 1 : 2;
         repeats.share(processes);
         for (Worker w : fleet.all()) {
-            twin.hold(w, other.jobs().getOrDefault(w.address, 0), now);
+            twin.setHold(w, other.jobs().getOrDefault(w.address, 0), now);
             refresh(w);
         }
         drain();
@@ -1209,10 +1209,10 @@
         drain();
         for (Peer y : peers) {
             giveBack(y, heldSlots > 0);
-            if (!y.holdsDue(now)) {
+            if (!y.isHoldsReportDue(now)) {
                 continue;
             }
-            tell(y.number, y.holds(now, fleet.borrowed(), message(Message.Type.HOLDS)));
+            tell(y.number, y.addHoldsReport(now, fleet.borrowed(), message(Message.Type.HOLDS)));
         }
         placeBound();
         retryHeld();
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -14,10 +14,11 @@
 import saffronferry.fleet.Lent;
 import saffronferry.fleet.Loan;
 
-/** What the module remembers of workers, jobs and peers. Data only: {@link Dispatcher} decides. */
+/** The state of one dispatcher: workers, call attempts, jobs and peers. The decisions are {@link Dispatcher}'s. */
 final class DispatcherState {
     private DispatcherState() {}
 
+    /** Whether the two workers belong to one group, among which repeats of a keyed request are discarded. */
     static boolean sameGroup(Group group, Worker a, Worker b) {
         return switch (group) {
             case ALL -> true;
@@ -26,7 +27,7 @@
         };
     }
 
-    /** A hash of the pair that all dispatchers agree on. */
+    /** A hash of the pair; equal on all dispatchers, which must come to the same result independently. */
     static long mix(int a, int b) {
         long h = (a * 0x9E3779B97F4A7C15L) ^ (b * 0xC2B2AE3D27D4EB4FL);
         h = (h ^ h >>> 29) * 0xBF58476D1CE4E5B9L;
@@ -199,282 +200,305 @@
         }
     }
 
+    /** What a dispatcher knows of another one, and the slots and cold budgets that both have lent each other. */
     static final class Peer {
-        /** Two parts lent to one dispatcher are told apart by their time. */
-        private static final long LENT_APART = 5_000;
-        /** So often a lender is told of all our jobs on its workers, and for so long that counts. */
-        private static final long HOLDS_TOLD = 500_000;
-
-        private static final long HOLDS_KEPT = 1_600_000;
-        private static final int PERIODS_KEPT = 6; // messages get lost: a peer is silent only after these
+        /** Loans to one peer are told apart by their message's stamp, which has a resolution of 4 ms. */
+        private static final long MIN_LOAN_INTERVAL_US = 5_000;
+        /** How often a lender is told of all jobs on its slots while there are any. */
+        private static final long HOLDS_REPORT_INTERVAL_US = 500_000;
+        /** How long such a report counts: three may be lost in a row. */
+        private static final long HOLDS_LIFETIME_US = 1_600_000;
+        /** Datagrams get lost: only after so many missing ones is a peer taken for silent. */
+        private static final int MISSED_PERIODS_UNTIL_SILENT = 6;
 
         final int number;
         int zone = -1;
-        double p = 1;
-        double r = 1;
-        double rate;
-        long heard;
-        long gap;
+        /** P: the probability with which the peer accepts another request. */
+        double acceptance = 1;
+        /** R: the probability that the peer or one of its neighbours accepts another request. */
+        double combinedAcceptance = 1;
+
+        double requestRate;
+        long lastHeardAt; // 0: never, or forgotten
+        long messageInterval; // smoothed
         private final ArrayList<Hold> holds = new ArrayList<>();
-        Worker[] offers = new Worker[0];
-        int[] offered = new int[0];
-        private int[] offeredHash = new int[0]; // also of those not on our list: they go back too
-        boolean[] lent = new boolean[0]; // which of them are parts of a cold worker's budget
+        Worker[] offeredWorkers = new Worker[0]; // null for workers that are not on the list here
+        int[] offeredAmounts = new int[0];
+        private int[] offeredHashes = new int[0]; // also of workers not on the list: loans there are returned too
+        boolean[] offeredAsBudget = new boolean[0]; // whether the amount is a share of a cold worker's budget
         long offeredAt;
-        final Loan borrowed = new Loan(); // what it lent us
-        long lentTo; // when we lent it, by our clock
-        private final Lent out = new Lent();
-        long lentInAll; // slot time, since our start
-        long backInAll;
-        long borrowedInAll;
-        private long lentAt; // the stamp of what it lent us
-        private long holdsDue; // when to tell it next of all our jobs on its workers; 0: it knows
+        final Loan borrowedBudget = new Loan();
+        long nextLoanAt;
+        private final Lent lentBudget = new Lent();
+        long totalLentUs; // slot time, since this process started
+        long totalReturnedUs;
+        long totalBorrowedUs;
+        private long borrowedStamp;
+        private long nextHoldsReportAt; // when to report all jobs on this peer's workers; 0: nothing to report
 
         Peer(int number) {
             this.number = number;
         }
 
-        void hear(Message m, long now, long firstGap) {
-            zone = m.zone;
-            p = m.p;
-            r = m.r;
-            rate = m.rate;
-            gap = heard == 0 ? firstGap : Math.max(m.period, (3 * gap + now - heard) / 4);
-            heard = now;
+        void recordMessage(Message message, long now, long firstInterval) {
+            zone = message.zone;
+            acceptance = message.p;
+            combinedAcceptance = message.r;
+            requestRate = message.rate;
+            messageInterval = lastHeardAt == 0
+                    ? firstInterval
+                    : Math.max(message.period, (3 * messageInterval + now - lastHeardAt) / 4);
+            lastHeardAt = now;
         }
 
-        /** So long its silence means nothing; never less than what we have told others of it holds. */
-        long horizon() {
-            return Math.max(PERIODS_KEPT * gap, 2 * ColdShares.LEASE);
+        /**
+         * How long the peer may be silent before it counts as failed. At least two leases, so that a membership
+         * announcement, which stands for one lease, never names a peer that is forgotten meanwhile.
+         */
+        long silenceTimeout() {
+            return Math.max(MISSED_PERIODS_UNTIL_SILENT * messageInterval, 2 * ColdShares.LEASE);
         }
 
-        /** Tells whom of our zone we hear, ourselves included: only those we shall not forget for a lease. */
-        static void word(Peer[] peers, ColdShares shares, int zone, Message m) {
-            if (m.type != Message.Type.OFFERS) {
+        /**
+         * Adds to an offer which dispatchers of the zone are heard, this one included. Only those are named that will
+         * not be forgotten within the lease for which the announcement stands.
+         */
+        static void attachMembership(Peer[] peers, ColdShares shares, int zone, Message message) {
+            if (message.type != Message.Type.OFFERS) {
                 return;
             }
-            m.hears = new BitSet();
-            for (Peer y : peers) {
-                m.hears.set(
-                        y.number,
-                        shares.isSelf(y.number)
-                                || y.heard > 0 && y.zone == zone && m.at - y.heard <= y.horizon() - ColdShares.LEASE);
+            message.hears = new BitSet();
+            for (Peer peer : peers) {
+                message.hears.set(
+                        peer.number,
+                        shares.isSelf(peer.number)
+                                || peer.lastHeardAt > 0
+                                        && peer.zone == zone
+                                        && message.at - peer.lastHeardAt <= peer.silenceTimeout() - ColdShares.LEASE);
             }
-            m.word = shares.word(m.hears, m.at);
+            message.word = shares.word(message.hears, message.at);
         }
 
-        /** Tells one that may have just started who is of other zones; others know. */
-        static Message welcome(ColdShares shares, Message m) {
+        /** Adds which dispatchers are in other zones, for a peer that may have just started and doesn't know. */
+        static Message attachOtherZones(ColdShares shares, Message message) {
             BitSet others = shares.elsewhere();
-            // guards against a message that is too long: it is as full as it may be already
-            boolean fits = m.word != null && m.size() + 1 + (others.length() + 7) / 8 <= Message.MOST_BYTES;
-            m.elsewhere = others.isEmpty() || !fits ? null : others;
-            return m;
+            // left out where it would exceed the largest message, which offers may have filled already
+            boolean fits =
+                    message.word != null && message.size() + 1 + (others.length() + 7) / 8 <= Message.MOST_BYTES;
+            message.elsewhere = others.isEmpty() || !fits ? null : others;
+            return message;
         }
 
-        /** It is told of a job of ours, or of its end; that may be lost. */
-        void toldOfHold(long now) {
-            holdsDue = now + HOLDS_TOLD;
+        /** A job on this peer's slots was announced, or its end was; since the datagram may be lost, report again. */
+        void scheduleHoldsReport(long now) {
+            nextHoldsReportAt = now + HOLDS_REPORT_INTERVAL_US;
         }
 
-        boolean holdsDue(long now) {
-            return holdsDue != 0 && now >= holdsDue;
+        boolean isHoldsReportDue(long now) {
+            return nextHoldsReportAt != 0 && now >= nextHoldsReportAt;
         }
 
         /**
-         * Puts all that our jobs take on its workers into a message, for as long as there are any and once
-         * more: whoever has not heard of a job's end would count its slot as taken.
+         * Adds the slots that local jobs use on this peer's workers. Reported while there are any and once more with
+         * none: a lender that missed the end of a job would go on counting its slot as taken.
          */
-        Message holds(long now, Iterable<Worker> workers, Message m) {
-            for (Worker w : workers) {
-                if (w.lender == number && !w.ownedLocally && w.localSlots > 0) {
-                    m.add(w.hash, w.localSlots);
+        Message addHoldsReport(long now, Iterable<Worker> workers, Message message) {
+            for (Worker worker : workers) {
+                if (worker.lender == number && !worker.ownedLocally && worker.localSlots > 0) {
+                    message.add(worker.hash, worker.localSlots);
                 }
             }
-            holdsDue = m.entries == 0 ? 0 : now + HOLDS_TOLD;
-            return m;
+            nextHoldsReportAt = message.entries == 0 ? 0 : now + HOLDS_REPORT_INTERVAL_US;
+            return message;
         }
 
-        /** All that its jobs take on our workers: what it does not name has ended. */
-        void holdsOnly(Worker[] named, int[] slots, long now, Consumer<Worker> changed) {
-            holds(named, slots, now, changed);
+        /** Takes a full report of the slots that the peer's jobs use here: jobs at workers it omits have ended. */
+        void replaceHolds(Worker[] named, int[] slots, long now, Consumer<Worker> changed) {
+            updateHolds(named, slots, now, changed);
             for (int i = holds.size() - 1; i >= 0; i--) {
-                Worker w = holds.get(i).worker;
-                if (!Arrays.asList(named).contains(w)) {
-                    hold(w, 0, now);
-                    changed.accept(w);
+                Worker worker = holds.get(i).worker;
+                if (!Arrays.asList(named).contains(worker)) {
+                    setHold(worker, 0, now);
+                    changed.accept(worker);
                 }
             }
         }
 
-        /** Sets the slots that its jobs take at several workers; those not on our list are null. */
-        void holds(Worker[] named, int[] slots, long now, Consumer<Worker> changed) {
+        /** Sets the slots that the peer's jobs use at several workers; those not on the list here are null. */
+        void updateHolds(Worker[] named, int[] slots, long now, Consumer<Worker> changed) {
             for (int i = 0; i < named.length; i++) {
                 if (named[i] != null) {
-                    hold(named[i], slots[i], now);
+                    setHold(named[i], slots[i], now);
                     changed.accept(named[i]);
                 }
             }
         }
 
         void forget(Consumer<Worker> changed) {
-            heard = 0;
-            rate = 0;
-            offers = new Worker[0];
+            lastHeardAt = 0;
+            requestRate = 0;
+            offeredWorkers = new Worker[0];
             dropHolds(Long.MAX_VALUE, changed);
         }
 
         /**
-         * Takes what it offers. A lent part counts once and for a while, from when it was lent on: told
-         * twice, late, or to a process of ours that is gone, it is nothing.
+         * Takes the slots and budgets that the peer offers. A lent budget counts once and only for some time after it
+         * was lent: a message that is duplicated, late or meant for an earlier process lends nothing.
+         *
+         * @param processStartedAt start of this process, by the common clock
+         * @param lifetime how long a loan counts
          */
-        void offers(Worker[] named, Message m, long now, long bornAt, long life) {
-            boolean counts = m.word != null && borrowed.counts(m.at, now, bornAt, life);
-            offers = named;
-            offered = new int[named.length];
-            offeredHash = Arrays.copyOf(m.hash, named.length);
-            lent = new boolean[named.length];
+        void recordOffers(Worker[] named, Message message, long now, long processStartedAt, long lifetime) {
+            boolean counts = message.word != null && borrowedBudget.counts(message.at, now, processStartedAt, lifetime);
+            offeredWorkers = named;
+            offeredAmounts = new int[named.length];
+            offeredHashes = Arrays.copyOf(message.hash, named.length);
+            offeredAsBudget = new boolean[named.length];
             offeredAt = now;
             for (int i = 0; i < named.length; i++) {
-                lent[i] = m.lent(i);
-                offered[i] = lent[i] && !counts ? 0 : m.amount(i);
-                offeredAt = lent[i] ? Math.min(offeredAt, m.at) : offeredAt;
-                if (lent[i] && counts) {
-                    borrowed.taken(m.at);
-                    lentAt = m.at;
-                    borrowedInAll += (long) (offered[i] * Message.LENT_UNIT);
+                offeredAsBudget[i] = message.lent(i);
+                offeredAmounts[i] = offeredAsBudget[i] && !counts ? 0 : message.amount(i);
+                offeredAt = offeredAsBudget[i] ? Math.min(offeredAt, message.at) : offeredAt;
+                if (offeredAsBudget[i] && counts) {
+                    borrowedBudget.taken(message.at);
+                    borrowedStamp = message.at;
+                    totalBorrowedUs += (long) (offeredAmounts[i] * Message.LENT_UNIT);
                 }
             }
         }
 
-        /** Whether a message to it may lend parts: it asks, tells times, and was lent nothing just now. */
-        boolean mayLend(Message m, long now, int ourZone) {
-            return m.word != null && zone == ourZone && now > lentTo;
+        /** Whether a message to this peer may lend budget: it carries a stamp, and the last loan is not too recent. */
+        boolean mayLend(Message message, long now, int ownZone) {
+            return message.word != null && zone == ownZone && now > nextLoanAt;
         }
 
-        /** Lends it a part of a worker's budget: spent here before it is told, and so never spent twice. */
-        void lend(Worker w, double part, Message m, long now) {
-            w.coldBudget.spend(part);
-            out.lent(w.hash, m.at, part);
-            lentInAll += (long) part;
-            m.lend(w.hash, units(part));
-            lentTo = now + LENT_APART;
+        /** Lends a share of a worker's budget. It is spent here before it is sent, so it can't be spent twice. */
+        void lend(Worker worker, double share, Message message, long now) {
+            worker.coldBudget.spend(share);
+            lentBudget.lent(worker.hash, message.at, share);
+            totalLentUs += (long) share;
+            message.lend(worker.hash, toBudgetUnits(share));
+            nextLoanAt = now + MIN_LOAN_INTERVAL_US;
         }
 
-        /** Whether it lent us what nobody waits for, or what is no longer good. */
-        boolean lentInVain(boolean wanted, long now, long life) {
-            if (wanted && now - offeredAt < life) {
+        /** Whether the peer lent budget that no job here waits for, or that has expired. */
+        boolean hasUnusedLoan(boolean wanted, long now, long lifetime) {
+            if (wanted && now - offeredAt < lifetime) {
                 return false;
             }
-            for (int i = 0; i < offers.length; i++) {
-                if (lent[i] && offered[i] > 0) {
+            for (int i = 0; i < offeredWorkers.length; i++) {
+                if (offeredAsBudget[i] && offeredAmounts[i] > 0) {
                     return true;
                 }
             }
             return false;
         }
 
-        /** Gives back what is left of what it lent us: ours no more before it is told. */
-        Message giveBack(Message m) {
-            m.at = lentAt;
-            for (int i = 0; i < offers.length; i++) {
-                if (lent[i] && offered[i] > 0) {
-                    m.giveBack(offeredHash[i], offered[i]);
-                    offered[i] = 0;
+        /** Returns what is left of the borrowed budget. It is given up here before the message is sent. */
+        Message returnUnusedBudget(Message message) {
+            message.at = borrowedStamp;
+            for (int i = 0; i < offeredWorkers.length; i++) {
+                if (offeredAsBudget[i] && offeredAmounts[i] > 0) {
+                    message.giveBack(offeredHashes[i], offeredAmounts[i]);
+                    offeredAmounts[i] = 0;
                 }
             }
-            return m;
+            return message;
         }
 
-        /** What it has given back of what we lent it; those not on our list are null. */
-        void takeBack(Worker[] named, Message m, long now) {
+        /** Takes back budget that the peer borrowed and returns; workers not on the list here are null. */
+        void acceptReturnedBudget(Worker[] named, Message message, long now) {
             for (int i = 0; i < named.length; i++) {
                 if (named[i] != null) {
-                    double back = out.back(m.hash[i], m.at, m.amount(i) * Message.LENT_UNIT, now);
-                    named[i].coldBudget.back(back);
-                    backInAll += (long) back;
+                    double returned = lentBudget.back(
+                            message.hash[i], message.at, message.amount(i) * Message.LENT_UNIT, now);
+                    named[i].coldBudget.back(returned);
+                    totalReturnedUs += (long) returned;
                 }
             }
         }
 
-        /** So much work, rounded up to what a message can say. */
-        static double whole(double work) {
-            return units(work) * Message.LENT_UNIT;
+        /** Rounds slot time up to whole units, in which messages transfer budget. */
+        static double roundUpToBudgetUnits(double slotTimeUs) {
+            return toBudgetUnits(slotTimeUs) * Message.LENT_UNIT;
         }
 
-        /** Whether an offer is enough for a job of so many slots and that much work. */
-        boolean enough(int i, int slots, double work) {
-            return offers[i] != null && offered[i] >= (lent[i] ? units(work) : slots);
+        /** Whether an offer is enough for a job of so many slots that is expected to take that slot time. */
+        boolean offerCovers(int offer, int slots, double slotTimeUs) {
+            return offeredWorkers[offer] != null
+                    && offeredAmounts[offer] >= (offeredAsBudget[offer] ? toBudgetUnits(slotTimeUs) : slots);
         }
 
-        /** The job is sent on that offer. */
-        void use(int i, int slots, double work) {
-            offered[i] -= lent[i] ? units(work) : slots;
+        /** Deducts a job that is sent on an offer. */
+        void consumeOffer(int offer, int slots, double slotTimeUs) {
+            offeredAmounts[offer] -= offeredAsBudget[offer] ? toBudgetUnits(slotTimeUs) : slots;
         }
 
-        static int units(double work) {
-            return (int) Math.ceil(work / Message.LENT_UNIT);
+        static int toBudgetUnits(double slotTimeUs) {
+            return (int) Math.ceil(slotTimeUs / Message.LENT_UNIT);
         }
 
-        /** Our part of the traffic of our zone, and of all: of those whom we hear, ourselves included. */
-        record Traffic(double ofZone, double ofAll) {}
+        /** This dispatcher's share of the traffic of its zone and of the fleet, out of the dispatchers it hears. */
+        record TrafficShares(double ofZone, double ofFleet) {}
 
-        static Traffic traffic(Peer[] peers, int self, int ourZone, double rate) {
-            double zone = rate;
-            double all = rate;
+        static TrafficShares trafficShares(Peer[] peers, int self, int ownZone, double rate) {
+            double zoneRate = rate;
+            double fleetRate = rate;
             int heard = 1;
-            int near = 1;
-            for (Peer y : peers) {
-                if (y.heard > 0 && y.number != self) {
+            int heardInZone = 1;
+            for (Peer peer : peers) {
+                if (peer.lastHeardAt > 0 && peer.number != self) {
                     heard++;
-                    near += y.zone == ourZone ? 1 : 0;
-                    all += y.rate;
-                    zone += y.zone == ourZone ? y.rate : 0;
+                    heardInZone += peer.zone == ownZone ? 1 : 0;
+                    fleetRate += peer.requestRate;
+                    zoneRate += peer.zone == ownZone ? peer.requestRate : 0;
                 }
             }
-            // where nobody has traffic: even parts
-            return new Traffic(
-                    zone > 0 ? rate / zone : 1.0 / near,
-                    heard * 2 > peers.length && all > 0 ? rate / all * heard / peers.length : 1.0 / peers.length);
+            // equal shares where there is no traffic
+            return new TrafficShares(
+                    zoneRate > 0 ? rate / zoneRate : 1.0 / heardInZone,
+                    heard * 2 > peers.length && fleetRate > 0
+                            ? rate / fleetRate * heard / peers.length
+                            : 1.0 / peers.length);
         }
 
-        /** The first peer of the zone from a place in the list on, or null. */
-        static Peer anyOf(int zone, Peer[] peers, int from) {
+        /** The first peer of the zone, searching the array from an index on and round its end; or null. */
+        static Peer firstInZone(int zone, Peer[] peers, int from) {
             for (int i = 0; i < peers.length; i++) {
-                Peer y = peers[(from + i) % peers.length];
-                if (y.zone == zone) {
-                    return y;
+                Peer peer = peers[(from + i) % peers.length];
+                if (peer.zone == zone) {
+                    return peer;
                 }
             }
             return null;
         }
 
-        /** Sets the slots that its jobs take at a worker. */
-        void hold(Worker w, int slots, long now) {
-            int at = 0;
-            while (at < holds.size() && holds.get(at).worker != w) {
-                at++;
+        /** Sets the slots that the peer's jobs use at a worker. */
+        void setHold(Worker worker, int slots, long now) {
+            int index = 0;
+            while (index < holds.size() && holds.get(index).worker != worker) {
+                index++;
             }
-            if (at < holds.size()) {
-                w.peerSlots -= holds.remove(at).slots;
+            if (index < holds.size()) {
+                worker.peerSlots -= holds.remove(index).slots;
             }
             if (slots > 0) {
-                holds.add(new Hold(w, slots, now));
-                w.peerSlots += slots;
+                holds.add(new Hold(worker, slots, now));
+                worker.peerSlots += slots;
             }
         }
 
         /**
-         * Drops what was told too long ago to be true: it is told anew while it holds. Word that a job has
-         * ended may be lost: without this the slot would count as taken for good.
+         * Drops holds that have not been reported again in time. The message that a job has ended may be lost; without
+         * this its slot would count as taken for good.
          */
-        void dropOldHolds(long now, Consumer<Worker> changed) {
-            dropHolds(now - HOLDS_KEPT, changed);
+        void dropExpiredHolds(long now, Consumer<Worker> changed) {
+            dropHolds(now - HOLDS_LIFETIME_US, changed);
         }
 
-        private void dropHolds(long before, Consumer<Worker> changed) {
+        private void dropHolds(long reportedBefore, Consumer<Worker> changed) {
             for (int i = holds.size() - 1; i >= 0; i--) {
-                if (holds.get(i).told < before) {
+                if (holds.get(i).reportedAt < reportedBefore) {
                     Hold dropped = holds.remove(i);
                     dropped.worker.peerSlots -= dropped.slots;
                     changed.accept(dropped.worker);
@@ -482,8 +506,8 @@
             }
         }
 
-        /** Slots that its jobs take at a worker, and when it said so. */
-        private record Hold(Worker worker, int slots, long told) {}
+        /** Slots that the peer's jobs use at a worker, and when it last reported them. */
+        private record Hold(Worker worker, int slots, long reportedAt) {}
     }
 
     /** Jobs by request id: a hash table with linear probing, which needs no boxed keys. It is never iterated. */
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -139,11 +139,11 @@
         long borrowed = 0;
         for (Peer y : peers) {
             boolean self = shares.isSelf(y.number);
-            heard += self || y.heard > 0 ? 1 : 0;
-            counted += self || y.heard > 0 && y.zone == zone && shares.counts(y.number, now) ? 1 : 0;
-            lent += y.lentInAll;
-            back += y.backInAll;
-            borrowed += y.borrowedInAll;
+            heard += self || y.lastHeardAt > 0 ? 1 : 0;
+            counted += self || y.lastHeardAt > 0 && y.zone == zone && shares.counts(y.number, now) ? 1 : 0;
+            lent += y.totalLentUs;
+            back += y.totalReturnedUs;
+            borrowed += y.totalBorrowedUs;
         }
         int guarded = coldOurs.size();
         double part = 0;
--- a/src/test/java/saffronferry/MessageTest.java
+++ b/src/test/java/saffronferry/MessageTest.java
@@ -83,13 +83,13 @@
             new Case("from the future", NOW + 300_000, 0, 0, false)
         }) {
             DispatcherState.Peer y = new DispatcherState.Peer(1);
-            y.borrowed.taken(c.lentBefore);
+            y.borrowedBudget.taken(c.lentBefore);
             Message m = Message.read(lending(c.at, 2).bytes(), NOW);
-            y.offers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
-            assertEquals(c.counts, y.enough(0, 1, 600_000), c.name);
+            y.recordOffers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
+            assertEquals(c.counts, y.offerCovers(0, 1, 600_000), c.name);
             if (c.counts) {
-                y.use(0, 1, 600_000);
-                assertEquals(false, y.enough(0, 1, 600_000), "spent");
+                y.consumeOffer(0, 1, 600_000);
+                assertEquals(false, y.offerCovers(0, 1, 600_000), "spent");
             }
         }
     }
@@ -100,12 +100,12 @@
         DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
         DispatcherState.Peer lender = new DispatcherState.Peer(0);
         Message offer = lending(NOW, 2);
-        lender.offers(new DispatcherState.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
-        assertTrue(!lender.lentInVain(true, NOW + 399_000, 400_000) && lender.lentInVain(true, NOW + 400_000, 400_000));
-        assertTrue(lender.lentInVain(false, NOW, 400_000), "nobody waits");
-        byte[] bytes = lender.giveBack(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
+        lender.recordOffers(new DispatcherState.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
+        assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000) && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
+        assertTrue(lender.hasUnusedLoan(false, NOW, 400_000), "nobody waits");
+        byte[] bytes = lender.returnUnusedBudget(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
                 .bytes();
-        assertTrue(!lender.lentInVain(false, NOW, 400_000) && !lender.enough(0, 1, 1), "ours no more once it is told");
+        assertTrue(!lender.hasUnusedLoan(false, NOW, 400_000) && !lender.offerCovers(0, 1, 1), "ours no more once it is told");
         for (int cut = 0; cut < bytes.length; cut++) {
             Message.read(Arrays.copyOf(bytes, cut), NOW);
         }
@@ -144,7 +144,7 @@
         Message m = lending(NOW, 2);
         assertTrue(y.mayLend(m, NOW, 0));
         assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
-        y.lend(w, DispatcherState.Peer.whole(600_000), m, NOW);
+        y.lend(w, DispatcherState.Peer.roundUpToBudgetUnits(600_000), m, NOW);
         assertEquals(false, w.coldBudget.covers(250_000, NOW, 1, 8, 0.5), "it owes what is lent");
         assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two parts must differ in time");
         assertNotNull(Message.read(m.bytes(), NOW));
