--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -68,7 +68,7 @@
     private final Settings s;
     private final Actions out;
     private final SplittableRandom random;
-    private final WorkerIndex fleet;
+    private final WorkerIndex workerIndex;
     private final JobMap jobs = new JobMap();
     private final HeldQueue[][] queues; // by class and rank
     private final PriorityQueue<Job> leaving = new PriorityQueue<>(Job.BY_DEADLINE);
@@ -83,7 +83,7 @@
     private final TalkBudget talk;
     private final CallPace calls;
     private final ColdShares shares;
-    private final WorkerOwnership homes;
+    private final WorkerOwnership ownership;
     private final ColdRate coldRate;
     private int processes = 1; // of this dispatcher: budgets are for both together
     private int heldSlots, arrivals, homesMark, turn, neighbour, probeTurn, checkTurn, goneByNow;
@@ -96,7 +96,7 @@
         s = settings;
         out = actions;
         random = new SplittableRandom(settings.seed());
-        fleet = new WorkerIndex(settings.zones(), settings.kinds(), settings.zone());
+        workerIndex = new WorkerIndex(settings.zones(), settings.kinds(), settings.zone());
         heardIn = new long[settings.zones()];
         queues = new HeldQueue[settings.classes().size()][];
         for (int c = 0; c < queues.length; c++) {
@@ -110,7 +110,7 @@
             peers[i] = new Peer(i);
         }
         shares = new ColdShares(settings.self(), settings.peers());
-        homes = new WorkerOwnership(settings.zones(), settings.zone(), shares);
+        ownership = new WorkerOwnership(settings.zones(), settings.zone(), shares);
         coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
         repeats = new RepeatBudget(settings.peers());
         calls = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
@@ -205,15 +205,15 @@
         Worker best = null;
         double bestScore = 0;
         // danger: deaf ones take all warm workers for free; a cold one, seldom asked, would stay idle
-        for (Worker w : fleet.coldOurs()) {
+        for (Worker w : workerIndex.coldOwned()) {
             if (w.openIndex >= 0 && w.coldBudget.small() && usable(j, w)) {
                 return w;
             }
         }
-        for (int k = 0; k < fleet.groups(); k++) {
-            int n = j.spec.kind() < 0 || j.spec.kind() == k ? fleet.openIn(k) : 0;
+        for (int k = 0; k < workerIndex.kindGroups(); k++) {
+            int n = j.spec.kind() < 0 || j.spec.kind() == k ? workerIndex.openCount(k) : 0;
             for (int i = 0; i < Math.min(n, SAMPLE); i++) {
-                Worker w = fleet.open(k, n <= SAMPLE ? i : random.nextInt(n));
+                Worker w = workerIndex.openWorker(k, n <= SAMPLE ? i : random.nextInt(n));
                 double score = free(w) - w.runningTimeRatio + random.nextDouble() * 0.2 - (w.zone == s.zone() ? 0 : 100);
                 if ((best == null || score > bestScore) && usable(j, w)) {
                     best = w;
@@ -238,12 +238,12 @@
     /** Danger: held on, a job too large for any worker would drive P to 0 and end our offers. */
     private boolean fitsNowhere(Job j) {
         int all = 0;
-        for (int k = 0; k < fleet.groups(); k++) {
+        for (int k = 0; k < workerIndex.kindGroups(); k++) {
             boolean fits = known.weight[k] == 0 || 2 * known.ours(k) >= j.request.slots();
-            if (fleet.present(k) > 0 && fits && (j.spec.kind() < 0 || j.spec.kind() == k)) {
+            if (workerIndex.presentCount(k) > 0 && fits && (j.spec.kind() < 0 || j.spec.kind() == k)) {
                 return false;
             }
-            all += fleet.present(k);
+            all += workerIndex.presentCount(k);
         }
         return all > 0;
     }
@@ -280,7 +280,7 @@
     }
 
     private boolean kindOpen(int kind) {
-        return fleet.open(kind) || now < offersUntil;
+        return workerIndex.hasOpen(kind) || now < offersUntil;
     }
 
     /** Best rank first; in it the earliest latest start, or in overload the most worth a second. */
@@ -349,7 +349,7 @@
         return false;
     }
 
-    // Danger: a draw among all neighbours of a large fleet meets one with nothing to give; the job is held
+    // Danger: a draw among all neighbours of a large workerIndex meets one with nothing to give; the job is held
     // while slots that others offered pass. Who has none for it is no neighbour in this draw
     private double weight(Job j, Peer y) {
         return isNeighbour(y) && y.acceptance >= SPILL_P && offerFor(j, y) >= 0 ? drawWeight(p, y.combinedAcceptance) : 0;
@@ -375,7 +375,7 @@
         }
         y.consumeOffer(i, j.request.slots(), cost(j, y.offeredWorkers[i]));
         y.offeredWorkers[i].lender = y.number;
-        fleet.touch(y.offeredWorkers[i]);
+        workerIndex.markChanged(y.offeredWorkers[i]);
         return y.offeredWorkers[i];
     }
 
@@ -436,7 +436,7 @@
         }
         w.usedSlotsAtUpdate = taken;
         w.usedSlotsUpdatedAt = now;
-        fleet.place(w, w.ownedLocally && w.state == WorkerState.IN_SERVICE && !w.suspect && free(w) >= 1);
+        workerIndex.updateIndexes(w, w.ownedLocally && w.state == WorkerState.IN_SERVICE && !w.suspect && free(w) >= 1);
     }
 
     private void learn(Worker w, Report report) {
@@ -458,8 +458,8 @@
     }
 
     private void probeSome() {
-        for (int i = 0; i < 4 && probing && probeCredit >= 1 && fleet.owned() > 0; i++) {
-            Worker w = fleet.own(Math.floorMod(probeTurn++, fleet.owned()));
+        for (int i = 0; i < 4 && probing && probeCredit >= 1 && workerIndex.ownedCount() > 0; i++) {
+            Worker w = workerIndex.ownedWorker(Math.floorMod(probeTurn++, workerIndex.ownedCount()));
             if (w.state == WorkerState.IN_SERVICE && now - w.lastProbeAt > MAX_PERIOD) {
                 w.lastProbeAt = now - random.nextLong(MAX_PERIOD / 4);
                 probeCredit -= 1;
@@ -471,7 +471,7 @@
     @Override
     public void probed(long clock, String address, Outcome outcome, Report report) {
         now = clock;
-        Worker w = fleet.get(address);
+        Worker w = workerIndex.get(address);
         if (w != null && outcome == Outcome.CONNECT_FAILED) {
             broken(w, false);
         }
@@ -514,7 +514,7 @@
 
     /** The next so many peers of our zone, before others those that have cold workers' budgets to lend. */
     private void tellZone(int most, Message m) {
-        int[] first = fleet.guardians(shares, coldHere ? Math.max(most - 1, LEAST_FAN) : 0, ticks);
+        int[] first = workerIndex.guardians(shares, coldHere ? Math.max(most - 1, LEAST_FAN) : 0, ticks);
         for (int guardian : first) {
             tell(guardian, m);
         }
@@ -551,9 +551,9 @@
     private Message offers() {
         Message m = message(Message.Type.OFFERS);
         Worker last = null;
-        for (int k = 0; k < fleet.groups() && heldSlots == 0; k++) {
-            for (int i = 0; i < Math.min(fleet.openIn(k), 3); i++) {
-                Worker w = fleet.open(k, random.nextInt(fleet.openIn(k)));
+        for (int k = 0; k < workerIndex.kindGroups() && heldSlots == 0; k++) {
+            for (int i = 0; i < Math.min(workerIndex.openCount(k), 3); i++) {
+                Worker w = workerIndex.openWorker(k, random.nextInt(workerIndex.openCount(k)));
                 if (w.coldSince == 0 && w != last && w.failedTrials == 0) {
                     m.add(w.hash, (int) (free(w) + 1) / 2);
                     last = w;
@@ -566,7 +566,7 @@
     /** Parts of what cold workers of ours can take, for one that asks; spent before they are told. */
     private Message lend(Peer y, Message m) {
         double part = Peer.roundUpToBudgetUnits(known.longest());
-        for (Worker w : y.mayLend(m, now, s.zone()) ? fleet.coldOurs() : List.<Worker>of()) {
+        for (Worker w : y.mayLend(m, now, s.zone()) ? workerIndex.coldOwned() : List.<Worker>of()) {
             if (w.openIndex >= 0 && coldCovers(w, part, true)) {
                 y.lend(w, part, m, now);
             }
@@ -615,11 +615,11 @@
         // a message that offers nothing while P is below one asks: who has a free slot answers with an offer
         boolean asks = m.type == Message.Type.OFFERS && m.entries == 0 && m.p < 1 && heldSlots == 0;
         // a stranger may just have started: let it know us too
-        if (stranger || asks && fleet.anyOpen()) {
+        if (stranger || asks && workerIndex.hasOpen()) {
             Message answer = asks ? lend(y, offers()) : offers();
             tell(peer, stranger ? Peer.attachOtherZones(shares, answer) : answer);
         }
-        Worker[] named = fleet.find(m.type == Message.Type.OFFERS ? y.zone : s.zone(), m); // whose workers
+        Worker[] named = workerIndex.find(m.type == Message.Type.OFFERS ? y.zone : s.zone(), m); // whose workers
         if (m.type == Message.Type.OFFERS) {
             giveBack(y, false); // what it lent before makes room for what it offers now
             y.recordOffers(named, m, now, bornAt, OFFER_LIFE);
@@ -668,17 +668,17 @@
         trafficShare = traffic.ofFleet();
         zoneSlots = 0;
         // danger: who does not fill a worker would take it for cold for good, and use no slot offered there
-        homesMark = fleet.warmUp(now - s.cold()) ? 0 : homesMark; // it goes from its guardian to its owner
-        coldHere = fleet.anyCold();
-        for (int k = 0; k < fleet.groups(); k++) {
-            zoneSlots += fleet.counted(k) * known.ours(k);
+        homesMark = workerIndex.promoteWarm(now - s.cold()) ? 0 : homesMark; // it goes from its guardian to its owner
+        coldHere = workerIndex.hasCold();
+        for (int k = 0; k < workerIndex.kindGroups(); k++) {
+            zoneSlots += workerIndex.availableCount(k) * known.ours(k);
         }
     }
 
     // ---- health ----
     private void checkHealth() {
-        int step = Math.min(fleet.owned(), 1 + fleet.owned() / 8);
-        for (Worker w : fleet.watched(checkTurn, step)) {
+        int step = Math.min(workerIndex.ownedCount(), 1 + workerIndex.ownedCount() / 8);
+        for (Worker w : workerIndex.watched(checkTurn, step)) {
             if (w.suspect && w.attempts.isEmpty() && now >= w.nextTrialAt) {
                 clear(w, w.failedTrials);
             }
@@ -717,7 +717,7 @@
         w.failedTrials = next(w.failedTrials);
     }
 
-    // Danger: what all of a fleet, or all refused at once, wait equally long for comes back in step, for ever
+    // Danger: what all of a workerIndex, or all refused at once, wait equally long for comes back in step, for ever
     private long spread(long least) {
         return least + random.nextLong(least / 4 + 1);
     }
@@ -959,7 +959,7 @@
     }
 
     private boolean anotherFor(Job j, Worker w) {
-        for (Worker x : fleet.here()) {
+        for (Worker x : workerIndex.inOwnZone()) {
             if (x != w
                     && x.state == WorkerState.IN_SERVICE
                     && !x.suspect
@@ -985,7 +985,7 @@
     }
 
     private void chill(long start, Worker w) {
-        fleet.chill(w, start);
+        workerIndex.markCold(w, start);
         coldHere = true;
         homesMark = 0;
     }
@@ -998,7 +998,7 @@
         begun = true;
         boolean changed = kind != ListKind.CHANGES; // what a whole list does not name is gone
         if (changed) {
-            fleet.goneAll();
+            workerIndex.markAllGone();
         }
         for (WorkerInfo e : entries) {
             changed |= take(e, first);
@@ -1015,11 +1015,11 @@
     }
 
     private boolean take(WorkerInfo e, boolean first) {
-        Worker w = fleet.get(e.address());
+        Worker w = workerIndex.get(e.address());
         boolean fresh = w == null;
         if (fresh) {
             w = new Worker(e.address(), e.kind());
-            fleet.add(w);
+            workerIndex.add(w);
         }
         boolean moved = fresh || w.state != e.state() || w.zone != e.zone();
         w.zone = e.zone();
@@ -1033,7 +1033,7 @@
             w.failedTrials = 0;
         }
         if (moved) {
-            fleet.touch(w);
+            workerIndex.markChanged(w);
         }
         return moved;
     }
@@ -1072,9 +1072,9 @@
             served.set(z, !settled || served(z));
         }
         int[] counted = Arrays.stream(near).filter(y -> shares.counts(y, now)).toArray();
-        for (Worker w : fleet.arrange(homes, homes.hear(near, counted, served), known)) {
+        for (Worker w : workerIndex.reassign(ownership, ownership.update(near, counted, served), known)) {
             if (w.assignedZone == s.zone()) {
-                own(w, homes.owner(w));
+                own(w, ownership.owner(w));
             }
             for (int i = 0; w.peerSlots > 0 && i < peers.length; i++) {
                 // its process took the jobs with it, or who fills it now hears of them: nobody will tell us
@@ -1101,13 +1101,13 @@
         bornAt = now;
         learnHomes();
         learnShares();
-        // a random phase: timers of a fleet that starts together must not run in step
+        // a random phase: timers of a workerIndex that starts together must not run in step
         nextExchange = now + random.nextLong(MIN_PERIOD);
         for (Peer y : peers) {
             tell(y.number, message(Message.Type.OFFERS));
         }
         out.timer(TICK_TOKEN, 1 + random.nextLong(TICK));
-        probeCredit = Math.min(12, fleet.owned());
+        probeCredit = Math.min(12, workerIndex.ownedCount());
         for (int i = 0; i < 3; i++) {
             probeTurn = random.nextInt(1 << 20);
             probeSome();
@@ -1139,8 +1139,8 @@
         }
     }
 
-    long looks() {
-        return fleet.looks();
+    long workerLookups() {
+        return workerIndex.lookups();
     }
 
     @Override
@@ -1151,18 +1151,18 @@
 
     @Override
     public int avoided() {
-        return fleet.avoided();
+        return workerIndex.avoided();
     }
 
     @Override
     public Sharing sharing() {
-        return fleet.sharing(peers, shares, now);
+        return workerIndex.sharing(peers, shares, now);
     }
 
     // ---- another process of this dispatcher, to replace or to be replaced by ----
     @Override
     public Beside beside() {
-        return new Beside(fleet.jobs(), known.told());
+        return new Beside(workerIndex.localSlotsByAddress(), known.told());
     }
 
     @Override
@@ -1171,7 +1171,7 @@
         known.take(other.learned());
         processes = other.equals(Beside.NOBODY) ? 1 : 2;
         repeats.share(processes);
-        for (Worker w : fleet.all()) {
+        for (Worker w : workerIndex.all()) {
             twin.setHold(w, other.jobs().getOrDefault(w.address, 0), now);
             refresh(w);
         }
@@ -1201,7 +1201,7 @@
             learnHomes();
             learnShares();
         }
-        for (Worker w : fleet.coldOurs()) {
+        for (Worker w : workerIndex.coldOwned()) {
             coldCovers(w, 0, heldSlots > 0);
         }
         checkHealth();
@@ -1212,7 +1212,7 @@
             if (!y.isHoldsReportDue(now)) {
                 continue;
             }
-            tell(y.number, y.addHoldsReport(now, fleet.borrowed(), message(Message.Type.HOLDS)));
+            tell(y.number, y.addHoldsReport(now, workerIndex.borrowed(), message(Message.Type.HOLDS)));
         }
         placeBound();
         retryHeld();
@@ -1268,6 +1268,6 @@
         return j.attemptsInFlight == 0
                 && j.spec.effect() == Effect.KEYED
                 && !j.provenNotRun()
-                && fleet.all().stream().noneMatch(w -> maySend(j, w));
+                && workerIndex.all().stream().noneMatch(w -> maySend(j, w));
     }
 }
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -11,518 +11,529 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import saffronferry.Contract.WorkerState;
 import saffronferry.DispatcherState.Peer;
 import saffronferry.DispatcherState.Worker;
-import saffronferry.Contract.WorkerState;
 import saffronferry.fleet.ColdShares;
 import saffronferry.fleet.Sharing;
 
-/** The workers, in the groups in which the module looks them up. Data only: it decides who belongs where. */
+/**
+ * The known workers, indexed by zone, owner, kind and state, so that frequent events look at few of them however long
+ * the list is. It keeps the indexes only; {@link WorkerOwnership} says which zone and dispatcher a worker belongs to.
+ */
 final class WorkerIndex {
-    /** As many known workers cost little; beyond, those that are gone are forgotten. */
-    private static final int MANY = 1024;
+    /** From this number of known workers on, those that are gone are forgotten. */
+    private static final int FORGET_GONE_FROM_WORKERS = 1024;
 
     final HashMap<String, Worker> byAddress = new HashMap<>();
-    /** For each zone its workers, adopted ones included, by their hashes: the same order everywhere. */
-    final Worker[][] ring;
-    /** Of these, the workers that this dispatcher owns. */
-    Worker[] ours = new Worker[0];
-    /** Cold workers, and of these the ones of our zone, and of these our own; in the order of the ring. */
-    private final TreeSet<Worker> cold = new TreeSet<>(WorkerIndex::byHash);
-
-    private final TreeSet<Worker> coldHere = new TreeSet<>(WorkerIndex::byHash);
-    private final TreeSet<Worker> coldOurs = new TreeSet<>(WorkerIndex::byHash);
-    /** Our own that have jobs of ours or are suspect: silence means nothing at others. */
-    private final TreeSet<Worker> watched = new TreeSet<>(WorkerIndex::byHash);
-    /** Others' workers that have jobs of ours. */
-    private final TreeSet<Worker> borrowed = new TreeSet<>(WorkerIndex::byHash);
+    /** The workers of each zone, adopted ones included, sorted by hash: the same order on all dispatchers. */
+    final Worker[][] workersByZone;
+    /** The workers of this zone that this dispatcher owns, in the same order. */
+    Worker[] ownedWorkers = new Worker[0];
+    // Three sets of cold workers: all, those of this zone, and those that this dispatcher owns.
+    private final TreeSet<Worker> coldWorkers = new TreeSet<>(WorkerIndex::compareByHash);
+    private final TreeSet<Worker> coldInZone = new TreeSet<>(WorkerIndex::compareByHash);
+    private final TreeSet<Worker> coldOwned = new TreeSet<>(WorkerIndex::compareByHash);
+    /** Owned workers that have local jobs or are suspect. The silence of other workers proves nothing. */
+    private final TreeSet<Worker> watched = new TreeSet<>(WorkerIndex::compareByHash);
+    /** Workers owned by other dispatchers that have local jobs. */
+    private final TreeSet<Worker> borrowed = new TreeSet<>(WorkerIndex::compareByHash);
 
     private final Set<Worker> gone = new HashSet<>();
-    /** Whose place may have changed since the last arrangement; and whether all are. */
-    private Set<Worker> touched = new HashSet<>();
+    /** Workers whose zone or owner may have changed since the last {@link #reassign}. */
+    private Set<Worker> changedWorkers = new HashSet<>();
+
+    private boolean allChanged;
+    private int seenUsableChanges;
+    /** Workers looked at since the start; a test checks that frequent events look at few. */
+    private long lookups;
+    /** Workers of this zone, by kind group. */
+    private final int[] presentCount;
+    /** Workers of this zone that are in service and not suspect, by kind group. */
+    private final int[] availableCount;
 
-    private boolean allTouched;
-    private int usableChanges;
-    /** Workers looked at since the start: a test holds that what happens often looks at few. */
-    private long looks;
-    /** Workers of our zone, and of these those that count: in service and not suspect; by group. */
-    private final int[] present;
-
-    private final int[] counted;
     private final int zone;
-    private final Worker[][] open;
-    private final int[] count;
+    /** Workers that may have a free slot, by kind group; only the first {@link #openCount} of each are valid. */
+    private final Worker[][] openWorkers;
+
+    private final int[] openCount;
 
-    /** Workers of so many zones and kinds, as one of that zone looks them up. */
+    /** An index for a dispatcher of the given zone. */
     WorkerIndex(int zones, int kinds, int zone) {
         this.zone = zone;
-        ring = new Worker[zones][0];
-        open = new Worker[kinds + 1][8];
-        count = new int[kinds + 1];
-        present = new int[kinds + 1];
-        counted = new int[kinds + 1];
+        workersByZone = new Worker[zones][0];
+        openWorkers = new Worker[kinds + 1][8];
+        openCount = new int[kinds + 1];
+        presentCount = new int[kinds + 1];
+        availableCount = new int[kinds + 1];
     }
 
-    long looks() {
-        return looks;
+    long lookups() {
+        return lookups;
     }
 
     Worker get(String address) {
         return byAddress.get(address);
     }
 
-    void add(Worker w) {
-        byAddress.put(w.address, w);
+    void add(Worker worker) {
+        byAddress.put(worker.address, worker);
     }
 
-    private <C extends Collection<Worker>> C looked(C some) {
-        looks += some.size();
-        return some;
+    private <C extends Collection<Worker>> C countLookups(C workers) {
+        lookups += workers.size();
+        return workers;
     }
 
-    /** All, for what seldom happens. */
+    /** All workers; for rare events only. */
     Collection<Worker> all() {
-        return looked(byAddress.values());
+        return countLookups(byAddress.values());
     }
 
-    /** Those of our zone, for what seldom happens. */
-    Worker[] here() {
-        looks += ring[zone].length;
-        return ring[zone];
+    /** The workers of this zone; for rare events only. */
+    Worker[] inOwnZone() {
+        lookups += workersByZone[zone].length;
+        return workersByZone[zone];
     }
 
-    /** How many are ours. */
-    int owned() {
-        return ours.length;
+    int ownedCount() {
+        return ownedWorkers.length;
     }
 
-    /** One of ours. */
-    Worker own(int at) {
-        looks++;
-        return ours[at];
+    Worker ownedWorker(int index) {
+        lookups++;
+        return ownedWorkers[index];
     }
 
-    /** Our own that are cold. */
-    Collection<Worker> coldOurs() {
-        return looked(coldOurs);
+    /** The cold workers that this dispatcher owns. */
+    Collection<Worker> coldOwned() {
+        return countLookups(coldOwned);
     }
 
-    /** Others' that have jobs of ours. */
+    /** Workers owned by other dispatchers that have local jobs. */
     Collection<Worker> borrowed() {
-        return looked(borrowed);
+        return countLookups(borrowed);
     }
 
-    /** The slots that our jobs take, by worker. */
-    Map<String, Integer> jobs() {
-        Map<String, Integer> jobs = new HashMap<>();
-        for (Worker w : byAddress.values()) {
-            if (w.localSlots > 0) {
-                jobs.put(w.address, w.localSlots);
+    /** The slots that local jobs use, by worker address. */
+    Map<String, Integer> localSlotsByAddress() {
+        Map<String, Integer> slots = new HashMap<>();
+        for (Worker worker : byAddress.values()) {
+            if (worker.localSlots > 0) {
+                slots.put(worker.address, worker.localSlots);
             }
         }
-        return jobs;
+        return slots;
     }
 
-    /** How many in service are given no jobs for now, but for a trial. */
+    /** Number of workers in service that are suspect, and so get no jobs but trials. */
     int avoided() {
         return (int) byAddress.values().stream()
-                .filter(w -> w.suspect && w.state == WorkerState.IN_SERVICE)
+                .filter(worker -> worker.suspect && worker.state == WorkerState.IN_SERVICE)
                 .count();
     }
 
-    /** What is shared now of this zone's workers, and with whom. */
+    /** The present sharing of this zone's workers with other dispatchers, for operators. */
     Sharing sharing(Peer[] peers, ColdShares shares, long now) {
         int heard = 0;
         int counted = 0;
         long lent = 0;
-        long back = 0;
+        long returned = 0;
         long borrowed = 0;
-        for (Peer y : peers) {
-            boolean self = shares.isSelf(y.number);
-            heard += self || y.lastHeardAt > 0 ? 1 : 0;
-            counted += self || y.lastHeardAt > 0 && y.zone == zone && shares.counts(y.number, now) ? 1 : 0;
-            lent += y.totalLentUs;
-            back += y.totalReturnedUs;
-            borrowed += y.totalBorrowedUs;
-        }
-        int guarded = coldOurs.size();
-        double part = 0;
-        for (Worker w : coldOurs) {
-            part += shares.part(now, w.hash, w.zone == zone);
+        for (Peer peer : peers) {
+            boolean self = shares.isSelf(peer.number);
+            heard += self || peer.lastHeardAt > 0 ? 1 : 0;
+            counted +=
+                    self || peer.lastHeardAt > 0 && peer.zone == zone && shares.counts(peer.number, now) ? 1 : 0;
+            lent += peer.totalLentUs;
+            returned += peer.totalReturnedUs;
+            borrowed += peer.totalBorrowedUs;
+        }
+        int guarded = coldOwned.size();
+        double shareSum = 0;
+        for (Worker worker : coldOwned) {
+            shareSum += shares.part(now, worker.hash, worker.zone == zone);
         }
         return new Sharing(
                 peers.length,
                 heard,
                 counted,
-                coldHere.size(),
+                coldInZone.size(),
                 guarded,
-                guarded == 0 ? 0 : part / guarded,
+                guarded == 0 ? 0 : shareSum / guarded,
                 lent,
-                back,
+                returned,
                 borrowed);
     }
 
-    /** A worker has started anew then. */
-    void chill(Worker w, long start) {
-        w.coldSince = start;
-        w.coldBudget.reset();
-        cold.add(w);
-        touch(w);
-        if (w.assignedZone == zone && w.state != WorkerState.GONE) {
-            set(coldHere, w, true);
-            set(coldOurs, w, w.ownedLocally);
+    /** Marks a worker as cold: it has restarted at the given time. */
+    void markCold(Worker worker, long startedAt) {
+        worker.coldSince = startedAt;
+        worker.coldBudget.reset();
+        coldWorkers.add(worker);
+        markChanged(worker);
+        if (worker.assignedZone == zone && worker.state != WorkerState.GONE) {
+            setMember(coldInZone, worker, true);
+            setMember(coldOwned, worker, worker.ownedLocally);
         }
     }
 
-    /** Takes workers that started before a time for warm; whether there was one. */
-    boolean warmUp(long before) {
+    /** Marks cold workers as warm that started by the given time; returns whether there was one. */
+    boolean promoteWarm(long startedBy) {
         boolean any = false;
-        for (Iterator<Worker> each = looked(cold).iterator(); each.hasNext(); ) {
-            Worker w = each.next();
-            if (w.coldSince <= before) {
-                w.coldSince = 0;
+        for (Iterator<Worker> each = countLookups(coldWorkers).iterator(); each.hasNext(); ) {
+            Worker worker = each.next();
+            if (worker.coldSince <= startedBy) {
+                worker.coldSince = 0;
                 each.remove();
-                coldHere.remove(w);
-                coldOurs.remove(w);
-                touch(w);
+                coldInZone.remove(worker);
+                coldOwned.remove(worker);
+                markChanged(worker);
                 any = true;
             }
         }
         return any;
     }
 
-    /** Others who, as far as we hear, guard cold workers of our zone: so many at most, from a place on. */
-    int[] guardians(ColdShares shares, int most, long from) {
+    /** Other dispatchers that guard cold workers of this zone: at most {@code limit}, from a rotating start on. */
+    int[] guardians(ColdShares shares, int limit, long start) {
         BitSet all = new BitSet();
-        for (Worker w : looked(coldHere)) {
-            if (!shares.isSelf(shares.guardian(w.hash))) {
-                all.set(shares.guardian(w.hash));
+        for (Worker worker : countLookups(coldInZone)) {
+            if (!shares.isSelf(shares.guardian(worker.hash))) {
+                all.set(shares.guardian(worker.hash));
             }
         }
         int[] each = all.stream().toArray();
-        int n = Math.max(0, Math.min(most, each.length));
-        int[] some = new int[n];
-        for (int i = 0; i < n; i++) {
-            some[i] = each[(int) Math.floorMod(from + i, (long) each.length)];
+        int count = Math.max(0, Math.min(limit, each.length));
+        int[] selected = new int[count];
+        for (int i = 0; i < count; i++) {
+            selected[i] = each[(int) Math.floorMod(start + i, (long) each.length)];
         }
-        return some;
+        return selected;
     }
 
-    /** Whether a worker of our zone is cold. */
-    boolean anyCold() {
-        return !coldHere.isEmpty();
+    /** Whether a worker of this zone is cold. */
+    boolean hasCold() {
+        return !coldInZone.isEmpty();
     }
 
-    /** Whether a worker of ours for that kind of job, -1 for any, may have a free slot. */
-    boolean open(int kind) {
-        for (int k = 0; k < count.length; k++) {
-            if (count[k] > 0 && (kind < 0 || kind == k)) {
+    /** Whether an owned worker for that kind of job (-1: any kind) may have a free slot. */
+    boolean hasOpen(int kind) {
+        for (int k = 0; k < openCount.length; k++) {
+            if (openCount[k] > 0 && (kind < 0 || kind == k)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The workers of a zone that a message names; null for those not on our list. */
-    Worker[] find(int zone, Message m) {
-        Worker[] named = new Worker[m.entries];
+    /** The workers of a zone that a message names; null for those not on the list here. */
+    Worker[] find(int zone, Message message) {
+        Worker[] named = new Worker[message.entries];
         for (int i = 0; i < named.length; i++) {
-            named[i] = find(zone, m.hash[i]);
+            named[i] = find(zone, message.hash[i]);
         }
         return named;
     }
 
-    /** Groups of workers that may have a free slot: one for each kind, and one for unknown kinds. */
-    int groups() {
-        return count.length;
+    /** Number of kind groups: one for each kind, and the last one for workers of unknown kind. */
+    int kindGroups() {
+        return openCount.length;
     }
 
-    private int groupOf(Worker w) {
-        return w.kind < 0 ? count.length - 1 : w.kind;
+    private int kindGroupOf(Worker worker) {
+        return worker.kind < 0 ? openCount.length - 1 : worker.kind;
     }
 
-    int openIn(int group) {
-        return count[group];
+    /** Owned workers of a kind group that may have a free slot. */
+    int openCount(int kindGroup) {
+        return openCount[kindGroup];
     }
 
-    boolean anyOpen() {
-        return open(-1);
+    /** Whether any owned worker may have a free slot. */
+    boolean hasOpen() {
+        return hasOpen(-1);
     }
 
-    Worker open(int group, int at) {
-        looks++;
-        return open[group][at];
+    Worker openWorker(int kindGroup, int index) {
+        lookups++;
+        return openWorkers[kindGroup][index];
     }
 
-    /** Keeps a worker's places in step with what is known of it; whether it may have a free slot. */
-    void place(Worker w, boolean can) {
-        if (w.inBorrowedIndex != (w.localSlots > 0 && !w.ownedLocally)) {
-            w.inBorrowedIndex = !w.inBorrowedIndex;
-            set(borrowed, w, w.inBorrowedIndex);
+    /** Updates a worker's place in the indexes after its state has changed; {@code open}: it may have a free slot. */
+    void updateIndexes(Worker worker, boolean open) {
+        if (worker.inBorrowedIndex != (worker.localSlots > 0 && !worker.ownedLocally)) {
+            worker.inBorrowedIndex = !worker.inBorrowedIndex;
+            setMember(borrowed, worker, worker.inBorrowedIndex);
         }
-        // what others have there counts no more once it is known who fills it
-        if (w.peerSlots > 0 && !w.ownedLocally && w.state != WorkerState.GONE) {
-            touch(w);
+        // the slots that peers use matter at owned workers only: the next reassignment drops them elsewhere
+        if (worker.peerSlots > 0 && !worker.ownedLocally && worker.state != WorkerState.GONE) {
+            markChanged(worker);
         }
-        watch(w);
-        count(w);
-        setOpen(w, can);
+        updateWatched(worker);
+        updateAvailableCount(worker);
+        updateOpen(worker, open);
     }
 
-    private void count(Worker w) {
-        boolean counts = w.assignedZone == zone && w.state == WorkerState.IN_SERVICE && !w.suspect;
-        if (counts != w.countedAvailable) {
-            w.countedAvailable = counts;
-            counted[groupOf(w)] += counts ? 1 : -1;
+    private void updateAvailableCount(Worker worker) {
+        boolean available =
+                worker.assignedZone == zone && worker.state == WorkerState.IN_SERVICE && !worker.suspect;
+        if (available != worker.countedAvailable) {
+            worker.countedAvailable = available;
+            availableCount[kindGroupOf(worker)] += available ? 1 : -1;
         }
     }
 
-    /** Workers of our zone in a group. */
-    int present(int group) {
-        return present[group];
+    /** Workers of this zone in a kind group. */
+    int presentCount(int kindGroup) {
+        return presentCount[kindGroup];
     }
 
-    /** Of these, those in service and not suspect. */
-    int counted(int group) {
-        return counted[group];
+    /** Workers of this zone in a kind group that are in service and not suspect. */
+    int availableCount(int kindGroup) {
+        return availableCount[kindGroup];
     }
 
-    private void watch(Worker w) {
-        boolean watch = w.ownedLocally && (w.suspect || !w.attempts.isEmpty());
-        if (watch != w.inWatchedIndex) {
-            w.inWatchedIndex = watch;
+    private void updateWatched(Worker worker) {
+        boolean watch = worker.ownedLocally && (worker.suspect || !worker.attempts.isEmpty());
+        if (watch != worker.inWatchedIndex) {
+            worker.inWatchedIndex = watch;
             if (watch) {
-                watched.add(w);
+                watched.add(worker);
             } else {
-                watched.remove(w);
+                watched.remove(worker);
             }
         }
     }
 
-    /** Those watched among so many of our own, from a place on and round to the first. */
-    List<Worker> watched(int turn, int most) {
+    /** The watched workers among {@code limit} owned ones, from a position on and round the end of the array. */
+    List<Worker> watched(int start, int limit) {
         if (watched.isEmpty()) {
             return List.of();
         }
-        int from = Math.floorMod(turn, ours.length);
-        int to = Math.min(from + most, ours.length);
-        List<Worker> some = new ArrayList<>(watched.subSet(ours[from], true, ours[to - 1], true));
-        if (from + most > to) {
-            some.addAll(watched.headSet(ours[from + most - to - 1], true));
+        int from = Math.floorMod(start, ownedWorkers.length);
+        int to = Math.min(from + limit, ownedWorkers.length);
+        List<Worker> selected = new ArrayList<>(watched.subSet(ownedWorkers[from], true, ownedWorkers[to - 1], true));
+        if (from + limit > to) {
+            selected.addAll(watched.headSet(ownedWorkers[from + limit - to - 1], true));
         }
-        return looked(some);
+        return countLookups(selected);
     }
 
-    private void setOpen(Worker w, boolean can) {
-        if (can == w.openIndex >= 0) {
+    private void updateOpen(Worker worker, boolean open) {
+        if (open == worker.openIndex >= 0) {
             return;
         }
-        int g = groupOf(w);
-        if (can) {
-            if (count[g] == open[g].length) {
-                open[g] = Arrays.copyOf(open[g], 2 * count[g]);
+        int group = kindGroupOf(worker);
+        if (open) {
+            if (openCount[group] == openWorkers[group].length) {
+                openWorkers[group] = Arrays.copyOf(openWorkers[group], 2 * openCount[group]);
             }
-            w.openIndex = count[g];
-            open[g][count[g]++] = w;
+            worker.openIndex = openCount[group];
+            openWorkers[group][openCount[group]++] = worker;
         } else {
-            Worker last = open[g][--count[g]];
-            open[g][w.openIndex] = last;
-            last.openIndex = w.openIndex;
-            w.openIndex = -1;
+            Worker last = openWorkers[group][--openCount[group]];
+            openWorkers[group][worker.openIndex] = last;
+            last.openIndex = worker.openIndex;
+            worker.openIndex = -1;
         }
     }
 
-    /** Danger: each release replaces workers by new ones; those that are gone must not fill memory. */
+    /** Each release replaces the workers by new addresses; without this the old ones would fill the memory. */
     private void forgetGone() {
-        boolean many = byAddress.size() > MANY;
+        boolean many = byAddress.size() > FORGET_GONE_FROM_WORKERS;
         for (Iterator<Worker> each = gone.iterator(); many && each.hasNext(); ) {
-            Worker w = each.next();
-            if (w.attempts.isEmpty()) {
+            Worker worker = each.next();
+            if (worker.attempts.isEmpty()) {
                 each.remove();
-                byAddress.remove(w.address);
-                cold.remove(w);
+                byAddress.remove(worker.address);
+                coldWorkers.remove(worker);
             }
         }
     }
 
-    /** A worker is new, or something of it has changed that may change its place: see {@link #arrange}. */
-    void touch(Worker w) {
-        if (!allTouched) {
-            touched.add(w);
+    /** Notes that a worker is new, or that its zone or owner may have changed: see {@link #reassign}. */
+    void markChanged(Worker worker) {
+        if (!allChanged) {
+            changedWorkers.add(worker);
         }
     }
 
-    /** A whole list comes: what it does not name is gone. */
-    void goneAll() {
-        byAddress.values().forEach(w -> w.state = WorkerState.GONE);
-        allTouched = true;
+    /** Marks all workers as gone, before a whole list is applied: what it does not name is gone. */
+    void markAllGone() {
+        byAddress.values().forEach(worker -> worker.state = WorkerState.GONE);
+        allChanged = true;
     }
 
     /**
-     * Gives workers their places: those that were touched, and all that may change hands with them.
+     * Assigns the changed workers to zones and owners, and all workers whose owner changes with them.
      *
-     * @param anew whether any worker may change hands
-     * @return whose place may have changed, in the order of the ring
+     * @param ownershipChanged whether any worker may change its owner
+     * @return the workers whose assignment may have changed, sorted by hash
      */
-    List<Worker> arrange(WorkerOwnership homes, boolean anew, Lessons known) {
-        boolean all = anew || allTouched;
-        boolean seats = all;
-        // danger: slots that were learned meanwhile open or close all workers of a kind, also those at rest
-        if (usableChanges != known.usableChanges) {
-            usableChanges = known.usableChanges;
-            touched.addAll(Arrays.asList(ours));
-        }
-        List<Worker> moved = inOrder(all ? byAddress.values() : touched);
+    List<Worker> reassign(WorkerOwnership ownership, boolean ownershipChanged, Lessons known) {
+        boolean all = ownershipChanged || allChanged;
+        boolean zoneChanged = all;
+        // a new estimate of the slots of a kind opens or closes all its workers, also those without any event
+        if (seenUsableChanges != known.usableChanges) {
+            seenUsableChanges = known.usableChanges;
+            changedWorkers.addAll(Arrays.asList(ownedWorkers));
+        }
+        List<Worker> moved = sortedByHash(all ? byAddress.values() : changedWorkers);
         if (all) {
-            seatAll(moved, homes);
+            assignAllZones(moved, ownership);
         } else {
-            for (Worker w : moved) {
-                seats |= seat(w, homes.zoneOf(w));
+            for (Worker worker : moved) {
+                zoneChanged |= assignZone(worker, ownership.zoneOf(worker));
             }
         }
-        if (!homes.dealt()) {
-            moved.forEach(w -> w.warmOwner = homes.only());
-        } else if (seats) {
-            deal(homes);
-            moved = all ? moved : inOrder(touched);
-        }
-        looked(moved);
-        touched = new HashSet<>(); // one that has been large would take long to clear each time
-        allTouched = false;
-        own(moved, homes, all || seats && homes.dealt());
-        index(all ? cold : moved);
-        gone(moved, all);
+        if (!ownership.isShared()) {
+            moved.forEach(worker -> worker.warmOwner = ownership.soleOwner());
+        } else if (zoneChanged) {
+            assignWarmOwners(ownership);
+            moved = all ? moved : sortedByHash(changedWorkers);
+        }
+        countLookups(moved);
+        changedWorkers = new HashSet<>(); // clearing a set takes time in proportion to its largest size so far
+        allChanged = false;
+        updateOwned(moved, ownership, all || zoneChanged && ownership.isShared());
+        updateColdIndexes(all ? coldWorkers : moved);
+        updateGone(moved, all);
         return moved;
     }
 
-    /** Which of some workers are ours; {@code many}: it is not worth while to put in or take out each. */
-    private void own(List<Worker> moved, WorkerOwnership homes, boolean many) {
-        for (Worker w : moved) {
-            boolean mine = w.assignedZone == zone && homes.ours(w);
-            if (mine != w.ownedLocally && !many) {
-                ours = mine ? with(ours, w) : without(ours, w);
+    /** Updates which workers are owned locally; {@code rebuild}: many have changed, so the array is built anew. */
+    private void updateOwned(List<Worker> moved, WorkerOwnership ownership, boolean rebuild) {
+        for (Worker worker : moved) {
+            boolean owned = worker.assignedZone == zone && ownership.isOwnedLocally(worker);
+            if (owned != worker.ownedLocally && !rebuild) {
+                ownedWorkers = owned ? with(ownedWorkers, worker) : without(ownedWorkers, worker);
             }
-            w.ownedLocally = mine;
+            worker.ownedLocally = owned;
         }
-        if (many) {
-            ours = Arrays.stream(ring[zone]).filter(w -> w.ownedLocally).toArray(Worker[]::new);
+        if (rebuild) {
+            ownedWorkers = Arrays.stream(workersByZone[zone])
+                    .filter(worker -> worker.ownedLocally)
+                    .toArray(Worker[]::new);
         }
     }
 
-    private void index(Collection<Worker> moved) {
-        if (moved == cold) {
-            coldHere.clear();
-            coldOurs.clear();
+    private void updateColdIndexes(Collection<Worker> moved) {
+        if (moved == coldWorkers) {
+            coldInZone.clear();
+            coldOwned.clear();
         }
-        for (Worker w : moved) {
-            set(coldHere, w, w.coldSince != 0 && w.assignedZone == zone);
-            set(coldOurs, w, w.coldSince != 0 && w.ownedLocally);
+        for (Worker worker : moved) {
+            setMember(coldInZone, worker, worker.coldSince != 0 && worker.assignedZone == zone);
+            setMember(coldOwned, worker, worker.coldSince != 0 && worker.ownedLocally);
         }
     }
 
-    private void gone(List<Worker> moved, boolean all) {
+    private void updateGone(List<Worker> moved, boolean all) {
         if (all) {
             gone.clear();
         }
-        for (Worker w : moved) {
-            if (w.state == WorkerState.GONE) {
-                gone.add(w);
+        for (Worker worker : moved) {
+            if (worker.state == WorkerState.GONE) {
+                gone.add(worker);
             } else if (!all) {
-                gone.remove(w);
+                gone.remove(worker);
             }
         }
         forgetGone();
     }
 
-    private static void set(TreeSet<Worker> index, Worker w, boolean in) {
-        if (in) {
-            index.add(w);
+    private static void setMember(TreeSet<Worker> index, Worker worker, boolean member) {
+        if (member) {
+            index.add(worker);
         } else {
-            index.remove(w);
+            index.remove(worker);
         }
     }
 
-    /** Deals our zone's workers anew; touched are those that change hands. */
-    private void deal(WorkerOwnership homes) {
-        int[] owners = homes.deal(here());
+    /** Assigns owners to this zone's workers; those whose owner changes are added to the changed ones. */
+    private void assignWarmOwners(WorkerOwnership ownership) {
+        int[] owners = ownership.assignWarmOwners(inOwnZone());
         for (int i = 0; i < owners.length; i++) {
-            if (ring[zone][i].warmOwner != owners[i]) {
-                ring[zone][i].warmOwner = owners[i];
-                touched.add(ring[zone][i]);
+            if (workersByZone[zone][i].warmOwner != owners[i]) {
+                workersByZone[zone][i].warmOwner = owners[i];
+                changedWorkers.add(workersByZone[zone][i]);
             }
         }
     }
 
-    private static List<Worker> inOrder(Collection<Worker> some) {
-        List<Worker> all = new ArrayList<>(some);
-        all.sort(WorkerIndex::byHash);
-        return all;
+    private static List<Worker> sortedByHash(Collection<Worker> workers) {
+        List<Worker> sorted = new ArrayList<>(workers);
+        sorted.sort(WorkerIndex::compareByHash);
+        return sorted;
     }
 
-    private int seatOf(Worker w, int home) {
-        return home >= 0 && home < ring.length && w.state != WorkerState.GONE ? home : -1;
+    private int validZone(Worker worker, int wantedZone) {
+        return wantedZone >= 0 && wantedZone < workersByZone.length && worker.state != WorkerState.GONE
+                ? wantedZone
+                : -1;
     }
 
-    /** Puts one worker into its zone; whether our zone's workers are others now. */
-    private boolean seat(Worker w, int home) {
-        int from = w.assignedZone;
-        w.assignedZone = seatOf(w, home);
-        if (from == w.assignedZone) {
+    /** Assigns one worker to a zone; returns whether that changed the workers of this dispatcher's zone. */
+    private boolean assignZone(Worker worker, int wantedZone) {
+        int before = worker.assignedZone;
+        worker.assignedZone = validZone(worker, wantedZone);
+        if (before == worker.assignedZone) {
             return false;
         }
-        if (from >= 0) {
-            ring[from] = without(ring[from], w);
+        if (before >= 0) {
+            workersByZone[before] = without(workersByZone[before], worker);
         }
-        if (w.assignedZone >= 0) {
-            ring[w.assignedZone] = with(ring[w.assignedZone], w);
+        if (worker.assignedZone >= 0) {
+            workersByZone[worker.assignedZone] = with(workersByZone[worker.assignedZone], worker);
         }
-        present[groupOf(w)] += (w.assignedZone == zone ? 1 : 0) - (from == zone ? 1 : 0);
-        return w.assignedZone == zone || from == zone;
+        presentCount[kindGroupOf(worker)] += (worker.assignedZone == zone ? 1 : 0) - (before == zone ? 1 : 0);
+        return worker.assignedZone == zone || before == zone;
     }
 
-    /** Puts all workers, in the order of the ring, into their zones. */
-    private void seatAll(List<Worker> all, WorkerOwnership homes) {
+    /** Assigns all workers, sorted by hash, to their zones. */
+    private void assignAllZones(List<Worker> sorted, WorkerOwnership ownership) {
         List<List<Worker>> lists = new ArrayList<>();
-        for (int z = 0; z < ring.length; z++) {
+        for (int z = 0; z < workersByZone.length; z++) {
             lists.add(new ArrayList<>());
         }
-        Arrays.fill(present, 0);
-        for (Worker w : all) {
-            w.assignedZone = seatOf(w, homes.zoneOf(w));
-            if (w.assignedZone >= 0) {
-                lists.get(w.assignedZone).add(w);
-                present[groupOf(w)] += w.assignedZone == zone ? 1 : 0;
+        Arrays.fill(presentCount, 0);
+        for (Worker worker : sorted) {
+            worker.assignedZone = validZone(worker, ownership.zoneOf(worker));
+            if (worker.assignedZone >= 0) {
+                lists.get(worker.assignedZone).add(worker);
+                presentCount[kindGroupOf(worker)] += worker.assignedZone == zone ? 1 : 0;
             }
         }
-        for (int z = 0; z < ring.length; z++) {
-            ring[z] = lists.get(z).toArray(new Worker[0]);
+        for (int z = 0; z < workersByZone.length; z++) {
+            workersByZone[z] = lists.get(z).toArray(new Worker[0]);
         }
     }
 
-    private static Worker[] with(Worker[] sorted, Worker w) {
-        int at = -1 - Arrays.binarySearch(sorted, w, WorkerIndex::byHash);
+    private static Worker[] with(Worker[] sorted, Worker added) {
+        int index = -1 - Arrays.binarySearch(sorted, added, WorkerIndex::compareByHash);
         Worker[] more = new Worker[sorted.length + 1];
-        System.arraycopy(sorted, 0, more, 0, at);
-        more[at] = w;
-        System.arraycopy(sorted, at, more, at + 1, sorted.length - at);
+        System.arraycopy(sorted, 0, more, 0, index);
+        more[index] = added;
+        System.arraycopy(sorted, index, more, index + 1, sorted.length - index);
         return more;
     }
 
-    private static Worker[] without(Worker[] sorted, Worker w) {
-        int at = Arrays.binarySearch(sorted, w, WorkerIndex::byHash);
+    private static Worker[] without(Worker[] sorted, Worker removed) {
+        int index = Arrays.binarySearch(sorted, removed, WorkerIndex::compareByHash);
         Worker[] fewer = new Worker[sorted.length - 1];
-        System.arraycopy(sorted, 0, fewer, 0, at);
-        System.arraycopy(sorted, at + 1, fewer, at, fewer.length - at);
+        System.arraycopy(sorted, 0, fewer, 0, index);
+        System.arraycopy(sorted, index + 1, fewer, index, fewer.length - index);
         return fewer;
     }
 
-    private static int byHash(Worker a, Worker b) {
+    private static int compareByHash(Worker a, Worker b) {
         int byHash = Integer.compare(a.hash, b.hash);
         return byHash != 0 ? byHash : a.address.compareTo(b.address);
     }
 
     Worker find(int zone, int hash) {
-        Worker[] sorted = ring[zone];
+        Worker[] sorted = workersByZone[zone];
         int low = 0;
         int high = sorted.length - 1;
         while (low <= high) {
--- a/src/main/java/saffronferry/WorkerOwnership.java
+++ b/src/main/java/saffronferry/WorkerOwnership.java
@@ -6,16 +6,19 @@
 import saffronferry.fleet.ColdShares;
 import saffronferry.fleet.Owners;
 
-/** Which zone's dispatchers fill a worker, and which one of ours, as far as heard. */
+/**
+ * Decides to which zone a worker is assigned and which dispatcher of that zone owns it, from the dispatchers that are
+ * heard. Only the owner sends to a worker on its own account; others use slots that it offers.
+ */
 final class WorkerOwnership {
     private final int zone;
     private final int zones;
     private final ColdShares shares;
-    private int[] near = new int[0];
-    private int[] counted = new int[0];
-    private BitSet served = new BitSet();
+    private int[] zoneMembers = new int[0];
+    private int[] countedMembers = new int[0];
+    private BitSet servedZones = new BitSet();
 
-    /** Of so many zones, as one of that zone knows them. */
+    /** Ownership as seen by a dispatcher of the given zone. */
     WorkerOwnership(int zones, int zone, ColdShares shares) {
         this.zones = zones;
         this.zone = zone;
@@ -23,57 +26,63 @@
     }
 
     /**
-     * Takes in what is heard now.
+     * Takes the dispatchers that are heard now.
      *
-     * @param near dispatchers of our zone, ourselves included
-     * @param counted of these those that can be left our part of cold workers
-     * @param served zones whose workers stay there
-     * @return whether it differs from before: then any worker may change hands
+     * @param zoneMembers dispatchers of this zone, this one included
+     * @param countedMembers of these, the ones that this one can leave its share of cold workers to
+     * @param servedZones zones that have dispatchers, or may have, and so keep their workers
+     * @return whether anything differs from before: then any worker may change its owner
      */
-    boolean hear(int[] near, int[] counted, BitSet served) {
-        boolean same =
-                Arrays.equals(near, this.near) && Arrays.equals(counted, this.counted) && served.equals(this.served);
-        this.near = near;
-        this.counted = counted;
-        this.served = served;
-        shares.near(counted);
+    boolean update(int[] zoneMembers, int[] countedMembers, BitSet servedZones) {
+        boolean same = Arrays.equals(zoneMembers, this.zoneMembers)
+                && Arrays.equals(countedMembers, this.countedMembers)
+                && servedZones.equals(this.servedZones);
+        this.zoneMembers = zoneMembers;
+        this.countedMembers = countedMembers;
+        this.servedZones = servedZones;
+        shares.near(countedMembers);
         return !same;
     }
 
-    /** Danger: nobody serves the workers of a zone without dispatchers. Another zone adopts each. */
-    int zoneOf(Worker w) {
-        if (w.zone < 0 || served.get(w.zone)) {
-            return w.zone;
+    /**
+     * The zone to which a worker is assigned. The workers of a zone without dispatchers would get no jobs: rendezvous
+     * hashing assigns each to one of the other zones.
+     */
+    int zoneOf(Worker worker) {
+        if (worker.zone < 0 || servedZones.get(worker.zone)) {
+            return worker.zone;
         }
         int best = zone;
         for (int z = 0; z < zones; z++) {
-            best = served.get(z) && DispatcherState.mix(w.hash, z) > DispatcherState.mix(w.hash, best) ? z : best;
+            best = servedZones.get(z) && DispatcherState.mix(worker.hash, z) > DispatcherState.mix(worker.hash, best)
+                    ? z
+                    : best;
         }
         return best;
     }
 
-    /** Whether a worker's owner hangs on the others of its zone. */
-    boolean dealt() {
-        return near.length > 1;
+    /** Whether the zone has several dispatchers, which share its workers. */
+    boolean isShared() {
+        return zoneMembers.length > 1;
     }
 
-    /** The one that fills the zone's workers where {@link #dealt} is false. */
-    int only() {
-        return near[0];
+    /** The owner of all workers of the zone where {@link #isShared} is false. */
+    int soleOwner() {
+        return zoneMembers[0];
     }
 
-    /** Who fills which of our zone's workers, as long as it is warm. */
-    int[] deal(Worker[] ring) {
-        return Owners.share(Arrays.stream(ring).mapToInt(w -> w.hash).toArray(), near);
+    /** The owners of the zone's workers while they are warm, in the order of the given array. */
+    int[] assignWarmOwners(Worker[] sorted) {
+        return Owners.share(Arrays.stream(sorted).mapToInt(worker -> worker.hash).toArray(), zoneMembers);
     }
 
-    /** Who fills a worker of our zone now. */
-    int owner(Worker w) {
-        return w.coldSince == 0 ? w.warmOwner : shares.guardian(w.hash);
+    /** The present owner of a worker of this zone: while the worker is cold, its guardian. */
+    int owner(Worker worker) {
+        return worker.coldSince == 0 ? worker.warmOwner : shares.guardian(worker.hash);
     }
 
-    /** Whether we do. */
-    boolean ours(Worker w) {
-        return shares.isSelf(owner(w));
+    /** Whether this dispatcher owns a worker of its zone. */
+    boolean isOwnedLocally(Worker worker) {
+        return shares.isSelf(owner(worker));
     }
 }
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -37,7 +37,7 @@
     }
 
     private static DispatcherState.Worker worker(Rig rig, String address) throws ReflectiveOperationException {
-        return ((WorkerIndex) get(rig.module, "fleet")).byAddress.get(address);
+        return ((WorkerIndex) get(rig.module, "workerIndex")).byAddress.get(address);
     }
 
     private static byte[] hello(double p, double rate) {
--- a/src/test/java/saffronferry/ListCostTest.java
+++ b/src/test/java/saffronferry/ListCostTest.java
@@ -27,17 +27,17 @@
         long ticks = 0;
         long changes = 0;
         for (int i = 0; i < ROUNDS; i++) {
-            long begun = module.module.looks();
+            long begun = module.module.workerLookups();
             module.picks();
-            picks += module.module.looks() - begun;
+            picks += module.module.workerLookups() - begun;
             module.end();
-            begun = module.module.looks();
+            begun = module.module.workerLookups();
             module.step();
-            ticks += module.module.looks() - begun;
+            ticks += module.module.workerLookups() - begun;
             if (i % 8 == 0) {
-                begun = module.module.looks();
+                begun = module.module.workerLookups();
                 module.change(i % 16 == 8);
-                changes += module.module.looks() - begun;
+                changes += module.module.workerLookups() - begun;
             }
         }
         return new Looks(picks, ticks, changes);
@@ -62,7 +62,7 @@
         String module = Files.readString(Path.of("src/main/java/saffronferry/Dispatcher.java"));
         assertEquals(
                 List.of(),
-                List.of("fleet.byAddress", "fleet.ring", "fleet.ours", "fleet.open[").stream()
+                List.of("workerIndex.byAddress", "workerIndex.workersByZone", "workerIndex.ownedWorkers", "workerIndex.openWorkers[").stream()
                         .filter(module::contains)
                         .toList());
     }
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -23,9 +23,9 @@
             DispatcherState.Worker w = new DispatcherState.Worker("w" + i, 0);
             w.state = i < 10 ? Contract.WorkerState.IN_SERVICE : Contract.WorkerState.GONE;
             fleet.byAddress.put(w.address, w);
-            fleet.touch(w);
+            fleet.markChanged(w);
         }
-        fleet.arrange(alone(1, 0), false, KNOWN);
+        fleet.reassign(alone(1, 0), false, KNOWN);
         assertEquals(10, fleet.byAddress.size());
     }
 
@@ -77,11 +77,11 @@
 
     /** One dispatcher; zones keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
-        WorkerOwnership homes = new WorkerOwnership(zones, zone, new ColdShares(0, 1));
+        WorkerOwnership ownership = new WorkerOwnership(zones, zone, new ColdShares(0, 1));
         BitSet served = new BitSet();
         served.set(0, zones);
-        homes.hear(new int[] {0}, new int[] {0}, served);
-        return homes;
+        ownership.update(new int[] {0}, new int[] {0}, served);
+        return ownership;
     }
 
     private static WorkerIndex of(int workers) {
@@ -90,7 +90,7 @@
             DispatcherState.Worker w = new DispatcherState.Worker("10.0.0." + i, 0);
             w.state = Contract.WorkerState.IN_SERVICE;
             fleet.byAddress.put(w.address, w);
-            fleet.touch(w);
+            fleet.markChanged(w);
         }
         arrange(fleet, alone(1, 0));
         return fleet;
@@ -110,14 +110,14 @@
         WorkerIndex fleet = of(50);
         SplittableRandom dice = new SplittableRandom(1);
         for (int i = 0; i < 500; i++) {
-            DispatcherState.Worker changed = fleet.ours[dice.nextInt(50)];
+            DispatcherState.Worker changed = fleet.ownedWorkers[dice.nextInt(50)];
             changed.suspect = !changed.suspect;
-            fleet.place(changed, true);
+            fleet.updateIndexes(changed, true);
             int turn = dice.nextInt();
             int most = 1 + dice.nextInt(50);
             List<DispatcherState.Worker> walked = new ArrayList<>();
             for (int k = 0; k < most; k++) {
-                DispatcherState.Worker w = fleet.ours[(Math.floorMod(turn, 50) + k) % 50];
+                DispatcherState.Worker w = fleet.ownedWorkers[(Math.floorMod(turn, 50) + k) % 50];
                 if (w.suspect) {
                     walked.add(w);
                 }
@@ -130,12 +130,12 @@
     @Test
     void theGoneAreWatchedNoMore() {
         WorkerIndex fleet = of(1100);
-        DispatcherState.Worker old = fleet.ours[0];
+        DispatcherState.Worker old = fleet.ownedWorkers[0];
         old.suspect = true;
-        fleet.chill(old, 1);
-        fleet.place(old, true);
+        fleet.markCold(old, 1);
+        fleet.updateIndexes(old, true);
         old.state = Contract.WorkerState.GONE;
-        fleet.touch(old);
+        fleet.markChanged(old);
         arrange(fleet, alone(1, 0));
         assertEquals(1099, fleet.byAddress.size());
         assertEquals(List.of(), fleet.watched(0, 1099));
@@ -143,17 +143,17 @@
         young.state = Contract.WorkerState.IN_SERVICE;
         young.suspect = true;
         fleet.byAddress.put(young.address, young);
-        fleet.chill(young, 2);
+        fleet.markCold(young, 2);
         arrange(fleet, alone(1, 0));
-        assertEquals(1, fleet.coldOurs().size());
-        assertSame(young, fleet.coldOurs().iterator().next());
-        assertSame(young, fleet.ours[0]);
+        assertEquals(1, fleet.coldOwned().size());
+        assertSame(young, fleet.coldOwned().iterator().next());
+        assertSame(young, fleet.ownedWorkers[0]);
         assertEquals(1, fleet.watched(0, 1100).size());
         assertSame(young, fleet.watched(0, 1).get(0));
     }
 
-    private static void arrange(WorkerIndex fleet, WorkerOwnership homes) {
-        fleet.arrange(homes, false, KNOWN).forEach(w -> fleet.place(w, w.ownedLocally));
+    private static void arrange(WorkerIndex fleet, WorkerOwnership ownership) {
+        fleet.reassign(ownership, false, KNOWN).forEach(w -> fleet.updateIndexes(w, w.ownedLocally));
     }
 
     /** Whatever became of workers: as walks over the whole list find them. */
@@ -162,77 +162,77 @@
         WorkerIndex fleet = new WorkerIndex(2, 2, 1);
         SplittableRandom dice = new SplittableRandom(1);
         ColdShares shares = new ColdShares(0, 3);
-        WorkerOwnership homes = new WorkerOwnership(2, 1, shares);
+        WorkerOwnership ownership = new WorkerOwnership(2, 1, shares);
         List<DispatcherState.Worker> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             all.add(new DispatcherState.Worker("10.0.0." + i, i % 3 - 1));
             all.get(i).state = Contract.WorkerState.IN_SERVICE;
             fleet.byAddress.put(all.get(i).address, all.get(i));
-            fleet.touch(all.get(i));
+            fleet.markChanged(all.get(i));
         }
         for (int round = 0; round < 600; round++) {
             for (int k = dice.nextInt(4); k > 0; k--) {
                 change(fleet, all.get(dice.nextInt(all.size())), dice);
             }
-            fleet.warmUp(round - 40);
+            fleet.promoteWarm(round - 40);
             int[] near = IntStream.range(0, 3)
                     .filter(y -> y == 0 || dice.nextInt(200) > 20)
                     .toArray();
             BitSet served = BitSet.valueOf(new long[] {dice.nextInt(50) == 0 ? 2 : 3});
-            boolean anew = (round / 50 & 1) == 0 && homes.hear(near, near, served) || round == 0;
-            fleet.arrange(homes, anew, KNOWN).forEach(w -> fleet.place(w, w.ownedLocally));
+            boolean anew = (round / 50 & 1) == 0 && ownership.update(near, near, served) || round == 0;
+            fleet.reassign(ownership, anew, KNOWN).forEach(w -> fleet.updateIndexes(w, w.ownedLocally));
             DispatcherState.Worker w = all.get(dice.nextInt(all.size()));
             w.suspect = !w.suspect;
-            fleet.place(w, w.ownedLocally);
-            compare(fleet, homes, all);
+            fleet.updateIndexes(w, w.ownedLocally);
+            compare(fleet, ownership, all);
         }
     }
 
     private static void change(WorkerIndex fleet, DispatcherState.Worker w, SplittableRandom dice) {
         if (dice.nextInt(3) == 0) {
-            fleet.chill(w, 1 + dice.nextInt(600));
+            fleet.markCold(w, 1 + dice.nextInt(600));
         } else {
             w.state = Contract.WorkerState.values()[dice.nextInt(3)];
             w.zone = dice.nextInt(3) - 1;
-            fleet.touch(w);
+            fleet.markChanged(w);
         }
     }
 
-    private static void compare(WorkerIndex fleet, WorkerOwnership homes, List<DispatcherState.Worker> all) {
+    private static void compare(WorkerIndex fleet, WorkerOwnership ownership, List<DispatcherState.Worker> all) {
         List<DispatcherState.Worker> sorted = all.stream()
                 .filter(w -> w.state != Contract.WorkerState.GONE)
                 .sorted(Comparator.comparing((DispatcherState.Worker w) -> w.hash).thenComparing(w -> w.address))
                 .toList();
         for (int z = 0; z < 2; z++) {
             int zone = z;
-            assertEquals(sorted.stream().filter(w -> homes.zoneOf(w) == zone).toList(), List.of(fleet.ring[z]));
+            assertEquals(sorted.stream().filter(w -> ownership.zoneOf(w) == zone).toList(), List.of(fleet.workersByZone[z]));
         }
-        List<DispatcherState.Worker> here = List.of(fleet.ring[1]);
-        int[] owners = homes.deal(fleet.ring[1]);
+        List<DispatcherState.Worker> here = List.of(fleet.workersByZone[1]);
+        int[] owners = ownership.assignWarmOwners(fleet.workersByZone[1]);
         for (int i = 0; i < owners.length; i++) {
             assertEquals(owners[i], here.get(i).warmOwner);
         }
-        List<DispatcherState.Worker> ours = here.stream().filter(homes::ours).toList();
-        assertEquals(ours, List.of(fleet.ours));
+        List<DispatcherState.Worker> ours = here.stream().filter(ownership::isOwnedLocally).toList();
+        assertEquals(ours, List.of(fleet.ownedWorkers));
         assertEquals(
                 ours,
                 all.stream()
                         .filter(w -> w.ownedLocally)
                         .sorted(Comparator.comparing(sorted::indexOf))
                         .toList());
-        assertEquals(ours.stream().filter(w -> w.coldSince != 0).toList(), List.copyOf(fleet.coldOurs()));
-        assertEquals(here.stream().anyMatch(w -> w.coldSince != 0), fleet.anyCold());
+        assertEquals(ours.stream().filter(w -> w.coldSince != 0).toList(), List.copyOf(fleet.coldOwned()));
+        assertEquals(here.stream().anyMatch(w -> w.coldSince != 0), fleet.hasCold());
         assertEquals(ours.stream().filter(w -> w.suspect).toList(), fleet.watched(0, ours.size()));
-        for (int k = 0; k < fleet.groups(); k++) {
+        for (int k = 0; k < fleet.kindGroups(); k++) {
             int kind = k == 2 ? -1 : k;
             List<DispatcherState.Worker> present =
                     here.stream().filter(w -> w.kind == kind).toList();
-            assertEquals(present.size(), fleet.present(k));
+            assertEquals(present.size(), fleet.presentCount(k));
             assertEquals(
                     present.stream()
                             .filter(w -> !w.suspect && w.state == Contract.WorkerState.IN_SERVICE)
                             .count(),
-                    fleet.counted(k));
+                    fleet.availableCount(k));
         }
     }
 }
