--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -7,12 +7,6 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import saffronferry.DispatcherState.Attempt;
-import saffronferry.DispatcherState.HeldQueue;
-import saffronferry.DispatcherState.Job;
-import saffronferry.DispatcherState.JobMap;
-import saffronferry.DispatcherState.Peer;
-import saffronferry.DispatcherState.Worker;
 import saffronferry.Contract.Actions;
 import saffronferry.Contract.Effect;
 import saffronferry.Contract.Group;
@@ -25,6 +19,12 @@
 import saffronferry.Contract.Tenant;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
+import saffronferry.DispatcherState.Attempt;
+import saffronferry.DispatcherState.HeldQueue;
+import saffronferry.DispatcherState.Job;
+import saffronferry.DispatcherState.JobMap;
+import saffronferry.DispatcherState.Peer;
+import saffronferry.DispatcherState.Worker;
 import saffronferry.fleet.CallPace;
 import saffronferry.fleet.ColdRate;
 import saffronferry.fleet.ColdShares;
@@ -32,76 +32,141 @@
 import saffronferry.fleet.TalkBudget;
 import saffronferry.fleet.WatchEnd;
 
-/** Networked queues: push to a free slot of the own zone, else hold with P, else spill to a neighbour. */
+/**
+ * The decisions of one dispatcher, after the networked-queues design: a job goes to a free slot of its own zone;
+ * without one it is held with the acceptance probability P, and else spilled to a neighbour zone that offers a slot.
+ */
 public final class Dispatcher implements Contract.Events {
-    // ---- constants; times in microseconds ----
-    private static final long TICK = 25_000; // housekeeping step, far below any aim worth having
-    private static final long MIN_PERIOD = 50_000; // shortest exchange period: the paper's
-    private static final long MAX_PERIOD = 1_000_000; // older news says nothing about jobs of about a second
-    private static final double PROBE_SPEND = 0.002; // the same for probes
-    private static final long OFFER_LIFE = 400_000; // an offered slot stays free about that long
-    private static final int LEAST_FAN = 2; // guardians of cold workers, and others, told at a time
-    private static final int OFFER_LOOKS = 16; // peers looked at for an offer, however many there are
-    private static final double SPILL_P = 0.9; // a spill needs a neighbour that holds next to nothing
-    private static final int SAMPLE = 4; // free workers compared for one job, however many there are
-    private static final double SUSPECT_NATS = 8; // silence this improbable (1 in 3000) makes a suspect
-    private static final int RESETS = 2; // broken connections without a sign of life between them
-    private static final int ERRORS = 2; // failed jobs without a served one between them
-    private static final long TRIAL = 1_000_000; // first wait before a suspect gets one trial job; doubles
-    private static final int DOUBLINGS = 3;
-    private static final long FULL_REST = 100_000; // a worker that said full is left alone; doubles
-    private static final int FULL_DOUBLINGS = 5;
-    private static final double FIRST_MEAN = 500_000; // running time before any answer, or the aim
-    private static final double LATE_ROOM = 0.3; // rounds of our slots of late jobs kept; more get refused
-    private static final double REPORT_AGE = 500_000; // about how old a report may be
-    private static final long PROBE_AGAIN = 150_000; // a worker that had nothing to report yet
-    private static final long SETTLE = 2_000_000; // a zone not heard from by then has no dispatcher
-    private static final long LEFT_ALONE = 10_000_000; // nor has one that has been silent so long
-    private static final double RATE_SPAN = 2; // seconds over which our rate is averaged
+    // ---- timing ----
+    /** Housekeeping interval: well below the wait that any class aims at. */
+    private static final long TICK_US = 25_000;
+    /** The shortest exchange period of the networked-queues paper. */
+    private static final long MIN_EXCHANGE_PERIOD_US = 50_000;
+    /** Older information says nothing about jobs that take about a second. */
+    private static final long MAX_EXCHANGE_PERIOD_US = 1_000_000;
+    /** An offered slot stays free for about that long. */
+    private static final long OFFER_LIFETIME_US = 400_000;
+    /** About how old a worker's report may be. */
+    private static final double REPORT_AGE_US = 500_000;
+    /** A zone that has not been heard from by this time after the start has no dispatcher. */
+    private static final long STARTUP_SETTLE_US = 2_000_000;
+    /** A zone that has been silent for so long has lost its dispatchers; a restart takes less. */
+    private static final long ZONE_ABANDONED_AFTER_US = 10_000_000;
+    /** Time over which the own request rate is averaged. */
+    private static final double RATE_AVERAGING_S = 2;
+
+    // ---- placing and spilling ----
+    /** Open workers that are compared for one job, however many there are. */
+    private static final int SAMPLED_WORKERS = 4;
+    /** Peers that are searched for an offer, however many there are. */
+    private static final int SEARCHED_PEERS = 16;
+    /** Least P of a neighbour that jobs are spilled to: it holds next to nothing. */
+    private static final double MIN_SPILL_ACCEPTANCE = 0.9;
+    /** Least number of guardians of cold workers, and of other peers, that one exchange reaches. */
+    private static final int MIN_FANOUT = 2;
+    /** Running time of a job before any has ended, unless the class's aim is longer. */
+    private static final double INITIAL_RUNNING_TIME_US = 500_000;
+    /** Late jobs that are held, as a multiple of this dispatcher's slots; more are refused. */
+    private static final double MAX_LATE_ROUNDS = 0.3;
+
+    // ---- probes ----
+    /** Part of the value of its requests that a dispatcher may spend on probes. */
+    private static final double PROBE_SPENDING_SHARE = 0.002;
+    /** Time until the next probe of a worker that had nothing to report yet. */
+    private static final long PROBE_RETRY_US = 150_000;
+
+    // ---- worker health ----
+    /** A silence of this improbability, 1 in 3000, makes a worker suspect. */
+    private static final double SUSPICION_NATS = 8;
+    /** Broken connections without a sign of life between them that make a worker suspect. */
+    private static final int RESETS_UNTIL_SUSPECT = 2;
+    /** Failed jobs without a served one between them that make a worker suspect. */
+    private static final int ERRORS_UNTIL_SUSPECT = 2;
+    /** Time until a suspect worker gets one trial job; doubles with each failed trial. */
+    private static final long FIRST_TRIAL_DELAY_US = 1_000_000;
+
+    private static final int MAX_TRIAL_DELAY_DOUBLINGS = 3;
+    /** Time for which a worker that answered "full" gets no jobs; doubles each time in a row. */
+    private static final long FIRST_FULL_BACKOFF_US = 100_000;
+
+    private static final int MAX_FULL_BACKOFF_DOUBLINGS = 5;
+
+    // ---- timer tokens ----
     private static final long TICK_TOKEN = 1;
     private static final long SUBSCRIBE_TOKEN = 2;
-    private static final int IN_SHARE = 0; // ranks of held jobs, served in this order
-    private static final int OVER_SHARE = 1;
-    private static final int LATE = 2;
-    private static final int BOUND = 3; // tied to a group or asking many slots: tried each tick
 
-    private final Settings s;
-    private final Actions out;
+    // ---- ranks of held jobs, served in this order ----
+    private static final int RANK_IN_SHARE = 0;
+    private static final int RANK_OVER_SHARE = 1;
+    private static final int RANK_LATE = 2;
+    /** Jobs that only some workers may take (tied to a group or asking several slots): tried each tick. */
+    private static final int RANK_CONSTRAINED = 3;
+
+    private final Settings settings;
+    private final Actions actions;
     private final SplittableRandom random;
     private final WorkerIndex workerIndex;
     private final JobMap jobs = new JobMap();
     private final HeldQueue[][] queues; // by class and rank
-    private final PriorityQueue<Job> leaving = new PriorityQueue<>(Job.BY_DEADLINE);
+    private final PriorityQueue<Job> jobsByDeadline = new PriorityQueue<>(Job.BY_DEADLINE);
     private final Peer[] peers;
-    private final long[] heardIn; // when a dispatcher of the zone was heard last; 0 = never
-    private final Lessons known; // learned slots of workers and running times
-    private final Peer twin = new Peer(-1); // the process that we replace, or that replaces us
-    private final Allowances allowances; // what tenants may ask for changes while we run
-    private final boolean[] blocked; // classes for which a drain has found no slot
-    private double p = 1, r = 1, zoneSlots, share = 1, trafficShare, rate, probeCredit;
-    private final RepeatBudget repeats;
-    private final TalkBudget talk;
-    private final CallPace calls;
-    private final ColdShares shares;
+    private final long[] zoneLastHeardAt; // 0: never
+    private final Lessons estimates; // of the slots of workers and the running times of jobs
+    /** Another process of this dispatcher, which replaces this one or is replaced by it. */
+    private final Peer siblingProcess = new Peer(-1);
+
+    private final Allowances allowances;
+    private final boolean[] classBlocked; // classes for which no slot was found while held jobs were sent
+    /** P: the probability with which another job is accepted here. */
+    private double acceptance = 1;
+    /** R: the probability that this dispatcher or one of its neighbours accepts another job. */
+    private double combinedAcceptance = 1;
+
+    private double zoneSlots;
+    private double zoneTrafficShare = 1;
+    private double fleetTrafficShare;
+    private double requestRate;
+    private double probeCredit;
+    private final RepeatBudget repeatBudget;
+    private final TalkBudget talkBudget;
+    private final CallPace discoveryPace;
+    private final ColdShares coldShares;
     private final WorkerOwnership ownership;
     private final ColdRate coldRate;
-    private int processes = 1; // of this dispatcher: budgets are for both together
-    private int heldSlots, arrivals, homesMark, turn, neighbour, probeTurn, checkTurn, goneByNow;
-    private long now, lastTick, bornAt, nextExchange, lastExchange, offersUntil, wordUntil, ticks;
-    private long period = MIN_PERIOD;
+    private int processCount = 1; // processes of this dispatcher, which share its budgets
+    private int heldSlots;
+    private int arrivalsSinceTick;
+    private int ownershipFingerprint; // 0: workers have to be reassigned
+    private int lastToldPeer;
+    private int lastToldZoneOffset;
+    private int probePosition;
+    private int healthCheckPosition;
+    private int finishedSinceCleanup;
+    private long now;
+    private long lastTickAt;
+    private long startedAt;
+    private long nextExchangeAt;
+    private long lastExchangeAt;
+    private long zoneOffersValidUntil;
+    private long coldAnnouncedUntil;
+    private long tickCount;
+    private long exchangePeriod = MIN_EXCHANGE_PERIOD_US;
     private final boolean probing;
-    private boolean begun, settled, mayOpen = true, coldHere;
+    private boolean listReceived;
+    private boolean settled;
+    private boolean canOpenAttempts = true;
+    private boolean zoneHasCold;
 
     public Dispatcher(Settings settings, Actions actions) {
-        s = settings;
-        out = actions;
+        this.settings = settings;
+        this.actions = actions;
         random = new SplittableRandom(settings.seed());
         workerIndex = new WorkerIndex(settings.zones(), settings.kinds(), settings.zone());
-        heardIn = new long[settings.zones()];
+        zoneLastHeardAt = new long[settings.zones()];
         queues = new HeldQueue[settings.classes().size()][];
         for (int c = 0; c < queues.length; c++) {
-            queues[c] = new HeldQueue[BOUND + 1];
-            for (int rank = 0; rank <= BOUND; rank++) {
+            queues[c] = new HeldQueue[RANK_CONSTRAINED + 1];
+            for (int rank = 0; rank <= RANK_CONSTRAINED; rank++) {
                 queues[c][rank] = new HeldQueue();
             }
         }
@@ -109,114 +174,123 @@
         for (int i = 0; i < peers.length; i++) {
             peers[i] = new Peer(i);
         }
-        shares = new ColdShares(settings.self(), settings.peers());
-        ownership = new WorkerOwnership(settings.zones(), settings.zone(), shares);
+        coldShares = new ColdShares(settings.self(), settings.peers());
+        ownership = new WorkerOwnership(settings.zones(), settings.zone(), coldShares);
         coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
-        repeats = new RepeatBudget(settings.peers());
-        calls = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
-        talk = new TalkBudget(settings.peerPrice(), Message.MOST_BYTES, MIN_PERIOD, MAX_PERIOD);
-        known = new Lessons(settings.kinds(), settings.classes(), FIRST_MEAN);
-        blocked = new boolean[queues.length];
+        repeatBudget = new RepeatBudget(settings.peers());
+        discoveryPace = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
+        talkBudget = new TalkBudget(
+                settings.peerPrice(), Message.MOST_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
+        estimates = new Lessons(settings.kinds(), settings.classes(), INITIAL_RUNNING_TIME_US);
+        classBlocked = new boolean[queues.length];
         allowances = new Allowances(settings.tenants());
-        trafficShare = 1.0 / settings.peers();
+        fleetTrafficShare = 1.0 / settings.peers();
         probing = settings.reports() && settings.mayProbe();
     }
 
     // ---- ordinary path: place, hold, spill ----
     @Override
-    public void request(long clock, Request q) {
+    public void request(long clock, Request request) {
         now = clock;
-        JobClass spec = s.classes().get(q.jobClass());
-        arrivals++;
-        repeats.asked();
-        probeCredit = Math.min(probeCredit + PROBE_SPEND / Math.max(s.probePrice(), 1e-3), 20);
-        Job j = new Job(q, spec, now, allowances.beyond(q.tenant()));
-        jobs.put(j);
-        leaving.add(j);
-        if (q.slots() > 1 && fitsNowhere(j)) {
-            end(j);
+        JobClass spec = settings.classes().get(request.jobClass());
+        arrivalsSinceTick++;
+        repeatBudget.asked();
+        probeCredit = Math.min(probeCredit + PROBE_SPENDING_SHARE / Math.max(settings.probePrice(), 1e-3), 20);
+        Job job = new Job(request, spec, now, allowances.beyond(request.tenant()));
+        jobs.put(job);
+        jobsByDeadline.add(job);
+        if (request.slots() > 1 && fitsNoWorker(job)) {
+            endUnserved(job);
             return;
         }
-        if (!queuedBefore(j) && sendTo(j, choose(j))) {
+        if (!hasOlderInQueue(job) && sendTo(job, chooseWorker(job))) {
             return;
         }
-        p = acceptance();
-        if (random.nextDouble() >= p && spill(j)) {
+        acceptance = currentAcceptance();
+        if (random.nextDouble() >= acceptance && spill(job)) {
             return;
         }
-        // danger: the next housekeeping may come after the client has left
-        if (q.validUntil() <= now + 2 * TICK || rankOf(j) == LATE && !roomForLate()) {
-            end(j);
+        // with less than two ticks left the client may be gone before a held job is looked at again
+        if (request.validUntil() <= now + 2 * TICK_US || rankOf(job) == RANK_LATE && !hasRoomForLate()) {
+            endUnserved(job);
         } else {
-            hold(j, false);
-            drain();
-            // others offer what they have free once we tell that a job waits
-            if (j.queue != null) {
-                nextExchange = Math.min(nextExchange, lastExchange + period / 4);
+            hold(job, false);
+            sendHeld();
+            // a message that says P < 1 makes peers offer their free slots: exchange sooner
+            if (job.queue != null) {
+                nextExchangeAt = Math.min(nextExchangeAt, lastExchangeAt + exchangePeriod / 4);
             }
         }
     }
 
-    /** Older jobs of the same or a better rank go first; then a new one has no claim on a slot. */
-    private boolean queuedBefore(Job j) {
-        return queues[j.request.jobClass()][rankOf(j)].head != null;
+    /** Whether older jobs of the same class and rank are held; they go first, so a new one may not take a slot. */
+    private boolean hasOlderInQueue(Job job) {
+        return queues[job.request.jobClass()][rankOf(job)].head != null;
     }
 
-    private int rankOf(Job j) {
-        // danger: clients refused come back at once; most are late by now and must not push out new ones
-        return j.request.repeat() ? LATE : j.overShare ? OVER_SHARE : IN_SHARE;
+    private int rankOf(Job job) {
+        // Refused clients retry at once, and most of their requests are late by then: served first, they would make
+        // the new requests late in turn.
+        return job.request.repeat() ? RANK_LATE : job.overShare ? RANK_OVER_SHARE : RANK_IN_SHARE;
     }
 
-    /** P = m/(N+m): N slots asked by held jobs, m the zone's slots times our share of its traffic. */
-    private double acceptance() {
-        return accept(heldSlots, Math.max(zoneSlots * share, 1));
+    /** P = m / (N + m): N slots are asked by held jobs, and m is this dispatcher's share of the zone's slots. */
+    private double currentAcceptance() {
+        return acceptanceProbability(heldSlots, Math.max(zoneSlots * zoneTrafficShare, 1));
     }
 
-    static double accept(double n, double m) {
-        return m / (n + m);
+    static double acceptanceProbability(double heldSlots, double totalSlots) {
+        return totalSlots / (heldSlots + totalSlots);
     }
 
-    private boolean roomForLate() {
-        return Arrays.stream(queues).mapToInt(of -> of[LATE].slots).sum() < zoneSlots * share * LATE_ROOM;
+    private boolean hasRoomForLate() {
+        return Arrays.stream(queues).mapToInt(byRank -> byRank[RANK_LATE].slots).sum()
+                < zoneSlots * zoneTrafficShare * MAX_LATE_ROUNDS;
     }
 
-    /** An own-zone worker of the class's kind with enough free slots, or null. */
-    private Worker choose(Job j) {
-        Worker w = freest(j);
-        return w != null ? w : offeredInZone(j);
+    /** A worker of the own zone and of the class's kind with enough free slots, or null. */
+    private Worker chooseWorker(Job job) {
+        Worker worker = freestOwnedWorker(job);
+        return worker != null ? worker : takeOfferInZone(job);
     }
 
-    /** A free slot of the zone that another dispatcher fills: known to be free only if that one offers it. */
-    private Worker offeredInZone(Job j) {
+    /** A slot of another owner in the zone, or null. It is known to be free only if the owner offers it. */
+    private Worker takeOfferInZone(Job job) {
         int from = random.nextInt(peers.length);
-        for (int i = 0; i < Math.min(OFFER_LOOKS, peers.length); i++) {
-            Peer y = peers[(from + i) % peers.length];
-            Worker w = y.zone == s.zone() ? offered(j, y) : null;
-            if (w != null) {
-                return w;
+        for (int i = 0; i < Math.min(SEARCHED_PEERS, peers.length); i++) {
+            Peer peer = peers[(from + i) % peers.length];
+            Worker worker = peer.zone == settings.zone() ? takeOffer(job, peer) : null;
+            if (worker != null) {
+                return worker;
             }
         }
         return null;
     }
 
-    // Danger: dispatchers that see the same free slot take it together. Each worker has an owner, one of its
-    // zone's dispatchers, that alone fills it and so knows its free slots exactly.
-    private Worker freest(Job j) {
+    /**
+     * The best owned worker for a job, or null. Dispatchers that see the same free slot would all send a job to it, so
+     * each worker has an owner among its zone's dispatchers: it alone sends there, and so knows the free slots exactly.
+     */
+    private Worker freestOwnedWorker(Job job) {
         Worker best = null;
         double bestScore = 0;
-        // danger: deaf ones take all warm workers for free; a cold one, seldom asked, would stay idle
-        for (Worker w : workerIndex.coldOwned()) {
-            if (w.openIndex >= 0 && w.coldBudget.small() && usable(j, w)) {
-                return w;
+        // A dispatcher that receives no peer messages owns all workers, and always finds a warm one that looks free.
+        // Its share of a cold worker's budget is small and lost when unused: the worker would stay idle.
+        for (Worker worker : workerIndex.coldOwned()) {
+            if (worker.openIndex >= 0 && worker.coldBudget.small() && canTake(job, worker)) {
+                return worker;
             }
         }
         for (int k = 0; k < workerIndex.kindGroups(); k++) {
-            int n = j.spec.kind() < 0 || j.spec.kind() == k ? workerIndex.openCount(k) : 0;
-            for (int i = 0; i < Math.min(n, SAMPLE); i++) {
-                Worker w = workerIndex.openWorker(k, n <= SAMPLE ? i : random.nextInt(n));
-                double score = free(w) - w.runningTimeRatio + random.nextDouble() * 0.2 - (w.zone == s.zone() ? 0 : 100);
-                if ((best == null || score > bestScore) && usable(j, w)) {
-                    best = w;
+            int open = job.spec.kind() < 0 || job.spec.kind() == k ? workerIndex.openCount(k) : 0;
+            for (int i = 0; i < Math.min(open, SAMPLED_WORKERS); i++) {
+                Worker worker = workerIndex.openWorker(k, open <= SAMPLED_WORKERS ? i : random.nextInt(open));
+                double score = freeSlots(worker)
+                        - worker.runningTimeRatio
+                        + random.nextDouble() * 0.2
+                        - (worker.zone == settings.zone() ? 0 : 100);
+                if ((best == null || score > bestScore) && canTake(job, worker)) {
+                    best = worker;
                     bestScore = score;
                 }
             }
@@ -224,82 +298,88 @@
         return best;
     }
 
-    private boolean usable(Job j, Worker w) {
-        return fits(j, w)
-                && free(w) >= j.request.slots()
-                && maySend(j, w)
-                && (w.coldSince == 0 || !j.resetDuringAttempt && coldCovers(w, cost(j, w), heldSlots > 0));
+    private boolean canTake(Job job, Worker worker) {
+        return fits(job, worker)
+                && freeSlots(worker) >= job.request.slots()
+                && maySend(job, worker)
+                && (worker.coldSince == 0
+                        || !job.resetDuringAttempt
+                                && coldBudgetCovers(worker, expectedSlotTimeUs(job, worker), heldSlots > 0));
     }
 
-    private boolean fits(Job j, Worker w) {
-        return (j.spec.kind() < 0 || j.spec.kind() == w.kind) && now >= w.backoffUntil;
+    private boolean fits(Job job, Worker worker) {
+        return (job.spec.kind() < 0 || job.spec.kind() == worker.kind) && now >= worker.backoffUntil;
     }
 
-    /** Danger: held on, a job too large for any worker would drive P to 0 and end our offers. */
-    private boolean fitsNowhere(Job j) {
-        int all = 0;
+    /**
+     * Whether a job asks for more slots than any worker has. Held until its deadline, such a job would keep P low, and
+     * this dispatcher would offer no slots for as long.
+     */
+    private boolean fitsNoWorker(Job job) {
+        int present = 0;
         for (int k = 0; k < workerIndex.kindGroups(); k++) {
-            boolean fits = known.weight[k] == 0 || 2 * known.ours(k) >= j.request.slots();
-            if (workerIndex.presentCount(k) > 0 && fits && (j.spec.kind() < 0 || j.spec.kind() == k)) {
+            boolean fits = estimates.weight[k] == 0 || 2 * estimates.ours(k) >= job.request.slots();
+            if (workerIndex.presentCount(k) > 0 && fits && (job.spec.kind() < 0 || job.spec.kind() == k)) {
                 return false;
             }
-            all += workerIndex.presentCount(k);
+            present += workerIndex.presentCount(k);
         }
-        return all > 0;
+        return present > 0;
     }
 
-    private void hold(Job j, boolean front) {
-        queues[j.request.jobClass()][rankOf(j)].add(j, front);
-        heldSlots += j.request.slots();
+    private void hold(Job job, boolean front) {
+        queues[job.request.jobClass()][rankOf(job)].add(job, front);
+        heldSlots += job.request.slots();
     }
 
-    private void unhold(Job j) {
-        if (j.queue != null) {
-            j.queue.remove(j);
-            heldSlots -= j.request.slots();
+    private void stopHolding(Job job) {
+        if (job.queue != null) {
+            job.queue.remove(job);
+            heldSlots -= job.request.slots();
         }
     }
 
-    /** Held jobs leave as slots free. */
-    private void drain() {
-        Arrays.fill(blocked, false);
-        while (heldSlots > 0 && mayOpen) {
-            Job j = nextHeld();
-            if (j == null) {
+    /** Sends held jobs for as long as there are slots for them. */
+    private void sendHeld() {
+        Arrays.fill(classBlocked, false);
+        while (heldSlots > 0 && canOpenAttempts) {
+            Job job = nextHeld();
+            if (job == null) {
                 return;
             }
-            Worker w = choose(j);
-            if (w != null) {
-                sendTo(j, w);
-            } else if (j.attemptCount > 0 || j.request.slots() > 1) {
-                j.queue.moveTo(j, queues[j.request.jobClass()][BOUND]);
+            Worker worker = chooseWorker(job);
+            if (worker != null) {
+                sendTo(job, worker);
+            } else if (job.attemptCount > 0 || job.request.slots() > 1) {
+                job.queue.moveTo(job, queues[job.request.jobClass()][RANK_CONSTRAINED]);
             } else {
-                blocked[j.request.jobClass()] = true;
+                classBlocked[job.request.jobClass()] = true;
             }
         }
     }
 
-    private boolean kindOpen(int kind) {
-        return workerIndex.hasOpen(kind) || now < offersUntil;
+    private boolean mayHaveSlot(int kind) {
+        return workerIndex.hasOpen(kind) || now < zoneOffersValidUntil;
     }
 
-    /** Best rank first; in it the earliest latest start, or in overload the most worth a second. */
+    /** Best rank first; within it the earliest latest start or, in overload, the most value for its running time. */
     private Job nextHeld() {
-        boolean overload = heldSlots > zoneSlots * share * 0.5;
-        for (int rank = IN_SHARE; rank <= LATE; rank++) {
+        boolean overload = heldSlots > zoneSlots * zoneTrafficShare * 0.5;
+        for (int rank = RANK_IN_SHARE; rank <= RANK_LATE; rank++) {
             Job best = null;
             double bestScore = 0;
             for (int c = 0; c < queues.length; c++) {
-                if (rank != LATE) {
+                if (rank != RANK_LATE) {
                     retireLate(c, rank);
                 }
-                Job j = queues[c][rank].head;
-                if (j == null || blocked[c] || !kindOpen(j.spec.kind())) {
+                Job job = queues[c][rank].head;
+                if (job == null || classBlocked[c] || !mayHaveSlot(job.spec.kind())) {
                     continue;
                 }
-                double score = overload ? j.spec.worth() / known.mean[c] : -(j.arrivedAt + (double) slack(c));
+                double score =
+                        overload ? job.spec.worth() / estimates.mean[c] : -(job.arrivedAt + (double) slackUs(c));
                 if (best == null || score > bestScore) {
-                    best = j;
+                    best = job;
                     bestScore = score;
                 }
             }
@@ -310,160 +390,177 @@
         return null;
     }
 
-    private void retireLate(int c, int rank) {
-        Job j = queues[c][rank].head;
-        while (j != null && j.arrivedAt + slack(c) < now) {
-            Job next = j.next;
-            boolean keep = j.attemptsInFlight > 0 || roomForLate() && j.spec.lateWorth() > 0;
-            // no slot will be idle for more of them: an early refusal costs less than a late one
+    /** Moves jobs that can no longer be in time to the late rank, or refuses them where that has no room. */
+    private void retireLate(int jobClass, int rank) {
+        Job job = queues[jobClass][rank].head;
+        while (job != null && job.arrivedAt + slackUs(jobClass) < now) {
+            Job next = job.next;
+            boolean keep = job.attemptsInFlight > 0 || hasRoomForLate() && job.spec.lateWorth() > 0;
+            // no slot will be idle for more late jobs, and an early refusal costs the client less than a late one
             if (keep) {
-                j.queue.moveTo(j, queues[c][LATE]);
+                job.queue.moveTo(job, queues[jobClass][RANK_LATE]);
             } else {
-                end(j);
+                endUnserved(job);
             }
-            j = next;
+            job = next;
         }
     }
 
     /** How long a job of the class may wait and probably still be in time. */
-    private long slack(int c) {
-        JobClass spec = s.classes().get(c);
-        double spare = (spec.stretch() * known.base[c] - known.mean[c]) / 2;
+    private long slackUs(int jobClass) {
+        JobClass spec = settings.classes().get(jobClass);
+        double spare = (spec.stretch() * estimates.base[jobClass] - estimates.mean[jobClass]) / 2;
         return (long) Math.max(spec.aim() + spare, spec.aim() * 0.3);
     }
 
-    /** Offers the job to a neighbour drawn with weight 1 - (1-R_y)/(1-P); false if none has a slot for it. */
-    private boolean spill(Job j) {
+    /** Sends the job to a neighbour drawn with weight 1 - (1 - R_y) / (1 - P); false if none has a slot for it. */
+    private boolean spill(Job job) {
         double sum = 0;
-        for (Peer y : peers) {
-            sum += weight(j, y);
-        }
-        double at = random.nextDouble() * sum;
-        for (Peer y : peers) {
-            double w = weight(j, y);
-            at -= w;
-            if (w > 0 && at < 0) {
-                return sendTo(j, offered(j, y));
+        for (Peer peer : peers) {
+            sum += neighbourWeight(job, peer);
+        }
+        double remaining = random.nextDouble() * sum;
+        for (Peer peer : peers) {
+            double weight = neighbourWeight(job, peer);
+            remaining -= weight;
+            if (weight > 0 && remaining < 0) {
+                return sendTo(job, takeOffer(job, peer));
             }
         }
         return false;
     }
 
-    // Danger: a draw among all neighbours of a large workerIndex meets one with nothing to give; the job is held
-    // while slots that others offered pass. Who has none for it is no neighbour in this draw
-    private double weight(Job j, Peer y) {
-        return isNeighbour(y) && y.acceptance >= SPILL_P && offerFor(j, y) >= 0 ? drawWeight(p, y.combinedAcceptance) : 0;
+    /**
+     * A peer's weight in the draw of {@link #spill}; 0 if it offers no slot for the job. In a large fleet most
+     * neighbours have nothing to offer. If they took part, the draw would mostly end at one of them and the job be held
+     * while slots that others offered go unused.
+     */
+    private double neighbourWeight(Job job, Peer peer) {
+        return isNeighbour(peer) && peer.acceptance >= MIN_SPILL_ACCEPTANCE && findOffer(job, peer) >= 0
+                ? spillWeight(acceptance, peer.combinedAcceptance)
+                : 0;
     }
 
-    static double drawWeight(double p, double r) {
-        return p >= 1 ? 0 : Math.max(0, 1 - (1 - r) / (1 - p));
+    static double spillWeight(double acceptance, double neighbourCombinedAcceptance) {
+        return acceptance >= 1 ? 0 : Math.max(0, 1 - (1 - neighbourCombinedAcceptance) / (1 - acceptance));
     }
 
-    private boolean isNeighbour(Peer y) {
-        return y.zone >= 0 && y.zone != s.zone() && fresh(y);
+    private boolean isNeighbour(Peer peer) {
+        return peer.zone >= 0 && peer.zone != settings.zone() && isHeard(peer);
     }
 
-    private boolean fresh(Peer y) {
-        return y.lastHeardAt > 0 && now - y.lastHeardAt <= y.silenceTimeout();
+    private boolean isHeard(Peer peer) {
+        return peer.lastHeardAt > 0 && now - peer.lastHeardAt <= peer.silenceTimeout();
     }
 
-    /** A high P says that nobody waits, not that a slot is free: only a slot that y offered is used, once. */
-    private Worker offered(Job j, Peer y) {
-        int i = offerFor(j, y);
-        if (i < 0) {
+    /**
+     * Takes a slot that the peer offered, or returns null. A high P says that no job waits there, not that a slot is
+     * free: only offered slots are used, each once.
+     */
+    private Worker takeOffer(Job job, Peer peer) {
+        int offer = findOffer(job, peer);
+        if (offer < 0) {
             return null;
         }
-        y.consumeOffer(i, j.request.slots(), cost(j, y.offeredWorkers[i]));
-        y.offeredWorkers[i].lender = y.number;
-        workerIndex.markChanged(y.offeredWorkers[i]);
-        return y.offeredWorkers[i];
-    }
-
-    /** Which of y's offers the job may use, or -1. */
-    private int offerFor(Job j, Peer y) {
-        for (int i = 0; i < y.offeredWorkers.length && now - y.offeredAt < OFFER_LIFE; i++) {
-            Worker w = y.offeredWorkers[i];
-            if (w != null
-                    && y.offerCovers(i, j.request.slots(), cost(j, w))
-                    && fits(j, w)
-                    && (w.coldSince == 0 || y.offeredAsBudget[i] && !j.resetDuringAttempt)
-                    && !(w.suspect && now < w.nextTrialAt)
-                    && maySend(j, w)) {
+        Worker worker = peer.offeredWorkers[offer];
+        peer.consumeOffer(offer, job.request.slots(), expectedSlotTimeUs(job, worker));
+        worker.lender = peer.number;
+        workerIndex.markChanged(worker);
+        return worker;
+    }
+
+    /** Index of a peer's offer that the job may use, or -1. */
+    private int findOffer(Job job, Peer peer) {
+        for (int i = 0; i < peer.offeredWorkers.length && now - peer.offeredAt < OFFER_LIFETIME_US; i++) {
+            Worker worker = peer.offeredWorkers[i];
+            if (worker != null
+                    && peer.offerCovers(i, job.request.slots(), expectedSlotTimeUs(job, worker))
+                    && fits(job, worker)
+                    && (worker.coldSince == 0 || peer.offeredAsBudget[i] && !job.resetDuringAttempt)
+                    && !(worker.suspect && now < worker.nextTrialAt)
+                    && maySend(job, worker)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private boolean sendTo(Job j, Worker w) {
-        if (w == null || !mayOpen) {
+    private boolean sendTo(Job job, Worker worker) {
+        if (worker == null || !canOpenAttempts) {
             return false;
         }
-        Attempt a = new Attempt(j, w, j.attemptCount, now);
-        unhold(j);
-        j.add(a);
-        w.attempts.add(a);
-        w.localSlots += j.request.slots();
-        if (w.ownedLocally) {
-            w.coldBudget.send(cost(j, w), s.tellsStart() ? now : 0);
+        Attempt attempt = new Attempt(job, worker, job.attemptCount, now);
+        stopHolding(job);
+        job.add(attempt);
+        worker.attempts.add(attempt);
+        worker.localSlots += job.request.slots();
+        if (worker.ownedLocally) {
+            worker.coldBudget.send(expectedSlotTimeUs(job, worker), settings.tellsStart() ? now : 0);
         }
-        if (w.suspect) {
-            awaitTrial(w);
+        if (worker.suspect) {
+            scheduleTrial(worker);
         }
-        refresh(w);
-        tellLender(w);
-        out.send(j.request.id(), w.address);
+        refresh(worker);
+        reportToLender(worker);
+        actions.send(job.request.id(), worker.address);
         return true;
     }
 
     // ---- slot learning ----
-    private int kindIndex(int kind) {
-        return kind < 0 ? known.slots.length - 1 : kind;
+    private int kindGroup(int kind) {
+        return kind < 0 ? estimates.slots.length - 1 : kind;
     }
 
-    private double free(Worker w) {
-        // on trial: one job at a time
-        double slots = w.failedTrials > 0 ? 1 : known.usable(kindIndex(w.kind));
-        return slots - w.localSlots - w.peerSlots;
+    private double freeSlots(Worker worker) {
+        // on trial a worker gets one job at a time
+        double slots = worker.failedTrials > 0 ? 1 : estimates.usable(kindGroup(worker.kind));
+        return slots - worker.localSlots - worker.peerSlots;
     }
 
-    /** Keeps the set of workers that may have a free slot in step with what is known. */
-    private void refresh(Worker w) {
-        int taken = w.localSlots + w.peerSlots;
-        w.averageUsedSlots += (w.usedSlotsAtUpdate - w.averageUsedSlots) * (1 - Math.exp((w.usedSlotsUpdatedAt - now) / REPORT_AGE));
-        if (w.usedSlotsAtUpdate == 0 && taken > 0) {
-            w.busySince = now;
+    /** Updates the average of used slots and the worker's place in the indexes after something has changed. */
+    private void refresh(Worker worker) {
+        int usedSlots = worker.localSlots + worker.peerSlots;
+        worker.averageUsedSlots += (worker.usedSlotsAtUpdate - worker.averageUsedSlots)
+                * (1 - Math.exp((worker.usedSlotsUpdatedAt - now) / REPORT_AGE_US));
+        if (worker.usedSlotsAtUpdate == 0 && usedSlots > 0) {
+            worker.busySince = now;
         }
-        w.usedSlotsAtUpdate = taken;
-        w.usedSlotsUpdatedAt = now;
-        workerIndex.updateIndexes(w, w.ownedLocally && w.state == WorkerState.IN_SERVICE && !w.suspect && free(w) >= 1);
+        worker.usedSlotsAtUpdate = usedSlots;
+        worker.usedSlotsUpdatedAt = now;
+        workerIndex.updateIndexes(
+                worker,
+                worker.ownedLocally
+                        && worker.state == WorkerState.IN_SERVICE
+                        && !worker.suspect
+                        && freeSlots(worker) >= 1);
     }
 
-    private void learn(Worker w, Report report) {
-        double x0 = report.freeSlots();
-        if (Double.isNaN(x0)) {
+    private void learnFromReport(Worker worker, Report report) {
+        double freeSlots = report.freeSlots();
+        if (Double.isNaN(freeSlots)) {
             return;
         }
-        refresh(w);
-        int k = kindIndex(w.kind);
-        known.learnIdle(k, x0);
+        refresh(worker);
+        int kindGroup = kindGroup(worker.kind);
+        estimates.learnIdle(kindGroup, freeSlots);
         if (!Double.isNaN(report.held()) && !Double.isNaN(report.queued())) {
-            known.learnSlots(k, x0 + report.held() - report.queued());
-        } else if (w.ownedLocally) { // the one that fills a worker knows of all jobs there
-            // the report is old: what it leaves out is what all of us had there lately, not what we have now
-            double total = x0 - (report.queued() > 0 ? report.queued() : 0) + w.averageUsedSlots;
-            known.learnSlots(k, total);
+            estimates.learnSlots(kindGroup, freeSlots + report.held() - report.queued());
+        } else if (worker.ownedLocally) { // only the owner knows of all jobs at a worker
+            // The report is old by now. What it leaves out are the slots that were in use when it was made, not those
+            // in use now; the average over a report's age stands for them.
+            double total = freeSlots - (report.queued() > 0 ? report.queued() : 0) + worker.averageUsedSlots;
+            estimates.learnSlots(kindGroup, total);
         }
-        refresh(w);
+        refresh(worker);
     }
 
-    private void probeSome() {
+    private void sendProbes() {
         for (int i = 0; i < 4 && probing && probeCredit >= 1 && workerIndex.ownedCount() > 0; i++) {
-            Worker w = workerIndex.ownedWorker(Math.floorMod(probeTurn++, workerIndex.ownedCount()));
-            if (w.state == WorkerState.IN_SERVICE && now - w.lastProbeAt > MAX_PERIOD) {
-                w.lastProbeAt = now - random.nextLong(MAX_PERIOD / 4);
+            Worker worker = workerIndex.ownedWorker(Math.floorMod(probePosition++, workerIndex.ownedCount()));
+            if (worker.state == WorkerState.IN_SERVICE && now - worker.lastProbeAt > MAX_EXCHANGE_PERIOD_US) {
+                worker.lastProbeAt = now - random.nextLong(MAX_EXCHANGE_PERIOD_US / 4);
                 probeCredit -= 1;
-                out.probe(w.address);
+                actions.probe(worker.address);
             }
         }
     }
@@ -471,671 +568,733 @@
     @Override
     public void probed(long clock, String address, Outcome outcome, Report report) {
         now = clock;
-        Worker w = workerIndex.get(address);
-        if (w != null && outcome == Outcome.CONNECT_FAILED) {
-            broken(w, false);
+        Worker worker = workerIndex.get(address);
+        if (worker != null && outcome == Outcome.CONNECT_FAILED) {
+            handleBroken(worker, false);
         }
-        if (w != null && report != null) {
-            learn(w, report);
+        if (worker != null && report != null) {
+            learnFromReport(worker, report);
         }
-        if (w != null && report == null && known.weight[kindIndex(w.kind)] == 0) {
-            w.lastProbeAt = now - MAX_PERIOD + PROBE_AGAIN;
+        if (worker != null && report == null && estimates.weight[kindGroup(worker.kind)] == 0) {
+            worker.lastProbeAt = now - MAX_EXCHANGE_PERIOD_US + PROBE_RETRY_US;
         }
-        drain();
+        sendHeld();
     }
 
-    // ---- gossip ----
-    private Message message(Message.Type type) {
-        Message m = new Message(type, s.zone(), p, r, rate, period);
-        m.at = now;
-        m.cold = coldHere;
-        if (coldHere || now < wordUntil) {
-            Peer.attachMembership(peers, shares, s.zone(), m);
+    // ---- messages between dispatchers ----
+    private Message newMessage(Message.Type type) {
+        Message message = new Message(
+                type, settings.zone(), acceptance, combinedAcceptance, requestRate, exchangePeriod);
+        message.at = now;
+        message.cold = zoneHasCold;
+        if (zoneHasCold || now < coldAnnouncedUntil) {
+            Peer.attachMembership(peers, coldShares, settings.zone(), message);
         }
-        return m;
+        return message;
     }
 
-    /** Tells neighbours (P, R) and what they need of our slots; the period stretches with what that costs. */
+    /** Sends (P, R) and free slots to peers; the next exchange is the later, the more bytes this one took. */
     private void exchange() {
-        r = 1 - (1 - p) * notAccepting();
-        Message offer = offers();
-        tellZone(talk.fan(peers.length, offer.size(), rate), offer);
-        tellNeighbours();
-        period = talk.period(rate);
+        combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
+        Message offer = newOffer();
+        sendToOwnZone(talkBudget.fan(peers.length, offer.size(), requestRate), offer);
+        sendToNeighbourZone();
+        exchangePeriod = talkBudget.period(requestRate);
     }
 
-    private void tell(int peer, Message m) {
-        if (!s.mayTell() || peer == s.self()) {
+    private void sendToPeer(int peer, Message message) {
+        if (!settings.mayTell() || peer == settings.self()) {
             return;
         }
-        talk.spent(m.size());
-        out.tell(peer, m.bytes());
+        talkBudget.spent(message.size());
+        actions.tell(peer, message.bytes());
     }
 
-    /** The next so many peers of our zone, before others those that have cold workers' budgets to lend. */
-    private void tellZone(int most, Message m) {
-        int[] first = workerIndex.guardians(shares, coldHere ? Math.max(most - 1, LEAST_FAN) : 0, ticks);
-        for (int guardian : first) {
-            tell(guardian, m);
+    /** Sends to at most {@code limit} peers of the zone in turn; first to guardians, which can lend cold budgets. */
+    private void sendToOwnZone(int limit, Message message) {
+        int[] guardians =
+                workerIndex.guardians(coldShares, zoneHasCold ? Math.max(limit - 1, MIN_FANOUT) : 0, tickCount);
+        for (int guardian : guardians) {
+            sendToPeer(guardian, message);
         }
-        int fan = Math.max(Math.min(LEAST_FAN, most), most - first.length);
-        for (int i = 0; i < peers.length && fan > 0; i++) {
-            turn = (turn + 1) % peers.length;
-            Peer y = peers[turn];
-            if (y.number != s.self() && (y.zone < 0 || y.zone == s.zone())) {
-                fan--;
-                tell(y.number, m);
+        int remaining = Math.max(Math.min(MIN_FANOUT, limit), limit - guardians.length);
+        for (int i = 0; i < peers.length && remaining > 0; i++) {
+            lastToldPeer = (lastToldPeer + 1) % peers.length;
+            Peer peer = peers[lastToldPeer];
+            if (peer.number != settings.self() && (peer.zone < 0 || peer.zone == settings.zone())) {
+                remaining--;
+                sendToPeer(peer.number, message);
             }
         }
     }
 
-    /** Danger: a word to each of many zones takes the place of those to our own. They hear us in turn. */
-    private void tellNeighbours() {
-        neighbour = 1 + neighbour % Math.max(1, s.zones() - 1);
-        Peer y = Peer.firstInZone((s.zone() + neighbour) % s.zones(), peers, random.nextInt(peers.length));
-        if (y != null && y.zone != s.zone()) {
-            tell(y.number, offers().undated());
+    /**
+     * Sends to one peer of one other zone, the zones in turn. A message to each of many zones would use up the byte
+     * budget for the peers of the own zone.
+     */
+    private void sendToNeighbourZone() {
+        lastToldZoneOffset = 1 + lastToldZoneOffset % Math.max(1, settings.zones() - 1);
+        int zone = (settings.zone() + lastToldZoneOffset) % settings.zones();
+        Peer peer = Peer.firstInZone(zone, peers, random.nextInt(peers.length));
+        if (peer != null && peer.zone != settings.zone()) {
+            sendToPeer(peer.number, newOffer().undated());
         }
     }
 
-    /** Product of 1-P over neighbours. */
-    private double notAccepting() {
+    /** The probability that no neighbour accepts a job: the product of 1 - P over the neighbours. */
+    private double neighboursRejectProbability() {
         double product = 1;
-        for (Peer y : peers) {
-            product *= isNeighbour(y) ? 1 - y.acceptance : 1;
+        for (Peer peer : peers) {
+            product *= isNeighbour(peer) ? 1 - peer.acceptance : 1;
         }
         return product;
     }
 
-    /** Some free slots of workers that we fill first, for others to take; none while jobs wait here. */
-    private Message offers() {
-        Message m = message(Message.Type.OFFERS);
+    /** An offer of some free slots of owned workers; of none while jobs are held here. */
+    private Message newOffer() {
+        Message message = newMessage(Message.Type.OFFERS);
         Worker last = null;
         for (int k = 0; k < workerIndex.kindGroups() && heldSlots == 0; k++) {
             for (int i = 0; i < Math.min(workerIndex.openCount(k), 3); i++) {
-                Worker w = workerIndex.openWorker(k, random.nextInt(workerIndex.openCount(k)));
-                if (w.coldSince == 0 && w != last && w.failedTrials == 0) {
-                    m.add(w.hash, (int) (free(w) + 1) / 2);
-                    last = w;
+                Worker worker = workerIndex.openWorker(k, random.nextInt(workerIndex.openCount(k)));
+                if (worker.coldSince == 0 && worker != last && worker.failedTrials == 0) {
+                    message.add(worker.hash, (int) (freeSlots(worker) + 1) / 2);
+                    last = worker;
                 }
             }
         }
-        return m;
+        return message;
     }
 
-    /** Parts of what cold workers of ours can take, for one that asks; spent before they are told. */
-    private Message lend(Peer y, Message m) {
-        double part = Peer.roundUpToBudgetUnits(known.longest());
-        for (Worker w : y.mayLend(m, now, s.zone()) ? workerIndex.coldOwned() : List.<Worker>of()) {
-            if (w.openIndex >= 0 && coldCovers(w, part, true)) {
-                y.lend(w, part, m, now);
+    /** Adds loans of the budgets of owned cold workers to a message for a peer that asks for slots. */
+    private Message addLoans(Peer peer, Message message) {
+        double share = Peer.roundUpToBudgetUnits(estimates.longest());
+        for (Worker worker :
+                peer.mayLend(message, now, settings.zone()) ? workerIndex.coldOwned() : List.<Worker>of()) {
+            if (worker.openIndex >= 0 && coldBudgetCovers(worker, share, true)) {
+                peer.lend(worker, share, message, now);
             }
         }
-        return m;
+        return message;
     }
 
-    /** Danger: a cold worker's parts that nobody here waits for lie idle beside jobs held elsewhere. */
-    private void giveBack(Peer y, boolean wanted) {
-        if (!y.hasUnusedLoan(wanted, now, OFFER_LIFE)) {
+    /**
+     * Returns borrowed budget that no job here waits for, or that has expired. Kept, it would leave the cold worker
+     * idle while other dispatchers hold jobs.
+     */
+    private void returnUnusedLoan(Peer peer, boolean wanted) {
+        if (!peer.hasUnusedLoan(wanted, now, OFFER_LIFETIME_US)) {
             return;
         }
-        tell(y.number, y.returnUnusedBudget(message(Message.Type.RETURNS)));
+        sendToPeer(peer.number, peer.returnUnusedBudget(newMessage(Message.Type.RETURNS)));
     }
 
-    /** A job on a slot that another dispatcher fills: it must hear of it at once, and of its end. */
-    private void tellLender(Worker w) {
-        if (w.ownedLocally || w.lender < 0) {
+    /** Tells the owner of a borrowed worker at once which slots local jobs use there, or use no more. */
+    private void reportToLender(Worker worker) {
+        if (worker.ownedLocally || worker.lender < 0) {
             return;
         }
-        Message m = message(Message.Type.BORROWS);
-        m.add(w.hash, w.localSlots);
-        tell(w.lender, m);
-        peers[w.lender].scheduleHoldsReport(now);
+        Message message = newMessage(Message.Type.BORROWS);
+        message.add(worker.hash, worker.localSlots);
+        sendToPeer(worker.lender, message);
+        peers[worker.lender].scheduleHoldsReport(now);
     }
 
     @Override
-    public void peerMessage(long clock, int peer, byte[] bytes) {
+    public void peerMessage(long clock, int peerNumber, byte[] bytes) {
         now = clock;
-        Message m = Message.read(bytes, now);
-        if (m == null || peer < 0 || peer >= peers.length || peer == s.self() || m.zone >= s.zones()) {
+        Message message = Message.read(bytes, now);
+        if (message == null
+                || peerNumber < 0
+                || peerNumber >= peers.length
+                || peerNumber == settings.self()
+                || message.zone >= settings.zones()) {
             return;
         }
-        Peer y = peers[peer];
-        // danger: a silence of days (one of us was stopped) must not count as the pace at which it speaks
-        if (y.lastHeardAt > 0 && !fresh(y)) {
-            y.forget(this::refresh);
-        }
-        boolean stranger = y.lastHeardAt == 0;
-        y.recordMessage(m, now, MAX_PERIOD);
-        if (m.cold && m.zone == s.zone()) {
-            wordUntil = now + ColdShares.LEASE;
-        } // our list may be late
-        shares.says(peer, m.zone != s.zone(), m.word, m.hears, m.elsewhere, m.at, now);
-        heardIn[m.zone] = now;
-        // a message that offers nothing while P is below one asks: who has a free slot answers with an offer
-        boolean asks = m.type == Message.Type.OFFERS && m.entries == 0 && m.p < 1 && heldSlots == 0;
-        // a stranger may just have started: let it know us too
-        if (stranger || asks && workerIndex.hasOpen()) {
-            Message answer = asks ? lend(y, offers()) : offers();
-            tell(peer, stranger ? Peer.attachOtherZones(shares, answer) : answer);
-        }
-        Worker[] named = workerIndex.find(m.type == Message.Type.OFFERS ? y.zone : s.zone(), m); // whose workers
-        if (m.type == Message.Type.OFFERS) {
-            giveBack(y, false); // what it lent before makes room for what it offers now
-            y.recordOffers(named, m, now, bornAt, OFFER_LIFE);
-            offersUntil = y.zone == s.zone() && m.entries > 0 ? now + OFFER_LIFE : offersUntil;
-        } else if (m.type == Message.Type.RETURNS) {
-            y.acceptReturnedBudget(named, m, now);
-        } else if (m.type == Message.Type.HOLDS) {
-            y.replaceHolds(named, m.count, now, this::refresh);
+        Peer peer = peers[peerNumber];
+        // After one side was stopped for days, the gap between two messages would be averaged into the peer's interval,
+        // and its failure would go unnoticed for as long: start anew.
+        if (peer.lastHeardAt > 0 && !isHeard(peer)) {
+            peer.forget(this::refresh);
+        }
+        boolean firstMessage = peer.lastHeardAt == 0;
+        peer.recordMessage(message, now, MAX_EXCHANGE_PERIOD_US);
+        // the list here may be late, and not name a cold worker that the peer knows
+        if (message.cold && message.zone == settings.zone()) {
+            coldAnnouncedUntil = now + ColdShares.LEASE;
+        }
+        coldShares.says(
+                peerNumber,
+                message.zone != settings.zone(),
+                message.word,
+                message.hears,
+                message.elsewhere,
+                message.at,
+                now);
+        zoneLastHeardAt[message.zone] = now;
+        // with P < 1 the peer holds jobs, and without an offer of its own it asks for slots: answer with an offer
+        boolean asks =
+                message.type == Message.Type.OFFERS && message.entries == 0 && message.p < 1 && heldSlots == 0;
+        // a peer that is heard for the first time may have just started, and has to learn of this dispatcher too
+        if (firstMessage || asks && workerIndex.hasOpen()) {
+            Message answer = asks ? addLoans(peer, newOffer()) : newOffer();
+            sendToPeer(peerNumber, firstMessage ? Peer.attachOtherZones(coldShares, answer) : answer);
+        }
+        int zoneOfWorkers = message.type == Message.Type.OFFERS ? peer.zone : settings.zone();
+        Worker[] named = workerIndex.find(zoneOfWorkers, message);
+        if (message.type == Message.Type.OFFERS) {
+            returnUnusedLoan(peer, false); // the new offer replaces an earlier loan
+            peer.recordOffers(named, message, now, startedAt, OFFER_LIFETIME_US);
+            zoneOffersValidUntil = peer.zone == settings.zone() && message.entries > 0
+                    ? now + OFFER_LIFETIME_US
+                    : zoneOffersValidUntil;
+        } else if (message.type == Message.Type.RETURNS) {
+            peer.acceptReturnedBudget(named, message, now);
+        } else if (message.type == Message.Type.HOLDS) {
+            peer.replaceHolds(named, message.count, now, this::refresh);
         } else {
-            y.updateHolds(named, m.count, now, this::refresh);
+            peer.updateHolds(named, message.count, now, this::refresh);
         }
-        r = 1 - (1 - p) * notAccepting();
-        drain();
-        giveBack(y, heldSlots > 0);
-        if (isNeighbour(y) && m.type == Message.Type.OFFERS && m.entries > 0) {
+        combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
+        sendHeld();
+        returnUnusedLoan(peer, heldSlots > 0);
+        if (isNeighbour(peer) && message.type == Message.Type.OFFERS && message.entries > 0) {
             spillHeld();
         }
     }
 
-    /** Danger: a zone that lost its workers would hold and refuse while a neighbour's stand idle. */
+    /**
+     * Draws held jobs for spilling again when a neighbour offers slots. A zone that lost its workers would otherwise
+     * hold its jobs and refuse them at their deadlines while a neighbour's workers stand idle.
+     */
     private void spillHeld() {
-        p = acceptance();
-        for (int rank : new int[] {IN_SHARE, LATE}) { // what lies beyond a share is not worth a crossing
-            for (HeldQueue[] of : queues) {
-                Job j = of[rank].head;
-                while (j != null && random.nextDouble() >= p && spill(j)) {
-                    j = of[rank].head;
+        acceptance = currentAcceptance();
+        for (int rank : new int[] {RANK_IN_SHARE, RANK_LATE}) { // over-share jobs are not worth a slot of another zone
+            for (HeldQueue[] byRank : queues) {
+                Job job = byRank[rank].head;
+                while (job != null && random.nextDouble() >= acceptance && spill(job)) {
+                    job = byRank[rank].head;
                 }
             }
         }
     }
 
-    /** A peer that fell silent (restart, cut, death) no longer holds slots here. */
+    /** Drops the holds of peers that have fallen silent: restarted, cut off by the network, or failed. */
     private void forgetSilentPeers() {
-        for (Peer y : peers) {
-            if (y.lastHeardAt > 0 && !fresh(y)) {
-                y.forget(this::refresh);
+        for (Peer peer : peers) {
+            if (peer.lastHeardAt > 0 && !isHeard(peer)) {
+                peer.forget(this::refresh);
             }
-            y.dropExpiredHolds(now, this::refresh);
+            peer.dropExpiredHolds(now, this::refresh);
         }
     }
 
-    private void learnShares() {
-        Peer.TrafficShares traffic = Peer.trafficShares(peers, s.self(), s.zone(), rate);
-        share = traffic.ofZone();
-        trafficShare = traffic.ofFleet();
+    private void updateShares() {
+        Peer.TrafficShares traffic = Peer.trafficShares(peers, settings.self(), settings.zone(), requestRate);
+        zoneTrafficShare = traffic.ofZone();
+        fleetTrafficShare = traffic.ofFleet();
         zoneSlots = 0;
-        // danger: who does not fill a worker would take it for cold for good, and use no slot offered there
-        homesMark = workerIndex.promoteWarm(now - s.cold()) ? 0 : homesMark; // it goes from its guardian to its owner
-        coldHere = workerIndex.hasCold();
+        // Every dispatcher times the warm-up of all workers, not only of those it owns: one that took a worker for cold
+        // for good would use no slot offered there. A worker that is warm passes from its guardian to its warm owner.
+        ownershipFingerprint = workerIndex.promoteWarm(now - settings.cold()) ? 0 : ownershipFingerprint;
+        zoneHasCold = workerIndex.hasCold();
         for (int k = 0; k < workerIndex.kindGroups(); k++) {
-            zoneSlots += workerIndex.availableCount(k) * known.ours(k);
+            zoneSlots += workerIndex.availableCount(k) * estimates.ours(k);
         }
     }
 
     // ---- health ----
     private void checkHealth() {
         int step = Math.min(workerIndex.ownedCount(), 1 + workerIndex.ownedCount() / 8);
-        for (Worker w : workerIndex.watched(checkTurn, step)) {
-            if (w.suspect && w.attempts.isEmpty() && now >= w.nextTrialAt) {
-                clear(w, w.failedTrials);
+        for (Worker worker : workerIndex.watched(healthCheckPosition, step)) {
+            if (worker.suspect && worker.attempts.isEmpty() && now >= worker.nextTrialAt) {
+                clearSuspicion(worker, worker.failedTrials);
             }
-            if (!w.suspect && Silence.nats(w, now, known, s) > SUSPECT_NATS) {
-                suspect(w);
+            if (!worker.suspect && Silence.nats(worker, now, estimates, settings) > SUSPICION_NATS) {
+                markSuspect(worker);
             }
         }
-        checkTurn += step;
-    }
-
-    /** Danger: a hung worker takes jobs and holds its slots for ever. It leaves m; its jobs move. */
-    private void suspect(Worker w) {
-        w.suspect = true;
-        awaitTrial(w);
-        refresh(w);
-        for (Attempt a : new ArrayList<>(w.attempts)) {
-            Job j = a.job;
-            if (j.finished
-                    || j.streaming
-                    || j.spec.effect() == Effect.UNSAFE
-                    || j.attemptCount >= s.maxAttempts()
-                    || a.cancelled
-                    || now > j.request.validUntil() - 3 * TICK) {
+        healthCheckPosition += step;
+    }
+
+    /**
+     * Takes a worker out of service and moves its jobs to others. A worker that hangs accepts jobs and never ends them:
+     * its slots stay in use for good, and would still count as slots of the zone in P.
+     */
+    private void markSuspect(Worker worker) {
+        worker.suspect = true;
+        scheduleTrial(worker);
+        refresh(worker);
+        for (Attempt attempt : new ArrayList<>(worker.attempts)) {
+            Job job = attempt.job;
+            if (job.finished
+                    || job.streaming
+                    || job.spec.effect() == Effect.UNSAFE
+                    || job.attemptCount >= settings.maxAttempts()
+                    || attempt.cancelled
+                    || now > job.request.validUntil() - 3 * TICK_US) {
                 continue;
             }
-            if (s.parallel() && j.queue == null && mayRepeat(j)) {
-                hold(j, true);
-            } else if (!s.parallel()) {
-                cancel(a);
+            if (settings.parallel() && job.queue == null && takeRepeat(job)) {
+                hold(job, true);
+            } else if (!settings.parallel()) {
+                cancel(attempt);
             }
         }
     }
 
-    private void awaitTrial(Worker w) {
-        w.nextTrialAt = now + spread(TRIAL << Math.min(w.failedTrials, DOUBLINGS));
-        w.failedTrials = next(w.failedTrials);
+    private void scheduleTrial(Worker worker) {
+        worker.nextTrialAt = now
+                + withJitter(FIRST_TRIAL_DELAY_US << Math.min(worker.failedTrials, MAX_TRIAL_DELAY_DOUBLINGS));
+        worker.failedTrials = saturatingIncrement(worker.failedTrials);
     }
 
-    // Danger: what all of a workerIndex, or all refused at once, wait equally long for comes back in step, for ever
-    private long spread(long least) {
-        return least + random.nextLong(least / 4 + 1);
+    /**
+     * Adds up to a quarter at random. After a common outage all dispatchers wait, and clients refused at one time wait
+     * too; with equal delays they would come back together, and again after each further delay.
+     */
+    private long withJitter(long minDelayUs) {
+        return minDelayUs + random.nextLong(minDelayUs / 4 + 1);
     }
 
-    /** Danger: a count that wraps turns a shift, an index or a rate into nonsense. It stays at its end. */
-    static int next(int count) {
+    /** Counts up to the largest int and stays there: a count that wraps would be a negative shift, index or divisor. */
+    static int saturatingIncrement(int count) {
         return Math.min(count, Integer.MAX_VALUE - 1) + 1;
     }
 
-    private void sign(Worker w) {
-        w.lastSignOfLifeAt = now;
-        w.consecutiveResets = 0;
-        if (w.suspect && w.consecutiveErrors < ERRORS) {
-            clear(w, 0);
+    private void recordSignOfLife(Worker worker) {
+        worker.lastSignOfLifeAt = now;
+        worker.consecutiveResets = 0;
+        if (worker.suspect && worker.consecutiveErrors < ERRORS_UNTIL_SUSPECT) {
+            clearSuspicion(worker, 0);
         }
     }
 
-    private void clear(Worker w, int failedTrials) {
-        w.failedTrials = failedTrials;
-        w.suspect = false;
-        w.busySince = now;
-        refresh(w);
+    private void clearSuspicion(Worker worker, int failedTrials) {
+        worker.failedTrials = failedTrials;
+        worker.suspect = false;
+        worker.busySince = now;
+        refresh(worker);
     }
 
-    /** Danger: a worker that broke a connection may have restarted; it is cold before the list says so. */
-    private void broken(Worker w, boolean restarted) {
+    /** A worker that breaks connections may have restarted: it is treated as cold before the list says that it is. */
+    private void handleBroken(Worker worker, boolean restarted) {
         if (restarted) {
-            chill(now, w);
+            markCold(now, worker);
         }
-        if (!w.suspect) {
-            suspect(w);
+        if (!worker.suspect) {
+            markSuspect(worker);
         }
     }
 
     // ---- ends of attempts and requests ----
-    private Attempt attempt(long id, int number) {
-        Job j = jobs.get(id);
-        return j != null && number >= 0 && number < j.attemptCount ? j.attempts[number] : null;
+    private Attempt findAttempt(long id, int number) {
+        Job job = jobs.get(id);
+        return job != null && number >= 0 && number < job.attemptCount ? job.attempts[number] : null;
     }
 
     @Override
     public void note(long clock, long id, int number, boolean started) {
         now = clock;
-        Attempt a = attempt(id, number);
-        if (a != null) {
-            if (started && a.startedAt == 0) {
-                a.worker.coldBudget.growth.started(now, a.sentAt);
+        Attempt attempt = findAttempt(id, number);
+        if (attempt != null) {
+            if (started && attempt.startedAt == 0) {
+                attempt.worker.coldBudget.growth.started(now, attempt.sentAt);
             }
-            a.startedAt = started ? now : a.startedAt;
-            a.lastProgressAt = now;
-            sign(a.worker);
+            attempt.startedAt = started ? now : attempt.startedAt;
+            attempt.lastProgressAt = now;
+            recordSignOfLife(attempt.worker);
         }
     }
 
     @Override
     public void streamStarted(long clock, long id, int number) {
         now = clock;
-        Attempt a = attempt(id, number);
-        if (a != null) {
-            a.job.streaming = true;
-            unhold(a.job);
-            sign(a.worker);
+        Attempt attempt = findAttempt(id, number);
+        if (attempt != null) {
+            attempt.job.streaming = true;
+            stopHolding(attempt.job);
+            recordSignOfLife(attempt.worker);
         }
     }
 
     @Override
-    public void attemptEnded(long clock, long id, int number, Outcome outcome, long took, boolean over, Report report) {
+    public void attemptEnded(
+            long clock, long id, int number, Outcome outcome, long took, boolean answered, Report report) {
         now = clock;
-        Attempt a = attempt(id, number);
-        if (a == null || a.ended) {
+        Attempt attempt = findAttempt(id, number);
+        if (attempt == null || attempt.ended) {
             return;
         }
-        Job j = a.job;
-        Worker w = a.worker;
-        a.ended = true;
-        a.neverRan = outcome.neverRan;
-        a.workerReportedError = outcome == Outcome.ERROR;
-        j.resetDuringAttempt |= outcome == Outcome.RESET;
-        j.attemptsInFlight--;
-        w.attempts.remove(a);
-        w.localSlots -= j.request.slots();
-        observe(a, outcome, took);
+        Job job = attempt.job;
+        Worker worker = attempt.worker;
+        attempt.ended = true;
+        attempt.neverRan = outcome.neverRan;
+        attempt.workerReportedError = outcome == Outcome.ERROR;
+        job.resetDuringAttempt |= outcome == Outcome.RESET;
+        job.attemptsInFlight--;
+        worker.attempts.remove(attempt);
+        worker.localSlots -= job.request.slots();
+        recordOutcome(attempt, outcome, took);
         if (report != null) {
-            learn(w, report);
+            learnFromReport(worker, report);
         }
-        refresh(w);
-        tellLender(w);
-        if (j.finished && j.attemptsInFlight == 0) {
+        refresh(worker);
+        reportToLender(worker);
+        if (job.finished && job.attemptsInFlight == 0) {
             jobs.remove(id);
         }
-        if (!j.finished && over) {
-            finish(j);
+        if (!job.finished && answered) {
+            finish(job);
         }
-        if (!j.finished && j.attemptsInFlight == 0) {
-            again(j);
+        if (!job.finished && job.attemptsInFlight == 0) {
+            retryOrEnd(job);
         }
-        drain();
+        sendHeld();
     }
 
-    private void observe(Attempt a, Outcome outcome, long took) {
-        Worker w = a.worker;
+    private void recordOutcome(Attempt attempt, Outcome outcome, long took) {
+        Worker worker = attempt.worker;
         switch (outcome) {
             case OK -> {
-                w.consecutiveErrors = 0;
-                w.consecutiveFulls = a.sentAt > w.lastFullAt ? 0 : w.consecutiveFulls;
-                int c = a.job.request.jobClass();
-                long ran = a.startedAt > 0 ? Math.max(1, now - a.startedAt) : Math.max(1, took);
-                known.ran(c, kindIndex(w.kind), ran);
-                w.runningTimeRatio += (Math.min(4, ran / known.mean[c]) - w.runningTimeRatio) * 0.05;
-                sign(w);
+                worker.consecutiveErrors = 0;
+                worker.consecutiveFulls = attempt.sentAt > worker.lastFullAt ? 0 : worker.consecutiveFulls;
+                int jobClass = attempt.job.request.jobClass();
+                long ran = attempt.startedAt > 0 ? Math.max(1, now - attempt.startedAt) : Math.max(1, took);
+                estimates.ran(jobClass, kindGroup(worker.kind), ran);
+                worker.runningTimeRatio +=
+                        (Math.min(4, ran / estimates.mean[jobClass]) - worker.runningTimeRatio) * 0.05;
+                recordSignOfLife(worker);
             }
             case ERROR -> {
-                sign(w);
-                // danger: a worker that fails each job at once is always free and would draw all of them
-                if (++w.consecutiveErrors >= ERRORS) {
-                    suspect(w);
+                recordSignOfLife(worker);
+                // a worker that fails each job at once always has free slots, and would attract all jobs
+                if (++worker.consecutiveErrors >= ERRORS_UNTIL_SUSPECT) {
+                    markSuspect(worker);
                 }
             }
             case FULL -> {
-                // danger: a worker that drains before the list says so turns everything away
-                w.backoffUntil = now + spread(FULL_REST << Math.min(w.consecutiveFulls, FULL_DOUBLINGS));
-                w.consecutiveFulls = next(w.consecutiveFulls);
-                w.lastFullAt = now;
-                w.coldBudget.growth.waited(now);
+                // a worker that drains before the list says so rejects every job: back off, and longer each time
+                worker.backoffUntil = now
+                        + withJitter(FIRST_FULL_BACKOFF_US
+                                << Math.min(worker.consecutiveFulls, MAX_FULL_BACKOFF_DOUBLINGS));
+                worker.consecutiveFulls = saturatingIncrement(worker.consecutiveFulls);
+                worker.lastFullAt = now;
+                worker.coldBudget.growth.waited(now);
             }
-            case CONNECT_FAILED -> broken(w, false);
-            // danger: one broken connection is no broken worker; that one breaks all, and gives no other sign
+            case CONNECT_FAILED -> handleBroken(worker, false);
+            // One broken connection does not make a broken worker, whose jobs would all be moved. A broken one resets
+            // all its connections, with no other sign of life between them.
             case RESET -> {
-                if (++w.consecutiveResets >= RESETS) {
-                    broken(w, true);
+                if (++worker.consecutiveResets >= RESETS_UNTIL_SUSPECT) {
+                    handleBroken(worker, true);
                 }
             }
             default -> {}
         }
     }
 
-    /** Nothing of the job is in flight any more: hold it for another attempt, or end it. */
-    private void again(Job j) {
-        if (j.queue != null) {
+    /** No attempt of the job is in flight any more: holds it for another attempt, or ends it. */
+    private void retryOrEnd(Job job) {
+        if (job.queue != null) {
             return;
         }
-        boolean repeatable = j.spec.effect() != Effect.UNSAFE || j.provenNotRun();
-        boolean can =
-                repeatable && j.attemptCount < s.maxAttempts() && now < j.request.validUntil() - 3 * TICK && mayRepeat(j);
-        if (can) {
-            hold(j, true);
+        boolean repeatable = job.spec.effect() != Effect.UNSAFE || job.provenNotRun();
+        boolean retry = repeatable
+                && job.attemptCount < settings.maxAttempts()
+                && now < job.request.validUntil() - 3 * TICK_US
+                && takeRepeat(job);
+        if (retry) {
+            hold(job, true);
         } else {
-            end(j);
+            endUnserved(job);
         }
     }
 
-    /** Takes a repeat out of the budget, at once: many jobs may be held for it before any is sent. */
-    private boolean mayRepeat(Job j) {
-        return j.provenNotRun() || repeats.take();
+    /** Takes a repeat out of the budget already when a job is held for it: many may be held before one is sent. */
+    private boolean takeRepeat(Job job) {
+        return job.provenNotRun() || repeatBudget.take();
     }
 
-    private void end(Job j) {
-        if (mayRefuse(j)) {
-            out.refuse(j.request.id(), comeBack(j));
+    private void endUnserved(Job job) {
+        if (mayRefuse(job)) {
+            actions.refuse(job.request.id(), retryAfterUs(job));
         } else {
-            out.fail(j.request.id());
+            actions.fail(job.request.id());
         }
-        finish(j);
+        finish(job);
     }
 
-    /** When a refused client should return: once our part of the zone has run what we hold now. */
-    private long comeBack(Job j) {
-        double rounds = heldSlots / Math.max(zoneSlots * share, 1);
-        long least = Math.max(TICK, (long) (rounds * known.mean[j.request.jobClass()]));
-        return Math.min(s.maxRetryAfter(), spread(least));
+    /** When a refused client should retry: once this dispatcher's share of the zone has run the jobs held now. */
+    private long retryAfterUs(Job job) {
+        double rounds = heldSlots / Math.max(zoneSlots * zoneTrafficShare, 1);
+        long minDelayUs = Math.max(TICK_US, (long) (rounds * estimates.mean[job.request.jobClass()]));
+        return Math.min(settings.maxRetryAfter(), withJitter(minDelayUs));
     }
 
-    private void finish(Job j) {
-        j.finished = true;
-        unhold(j);
-        // danger: what is over must not fill memory until its client would have left
-        if (++goneByNow > 64 + leaving.size() / 2) {
-            leaving.removeIf(x -> x.finished);
-            goneByNow = 0;
+    private void finish(Job job) {
+        job.finished = true;
+        stopHolding(job);
+        // finished jobs stay in the deadline queue; left there until their deadlines they would fill the memory
+        if (++finishedSinceCleanup > 64 + jobsByDeadline.size() / 2) {
+            jobsByDeadline.removeIf(queued -> queued.finished);
+            finishedSinceCleanup = 0;
         }
-        if (j.attemptsInFlight == 0) {
-            jobs.remove(j.request.id());
+        if (job.attemptsInFlight == 0) {
+            jobs.remove(job.request.id());
         }
-        for (int i = 0; i < j.attemptCount && !j.streaming; i++) {
-            cancel(j.attempts[i]);
+        for (int i = 0; i < job.attemptCount && !job.streaming; i++) {
+            cancel(job.attempts[i]);
         }
     }
 
-    private void cancel(Attempt a) {
-        if (s.mayCancel() && !a.ended && !a.cancelled) {
-            a.cancelled = true;
-            out.cancel(a.job.request.id(), a.number);
+    private void cancel(Attempt attempt) {
+        if (settings.mayCancel() && !attempt.ended && !attempt.cancelled) {
+            attempt.cancelled = true;
+            actions.cancel(attempt.job.request.id(), attempt.number);
         }
     }
 
     @Override
     public void clientGone(long clock, long id) {
         now = clock;
-        Job j = jobs.get(id);
-        if (j != null && !j.finished) {
-            finish(j);
+        Job job = jobs.get(id);
+        if (job != null && !job.finished) {
+            finish(job);
         }
     }
 
-    // ---- the rules' guards ----
-    private static boolean mayRefuse(Job j) {
-        return j.spec.effect() == Effect.SAFE
-                || j.provenNotRun()
-                || j.spec.effect() == Effect.KEYED && j.spec.group() == Group.ALL;
+    // ---- what the rules allow ----
+    /** Whether the client may be told that a retry does no harm. */
+    private static boolean mayRefuse(Job job) {
+        return job.spec.effect() == Effect.SAFE
+                || job.provenNotRun()
+                || job.spec.effect() == Effect.KEYED && job.spec.group() == Group.ALL;
     }
 
-    /** May the job be sent to this worker now? Every path passes here. */
-    private boolean maySend(Job j, Worker w) {
-        if (j.finished
-                || j.streaming
-                || j.attemptCount >= s.maxAttempts()
-                || w.state != WorkerState.IN_SERVICE
-                || j.attemptsInFlight > 0 && !s.parallel()) {
+    /** Whether the rules allow sending the job to this worker now; checked before every attempt. */
+    private boolean maySend(Job job, Worker worker) {
+        if (job.finished
+                || job.streaming
+                || job.attemptCount >= settings.maxAttempts()
+                || worker.state != WorkerState.IN_SERVICE
+                || job.attemptsInFlight > 0 && !settings.parallel()) {
             return false;
         }
-        for (int i = 0; i < j.attemptCount; i++) {
-            Attempt a = j.attempts[i];
-            if (a.ended && a.neverRan) {
+        for (int i = 0; i < job.attemptCount; i++) {
+            Attempt attempt = job.attempts[i];
+            if (attempt.ended && attempt.neverRan) {
                 continue;
             }
-            // danger: the worker that failed it has a free slot at once, and would get all its attempts
-            if (a.workerReportedError && a.worker == w && anotherFor(j, w)) {
+            // the worker that failed the job has a free slot at once, and would get all its further attempts
+            if (attempt.workerReportedError && attempt.worker == worker && hasOtherWorker(job, worker)) {
                 return false;
             }
-            if (j.spec.effect() == Effect.UNSAFE || a.worker == w && !a.ended) {
+            if (job.spec.effect() == Effect.UNSAFE || attempt.worker == worker && !attempt.ended) {
                 return false;
             }
-            if (j.spec.effect() == Effect.KEYED
-                    && (now >= a.sentAt + j.spec.keyTtl() - TICK || !DispatcherState.sameGroup(j.spec.group(), a.worker, w))) {
+            if (job.spec.effect() == Effect.KEYED
+                    && (now >= attempt.sentAt + job.spec.keyTtl() - TICK_US
+                            || !DispatcherState.sameGroup(job.spec.group(), attempt.worker, worker))) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean anotherFor(Job j, Worker w) {
-        for (Worker x : workerIndex.inOwnZone()) {
-            if (x != w
-                    && x.state == WorkerState.IN_SERVICE
-                    && !x.suspect
-                    && (j.spec.effect() != Effect.KEYED || DispatcherState.sameGroup(j.spec.group(), w, x))) {
+    private boolean hasOtherWorker(Job job, Worker worker) {
+        for (Worker other : workerIndex.inOwnZone()) {
+            if (other != worker
+                    && other.state == WorkerState.IN_SERVICE
+                    && !other.suspect
+                    && (job.spec.effect() != Effect.KEYED
+                            || DispatcherState.sameGroup(job.spec.group(), worker, other))) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether our part of a cold worker's budget, which grows with its capacity, is enough for that work. */
-    private boolean coldCovers(Worker w, double work, boolean waits) {
-        double rate = coldRate.of(now - w.coldSince) * known.whole(kindIndex(w.kind)) / processes;
-        double part = w.coldBudget.part(shares, now, w.hash, w.zone == s.zone());
-        // danger: who goes beyond its part while warm workers have room fills slow ones first
-        part = waits ? w.coldBudget.growth.of(part, now) : part;
-        return w.coldBudget.covers(work, now, part, rate, shares.phase(w.hash));
+    /**
+     * Whether this dispatcher's share of a cold worker's budget, which grows with the worker's capacity, covers that
+     * slot time. The share may grow beyond its own part only while jobs wait: else the dispatcher would fill the slow
+     * cold workers first while warm ones have free slots.
+     */
+    private boolean coldBudgetCovers(Worker worker, double slotTimeUs, boolean jobsWait) {
+        double rate = coldRate.of(now - worker.coldSince) * estimates.whole(kindGroup(worker.kind)) / processCount;
+        double share = worker.coldBudget.part(coldShares, now, worker.hash, worker.zone == settings.zone());
+        share = jobsWait ? worker.coldBudget.growth.of(share, now) : share;
+        return worker.coldBudget.covers(slotTimeUs, now, share, rate, coldShares.phase(worker.hash));
     }
 
-    /** Slot time a job is expected to take there, on its own. */
-    private double cost(Job j, Worker w) {
-        return known.cost(j.request, kindIndex(w.kind));
+    /** Slot time that a job is expected to take at a worker if it runs there alone. */
+    private double expectedSlotTimeUs(Job job, Worker worker) {
+        return estimates.cost(job.request, kindGroup(worker.kind));
     }
 
-    private void chill(long start, Worker w) {
-        workerIndex.markCold(w, start);
-        coldHere = true;
-        homesMark = 0;
+    private void markCold(long restartedAt, Worker worker) {
+        workerIndex.markCold(worker, restartedAt);
+        zoneHasCold = true;
+        ownershipFingerprint = 0;
     }
 
     // ---- list of workers ----
     @Override
     public void workers(long clock, ListKind kind, List<WorkerInfo> entries) {
         now = clock;
-        boolean first = !begun;
-        begun = true;
-        boolean changed = kind != ListKind.CHANGES; // what a whole list does not name is gone
+        boolean first = !listReceived;
+        listReceived = true;
+        boolean changed = kind != ListKind.CHANGES; // a worker that a whole list does not name is gone
         if (changed) {
             workerIndex.markAllGone();
         }
-        for (WorkerInfo e : entries) {
-            changed |= take(e, first);
+        for (WorkerInfo entry : entries) {
+            changed |= applyEntry(entry, first);
         }
         if (changed) {
-            arrange();
+            reassignWorkers();
         }
         if (first) {
-            begin();
+            start();
         }
         if (kind != ListKind.WARM_COPY) {
-            calls.served();
+            discoveryPace.served();
         }
     }
 
-    private boolean take(WorkerInfo e, boolean first) {
-        Worker w = workerIndex.get(e.address());
-        boolean fresh = w == null;
-        if (fresh) {
-            w = new Worker(e.address(), e.kind());
-            workerIndex.add(w);
+    /** Applies one entry of a list; returns whether the worker is new or has changed its state or zone. */
+    private boolean applyEntry(WorkerInfo entry, boolean firstList) {
+        Worker worker = workerIndex.get(entry.address());
+        boolean added = worker == null;
+        if (added) {
+            worker = new Worker(entry.address(), entry.kind());
+            workerIndex.add(worker);
         }
-        boolean moved = fresh || w.state != e.state() || w.zone != e.zone();
-        w.zone = e.zone();
-        w.cell = e.cell();
-        w.state = e.state();
-        // a new start, or a machine that came up after us, is cold
-        long start = e.startedAt() > 0 ? e.startedAt() : fresh && !first ? now : 0;
-        if (start > w.coldSince && now - start < s.cold()) {
-            chill(start, w);
-            w.suspect = false;
-            w.failedTrials = 0;
+        boolean changed = added || worker.state != entry.state() || worker.zone != entry.zone();
+        worker.zone = entry.zone();
+        worker.cell = entry.cell();
+        worker.state = entry.state();
+        // cold is a worker whose start is recent, or that appears after the first list without a known start
+        long started = entry.startedAt() > 0 ? entry.startedAt() : added && !firstList ? now : 0;
+        if (started > worker.coldSince && now - started < settings.cold()) {
+            markCold(started, worker);
+            worker.suspect = false;
+            worker.failedTrials = 0;
         }
-        if (moved) {
-            workerIndex.markChanged(w);
+        if (changed) {
+            workerIndex.markChanged(worker);
         }
-        return moved;
+        return changed;
     }
 
-    private boolean served(int zone) {
-        return zone == s.zone() || heardIn[zone] > 0 && now - heardIn[zone] <= LEFT_ALONE;
+    private boolean hasDispatchers(int zone) {
+        return zone == settings.zone()
+                || zoneLastHeardAt[zone] > 0 && now - zoneLastHeardAt[zone] <= ZONE_ABANDONED_AFTER_US;
     }
 
-    /** Which zones have dispatchers, and who fills which worker first, as far as heard. */
-    private void learnHomes() {
-        settled = now - bornAt > SETTLE || peers.length == 1;
-        int mark = settled ? 1 : 0;
-        for (Peer y : peers) {
-            if (y.lastHeardAt > 0 && y.zone >= 0) {
-                int how = y.zone + (shares.counts(y.number, now) ? 0 : 1 << 20);
-                mark = (int) DispatcherState.mix(mark, 1 + y.number * s.zones() + how);
+    /** Reassigns the workers if the dispatchers that are heard, or the zones that have dispatchers, have changed. */
+    private void updateOwnership() {
+        settled = now - startedAt > STARTUP_SETTLE_US || peers.length == 1;
+        int fingerprint = settled ? 1 : 0;
+        for (Peer peer : peers) {
+            if (peer.lastHeardAt > 0 && peer.zone >= 0) {
+                int zoneAndCounted = peer.zone + (coldShares.counts(peer.number, now) ? 0 : 1 << 20);
+                fingerprint =
+                        (int) DispatcherState.mix(fingerprint, 1 + peer.number * settings.zones() + zoneAndCounted);
             }
         }
-        for (int z = 0; z < heardIn.length; z++) {
-            mark = (int) DispatcherState.mix(mark, served(z) ? z : ~z);
+        for (int z = 0; z < zoneLastHeardAt.length; z++) {
+            fingerprint = (int) DispatcherState.mix(fingerprint, hasDispatchers(z) ? z : ~z);
         }
-        if (mark != homesMark) {
-            homesMark = mark;
-            arrange();
+        if (fingerprint != ownershipFingerprint) {
+            ownershipFingerprint = fingerprint;
+            reassignWorkers();
         }
     }
 
-    /** Who has dispatchers, who of ours fills which worker, and what follows for those that change hands. */
-    private void arrange() {
-        int[] near = Arrays.stream(peers)
-                .filter(y -> y.number == s.self() || y.lastHeardAt > 0 && y.zone == s.zone())
-                .mapToInt(y -> y.number)
+    /** Assigns workers to zones and owners anew, and updates those whose assignment may have changed. */
+    private void reassignWorkers() {
+        int[] zoneMembers = Arrays.stream(peers)
+                .filter(peer -> peer.number == settings.self()
+                        || peer.lastHeardAt > 0 && peer.zone == settings.zone())
+                .mapToInt(peer -> peer.number)
+                .toArray();
+        BitSet servedZones = new BitSet();
+        for (int z = 0; z < zoneLastHeardAt.length; z++) {
+            servedZones.set(z, !settled || hasDispatchers(z));
+        }
+        int[] countedMembers = Arrays.stream(zoneMembers)
+                .filter(member -> coldShares.counts(member, now))
                 .toArray();
-        BitSet served = new BitSet();
-        for (int z = 0; z < heardIn.length; z++) {
-            served.set(z, !settled || served(z));
-        }
-        int[] counted = Arrays.stream(near).filter(y -> shares.counts(y, now)).toArray();
-        for (Worker w : workerIndex.reassign(ownership, ownership.update(near, counted, served), known)) {
-            if (w.assignedZone == s.zone()) {
-                own(w, ownership.owner(w));
+        boolean ownershipChanged = ownership.update(zoneMembers, countedMembers, servedZones);
+        for (Worker worker : workerIndex.reassign(ownership, ownershipChanged, estimates)) {
+            if (worker.assignedZone == settings.zone()) {
+                updateLender(worker, ownership.owner(worker));
             }
-            for (int i = 0; w.peerSlots > 0 && i < peers.length; i++) {
-                // its process took the jobs with it, or who fills it now hears of them: nobody will tell us
-                boolean elsewhere = !w.ownedLocally && peers[i].zone == s.zone();
-                if (elsewhere || w.state == WorkerState.GONE) {
-                    peers[i].setHold(w, 0, now);
+            for (int i = 0; worker.peerSlots > 0 && i < peers.length; i++) {
+                // a worker that is gone has no jobs, and the jobs at another dispatcher's worker are reported to that
+                // one: no message would ever end these holds
+                boolean reportedElsewhere = !worker.ownedLocally && peers[i].zone == settings.zone();
+                if (reportedElsewhere || worker.state == WorkerState.GONE) {
+                    peers[i].setHold(worker, 0, now);
                 }
             }
-            refresh(w);
+            refresh(worker);
         }
     }
 
-    private void own(Worker w, int owner) {
-        // danger: it changes hands with jobs on it, and who fills it now would count their slots as free
-        boolean unknown = w.localSlots > 0 && w.lender != owner;
-        w.lender = w.ownedLocally ? -1 : unknown ? owner : w.lender;
-        if (unknown) {
-            tellLender(w);
+    /**
+     * Records a worker's owner as the lender of the slots that local jobs use there. A worker may change its owner
+     * with local jobs on it; the new one would count their slots as free, so it is told of them.
+     */
+    private void updateLender(Worker worker, int owner) {
+        boolean newOwnerOfJobs = worker.localSlots > 0 && worker.lender != owner;
+        worker.lender = worker.ownedLocally ? -1 : newOwnerOfJobs ? owner : worker.lender;
+        if (newOwnerOfJobs) {
+            reportToLender(worker);
         }
     }
 
-    private void begin() {
-        lastTick = now;
-        bornAt = now;
-        learnHomes();
-        learnShares();
-        // a random phase: timers of a workerIndex that starts together must not run in step
-        nextExchange = now + random.nextLong(MIN_PERIOD);
-        for (Peer y : peers) {
-            tell(y.number, message(Message.Type.OFFERS));
+    private void start() {
+        lastTickAt = now;
+        startedAt = now;
+        updateOwnership();
+        updateShares();
+        // a random phase: the timers of a fleet that starts together must not run in step
+        nextExchangeAt = now + random.nextLong(MIN_EXCHANGE_PERIOD_US);
+        for (Peer peer : peers) {
+            sendToPeer(peer.number, newMessage(Message.Type.OFFERS));
         }
-        out.timer(TICK_TOKEN, 1 + random.nextLong(TICK));
+        actions.timer(TICK_TOKEN, 1 + random.nextLong(TICK_US));
         probeCredit = Math.min(12, workerIndex.ownedCount());
         for (int i = 0; i < 3; i++) {
-            probeTurn = random.nextInt(1 << 20);
-            probeSome();
+            probePosition = random.nextInt(1 << 20);
+            sendProbes();
         }
-        if (s.listOnDemand()) {
-            call(calls.first(random));
+        if (settings.listOnDemand()) {
+            subscribeAfter(discoveryPace.first(random));
         }
     }
 
-    // Danger: attempts that cannot be opened end at once and use up all tries
+    /** While attempts can't be opened none is sent: each would end at once and use up one of its job's attempts. */
     @Override
     public void room(long clock, boolean open) {
         now = clock;
-        mayOpen = open;
-        drain();
+        canOpenAttempts = open;
+        sendHeld();
     }
 
     @Override
     public void workersUnavailable(long clock, WatchEnd how) {
         now = clock;
-        call(calls.again(random, how));
+        subscribeAfter(discoveryPace.again(random, how));
     }
 
-    private void call(long after) {
-        if (after > 0) {
-            out.timer(SUBSCRIBE_TOKEN, calls.after(after, now));
+    private void subscribeAfter(long delayUs) {
+        if (delayUs > 0) {
+            actions.timer(SUBSCRIBE_TOKEN, discoveryPace.after(delayUs, now));
         } else {
-            out.subscribe();
+            actions.subscribe();
         }
     }
 
@@ -1156,118 +1315,123 @@
 
     @Override
     public Sharing sharing() {
-        return workerIndex.sharing(peers, shares, now);
+        return workerIndex.sharing(peers, coldShares, now);
     }
 
-    // ---- another process of this dispatcher, to replace or to be replaced by ----
+    // ---- another process of this dispatcher, which replaces this one or is replaced by it ----
     @Override
     public Beside beside() {
-        return new Beside(workerIndex.localSlotsByAddress(), known.told());
+        return new Beside(workerIndex.localSlotsByAddress(), estimates.told());
     }
 
     @Override
     public void beside(long clock, Beside other) {
         now = clock;
-        known.take(other.learned());
-        processes = other.equals(Beside.NOBODY) ? 1 : 2;
-        repeats.share(processes);
-        for (Worker w : workerIndex.all()) {
-            twin.setHold(w, other.jobs().getOrDefault(w.address, 0), now);
-            refresh(w);
+        estimates.take(other.learned());
+        processCount = other.equals(Beside.NOBODY) ? 1 : 2;
+        repeatBudget.share(processCount);
+        for (Worker worker : workerIndex.all()) {
+            siblingProcess.setHold(worker, other.jobs().getOrDefault(worker.address, 0), now);
+            refresh(worker);
         }
-        drain();
+        sendHeld();
     }
 
     // ---- time ----
     @Override
     public void timer(long clock, long token) {
         now = clock;
-        if (token == SUBSCRIBE_TOKEN && calls.isDue(now)) {
-            out.subscribe();
+        if (token == SUBSCRIBE_TOKEN && discoveryPace.isDue(now)) {
+            actions.subscribe();
         }
         if (token != TICK_TOKEN) {
             return;
         }
-        double seconds = (now - lastTick) / 1e6;
-        // danger: a rate that starts from nothing makes most requests after a start look beyond their share
-        double over = Math.min(RATE_SPAN, (now - bornAt) / 1e6);
-        rate += (arrivals / Math.max(seconds, 1e-3) - rate) * Math.min(1, seconds / Math.max(over, 1e-3));
-        arrivals = 0;
-        lastTick = now;
-        allowances.fill(seconds, trafficShare);
-        repeats.pass(seconds);
-        if (ticks++ % 8 == 0 || now - bornAt < SETTLE / 2) {
+        double seconds = (now - lastTickAt) / 1e6;
+        // Shortly after the start the average covers only the time since then. Averaged from zero the rate, and with it
+        // each tenant's share, would be too low, and most first requests would count as over their share.
+        double averagingS = Math.min(RATE_AVERAGING_S, (now - startedAt) / 1e6);
+        requestRate += (arrivalsSinceTick / Math.max(seconds, 1e-3) - requestRate)
+                * Math.min(1, seconds / Math.max(averagingS, 1e-3));
+        arrivalsSinceTick = 0;
+        lastTickAt = now;
+        allowances.fill(seconds, fleetTrafficShare);
+        repeatBudget.pass(seconds);
+        if (tickCount++ % 8 == 0 || now - startedAt < STARTUP_SETTLE_US / 2) {
             forgetSilentPeers();
-            learnHomes();
-            learnShares();
+            updateOwnership();
+            updateShares();
         }
-        for (Worker w : workerIndex.coldOwned()) {
-            coldCovers(w, 0, heldSlots > 0);
+        for (Worker worker : workerIndex.coldOwned()) {
+            coldBudgetCovers(worker, 0, heldSlots > 0); // fills the budget for the time that has passed
         }
         checkHealth();
-        endLeaving();
-        drain();
-        for (Peer y : peers) {
-            giveBack(y, heldSlots > 0);
-            if (!y.isHoldsReportDue(now)) {
+        endExpiring();
+        sendHeld();
+        for (Peer peer : peers) {
+            returnUnusedLoan(peer, heldSlots > 0);
+            if (!peer.isHoldsReportDue(now)) {
                 continue;
             }
-            tell(y.number, y.addHoldsReport(now, workerIndex.borrowed(), message(Message.Type.HOLDS)));
-        }
-        placeBound();
-        retryHeld();
-        probeSome();
-        p = acceptance();
-        if (s.mayTell() && now >= nextExchange) {
+            sendToPeer(
+                    peer.number,
+                    peer.addHoldsReport(now, workerIndex.borrowed(), newMessage(Message.Type.HOLDS)));
+        }
+        sendConstrained();
+        spillPressed();
+        sendProbes();
+        acceptance = currentAcceptance();
+        if (settings.mayTell() && now >= nextExchangeAt) {
             exchange();
-            lastExchange = now;
-            nextExchange = now + period - random.nextLong(period / 4); // a later one would miss its tick
+            lastExchangeAt = now;
+            // only ever shorter than the period: an exchange that is due just after a tick waits for the next one
+            nextExchangeAt = now + exchangePeriod - random.nextLong(exchangePeriod / 4);
         }
-        out.timer(TICK_TOKEN, TICK);
+        actions.timer(TICK_TOKEN, TICK_US);
     }
 
-    /** Held jobs are drawn again when half their slack is gone. */
-    private void retryHeld() {
+    /** Draws held jobs for spilling again when half their slack is used up. */
+    private void spillPressed() {
         for (int c = 0; c < queues.length; c++) {
-            Job j = queues[c][IN_SHARE].head;
-            boolean pressed = j != null && now - j.arrivedAt > slack(c) / 2;
-            if (pressed && random.nextDouble() >= acceptance()) {
-                spill(j);
+            Job job = queues[c][RANK_IN_SHARE].head;
+            boolean pressed = job != null && now - job.arrivedAt > slackUs(c) / 2;
+            if (pressed && random.nextDouble() >= currentAcceptance()) {
+                spill(job);
             }
         }
     }
 
-    /** Danger: a held job must have its answer before the client gives up. */
-    private void endLeaving() {
-        while (!leaving.isEmpty() && leaving.peek().request.validUntil() <= now + 2 * TICK) {
-            Job j = leaving.poll();
-            if (j.attemptsInFlight == 0 && !j.finished) {
-                end(j);
+    /** Ends held jobs two ticks before their deadline: the client must have its answer before it gives up. */
+    private void endExpiring() {
+        while (!jobsByDeadline.isEmpty() && jobsByDeadline.peek().request.validUntil() <= now + 2 * TICK_US) {
+            Job job = jobsByDeadline.poll();
+            if (job.attemptsInFlight == 0 && !job.finished) {
+                endUnserved(job);
             } else {
-                unhold(j);
+                stopHolding(job);
             }
         }
     }
 
-    /** Jobs tied to a group, or asking several slots, wait outside the order and are tried each tick. */
-    private void placeBound() {
-        for (HeldQueue[] of : queues) {
-            Job j = of[BOUND].head;
-            for (int i = 0; j != null && i < 32; i++) {
-                Job next = j.next;
-                if (!sendTo(j, choose(j)) && hopeless(j)) {
-                    end(j);
+    /** Tries the jobs that only some workers may take; they wait outside the order of the other ranks. */
+    private void sendConstrained() {
+        for (HeldQueue[] byRank : queues) {
+            Job job = byRank[RANK_CONSTRAINED].head;
+            for (int i = 0; job != null && i < 32; i++) {
+                Job next = job.next;
+                if (!sendTo(job, chooseWorker(job)) && hasNoPossibleWorker(job)) {
+                    endUnserved(job);
                 }
-                j = next;
+                job = next;
             }
         }
     }
 
-    /** Danger: an answer must not wait for the deadline when no worker of the job's group is left. */
-    private boolean hopeless(Job j) {
-        return j.attemptsInFlight == 0
-                && j.spec.effect() == Effect.KEYED
-                && !j.provenNotRun()
-                && workerIndex.all().stream().noneMatch(w -> maySend(j, w));
+    /** Whether no worker of the job's group is left; the client is then answered at once, not at the deadline. */
+    private boolean hasNoPossibleWorker(Job job) {
+        return job.attemptsInFlight == 0
+                && job.spec.effect() == Effect.KEYED
+                && !job.provenNotRun()
+                && workerIndex.all().stream().noneMatch(worker -> maySend(job, worker));
     }
 }
--- a/src/main/java/saffronferry/Lessons.java
+++ b/src/main/java/saffronferry/Lessons.java
@@ -46,7 +46,7 @@
     void ran(int c, int k, long took) {
         pace[k] += (Math.min(MOST_PACE, took / mean[c]) - pace[k]) * MEAN_RATE;
         // danger: a first guess that lingers makes suspects of workers that run long jobs
-        ended[c] = Dispatcher.next(ended[c]);
+        ended[c] = Dispatcher.saturatingIncrement(ended[c]);
         double rate = Math.max(MEAN_RATE, 1 / (ended[c] + 1.0));
         mean[c] += (took - mean[c]) * rate;
         base[c] += (mean[c] - base[c]) * (rate > MEAN_RATE ? 1 : mean[c] < base[c] ? rate : 0.0005);
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -26,18 +26,18 @@
 
     @Test
     void acceptanceIsSlotsOverSlotsAndHeld() {
-        assertEquals(1.0, Dispatcher.accept(0, 10));
-        assertEquals(10.0 / 15, Dispatcher.accept(5, 10), 1e-12);
-        assertEquals(0.25, Dispatcher.accept(30, 10), 1e-12);
+        assertEquals(1.0, Dispatcher.acceptanceProbability(0, 10));
+        assertEquals(10.0 / 15, Dispatcher.acceptanceProbability(5, 10), 1e-12);
+        assertEquals(0.25, Dispatcher.acceptanceProbability(30, 10), 1e-12);
     }
 
     @Test
     void drawWeightIsThePapersAndNeverNegative() {
         // P = 0.5, R_y = 0.8: 1 - 0.2 / 0.5 = 0.6
-        assertEquals(0.6, Dispatcher.drawWeight(0.5, 0.8), 1e-12);
-        assertEquals(0, Dispatcher.drawWeight(0.5, 0.3)); // 1 - 0.7 / 0.5 < 0
-        assertEquals(0, Dispatcher.drawWeight(1, 1)); // nothing to give away
-        assertEquals(1, Dispatcher.drawWeight(0.5, 1));
+        assertEquals(0.6, Dispatcher.spillWeight(0.5, 0.8), 1e-12);
+        assertEquals(0, Dispatcher.spillWeight(0.5, 0.3)); // 1 - 0.7 / 0.5 < 0
+        assertEquals(0, Dispatcher.spillWeight(1, 1)); // nothing to give away
+        assertEquals(1, Dispatcher.spillWeight(0.5, 1));
     }
 
     @Test
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -47,7 +47,7 @@
     // ---- counters ----
 
     @ParameterizedTest
-    @ValueSource(strings = {"checkTurn", "probeTurn"})
+    @ValueSource(strings = {"healthCheckPosition", "probePosition"})
     void aTurnThatWrapsIsNoNegativeIndex(String turn) throws Exception {
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"));
         field(rig.module, turn).setInt(rig.module, Integer.MAX_VALUE - 1);
@@ -103,7 +103,7 @@
     @Test
     void runningTimesStayNumbersHoweverManyJobsEnded() throws Exception {
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        Lessons known = (Lessons) get(rig.module, "known");
+        Lessons known = (Lessons) get(rig.module, "estimates");
         known.ended[0] = Integer.MAX_VALUE - 3;
         for (long id = 1; id <= 10; id++) {
             rig.ask(id);
@@ -151,14 +151,14 @@
         double[] edges = {0, Double.MIN_VALUE, 1e-9, 1 / 510.0, 1 / 255.0, 0.5, 254 / 255.0, 1 - 1e-9, 1};
         for (double p : edges) {
             for (double r : edges) {
-                double w = Dispatcher.drawWeight(p, r);
+                double w = Dispatcher.spillWeight(p, r);
                 assertTrue(w >= 0 && w <= 1, p + ", " + r + ": " + w);
                 Message m = Message.read(new Message(Message.Type.OFFERS, 0, p, r, 0, 0).bytes(), 0);
                 assertTrue(Math.abs(m.p - p) <= 1 / 255.0 && Math.abs(m.r - r) <= 1 / 510.0 + 1e-9, p + ", " + r);
             }
         }
-        assertEquals(1, Dispatcher.accept(0, 1));
-        assertTrue(Dispatcher.accept(Integer.MAX_VALUE, 1) > 0);
+        assertEquals(1, Dispatcher.acceptanceProbability(0, 1));
+        assertTrue(Dispatcher.acceptanceProbability(Integer.MAX_VALUE, 1) > 0);
     }
 
     /** Who holds one job beside a thousand slots has a P just below one: rounded up it could not ask. */
@@ -193,8 +193,8 @@
                 rig.module.peerMessage(rig.now, 1, hello(1, theirs));
                 rig.run(250 * Rig.MS);
             }
-            double share = (double) get(rig.module, "share");
-            double traffic = (double) get(rig.module, "trafficShare");
+            double share = (double) get(rig.module, "zoneTrafficShare");
+            double traffic = (double) get(rig.module, "fleetTrafficShare");
             assertTrue(
                     share >= 0 && share <= 1 && traffic >= 0 && traffic <= 1, theirs + ": " + share + ", " + traffic);
             assertEquals(theirs > 0.1 ? 0 : 0.5, share, "even parts where nobody has traffic, none beside one who has");
@@ -212,7 +212,7 @@
             rig.module.peerMessage(rig.now, 1, hello(1, 20));
             traffic(rig, 20, 200 * Rig.MS);
         }
-        double share = (double) get(rig.module, "share");
+        double share = (double) get(rig.module, "zoneTrafficShare");
         assertTrue(share > 0.4 && share < 0.6, "equal traffic, but a share of " + share);
     }
 
@@ -246,7 +246,7 @@
                 rig.ask(id);
             }
             assertEquals(6, rig.sends.size());
-            assertFalse(Double.isNaN((double) get(rig.module, "p")));
+            assertFalse(Double.isNaN((double) get(rig.module, "acceptance")));
         }
     }
 
@@ -338,7 +338,7 @@
             rig.ask(id);
             rig.answer(id, 0, Outcome.OK);
         }
-        int kept = ((Collection<?>) get(rig.module, "leaving")).size();
+        int kept = ((Collection<?>) get(rig.module, "jobsByDeadline")).size();
         assertTrue(kept < 200, kept + " jobs are kept, all of them over");
     }
 
@@ -383,7 +383,7 @@
         rig.run(50 * Rig.MS);
         assertEquals("refused", rig.finals.get(1L));
         assertEquals(1, rig.sends.size(), "one that fits is served");
-        assertEquals(1.0, (double) get(rig.module, "p"));
+        assertEquals(1.0, (double) get(rig.module, "acceptance"));
     }
 
     /** All fails, but not so that workers look broken: attempts must not grow to as many as each RPC may have. */
