--- a/src/test/java/saffronferry/ColdBudgetTest.java
+++ b/src/test/java/saffronferry/ColdBudgetTest.java
@@ -1,6 +1,8 @@
 package saffronferry;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.S;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,62 +14,62 @@
 /** Rule 4 over many instances: together they must not push a cold worker over. */
 class ColdBudgetTest {
     private static final int DISPATCHERS = 8;
-    private static final long JOB = 400 * Rig.MS;
+    private static final long JOB = 400 * MS;
     private static final int SLOTS = 5;
 
     /** All dispatchers hear each other from the start, or (silent) none ever hears another. */
     private static List<Long> sendsToCold(boolean silent) {
-        Rig.Plan plan = new Rig.Plan();
-        plan.peers = DISPATCHERS;
-        List<Rig> rigs = new ArrayList<>();
+        DispatcherHarness.Options options = new DispatcherHarness.Options();
+        options.peers = DISPATCHERS;
+        List<DispatcherHarness> harnesses = new ArrayList<>();
         WorkerInfo[] warm = new WorkerInfo[8];
         for (int i = 0; i < warm.length; i++) {
-            warm[i] = Rig.worker("warm" + i);
+            warm[i] = DispatcherHarness.worker("warm" + i);
         }
         for (int d = 0; d < DISPATCHERS; d++) {
-            plan.self = d;
-            plan.seed = 7 + d;
-            rigs.add(new Rig(plan.settings()).list(warm));
+            options.self = d;
+            options.seed = 7 + d;
+            harnesses.add(new DispatcherHarness(options.settings()).list(warm));
         }
         int[] read = new int[DISPATCHERS];
         int[] done = new int[DISPATCHERS];
         long id = 1;
-        long coldAt = rigs.get(0).now + (silent ? 500 * Rig.MS : 3 * Rig.S);
-        long start = rigs.get(0).now;
+        long coldAt = harnesses.get(0).now + (silent ? 500 * MS : 3 * S);
+        long start = harnesses.get(0).now;
         List<Long> cold = new ArrayList<>();
-        for (long t = 0; t < 6 * Rig.S; t += 5 * Rig.MS) {
+        for (long t = 0; t < 6 * S; t += 5 * MS) {
             for (int d = 0; d < DISPATCHERS; d++) {
-                Rig rig = rigs.get(d);
+                DispatcherHarness harness = harnesses.get(d);
                 if (start + t == coldAt) {
-                    rig.change(Rig.worker("cold", 0, WorkerState.IN_SERVICE, coldAt));
+                    harness.change(DispatcherHarness.worker("cold", 0, WorkerState.IN_SERVICE, coldAt));
                 }
-                String told = "warm" + t / (5 * Rig.MS) % warm.length;
-                rig.report(told, Math.max(0, SLOTS - running(rigs, done, told)));
-                rig.ask(id++);
-                for (; done[d] < rig.sends.size() && rig.sends.get(done[d]).at() + JOB <= rig.now; done[d]++) {
-                    Rig.Send s = rig.sends.get(done[d]);
-                    rig.answer(s.id(), s.attempt(), Outcome.OK);
+                String told = "warm" + t / (5 * MS) % warm.length;
+                harness.report(told, Math.max(0, SLOTS - running(harnesses, done, told)));
+                harness.request(id++);
+                for (; done[d] < harness.sends.size() && harness.sends.get(done[d]).at() + JOB <= harness.now; done[d]++) {
+                    DispatcherHarness.Send s = harness.sends.get(done[d]);
+                    harness.endAttempt(s.id(), s.attempt(), Outcome.OK);
                 }
-                rig.run(5 * Rig.MS);
-                for (; read[d] < rig.told.size(); read[d]++) {
-                    Rig to = rigs.get(rig.toldTo.get(read[d]));
+                harness.advance(5 * MS);
+                for (; read[d] < harness.sentMessages.size(); read[d]++) {
+                    DispatcherHarness to = harnesses.get(harness.messageReceivers.get(read[d]));
                     if (!silent) {
-                        to.module.peerMessage(to.now, d, rig.told.get(read[d]));
+                        to.dispatcher.peerMessage(to.now, d, harness.sentMessages.get(read[d]));
                     }
                 }
             }
         }
-        for (Rig rig : rigs) {
-            rig.sends.stream().filter(s -> s.worker().equals("cold")).forEach(s -> cold.add(s.at() - coldAt));
+        for (DispatcherHarness harness : harnesses) {
+            harness.sends.stream().filter(s -> s.worker().equals("cold")).forEach(s -> cold.add(s.at() - coldAt));
         }
         cold.sort(null);
         return cold;
     }
 
-    private static int running(List<Rig> rigs, int[] done, String worker) {
+    private static int running(List<DispatcherHarness> harnesses, int[] done, String worker) {
         int n = 0;
-        for (int d = 0; d < rigs.size(); d++) {
-            List<Rig.Send> sends = rigs.get(d).sends;
+        for (int d = 0; d < harnesses.size(); d++) {
+            List<DispatcherHarness.Send> sends = harnesses.get(d).sends;
             n += (int) sends.subList(done[d], sends.size()).stream()
                     .filter(s -> s.worker().equals(worker))
                     .count();
@@ -79,11 +81,11 @@
         for (int i = 0; i < sends.size(); i++) {
             long from = sends.get(i);
             int k = i;
-            while (k < sends.size() && sends.get(k) < from + Rig.S) {
+            while (k < sends.size() && sends.get(k) < from + S) {
                 k++;
             }
-            double share = 0.2 + 0.8 * Math.min(1, from / (10.0 * Rig.S));
-            double budget = 3 * share * SLOTS * Rig.S; // slot time in a window, as the rule counts it
+            double share = 0.2 + 0.8 * Math.min(1, from / (10.0 * S));
+            double budget = 3 * share * SLOTS * S; // slot time in a window, as the rule counts it
             assertTrue((k - i) * JOB <= budget + JOB, (k - i) + " jobs within a second at " + from);
         }
     }
--- a/src/test/java/saffronferry/Rig.java
+++ b/src/test/java/saffronferry/DispatcherHarness.java
@@ -1,6 +1,7 @@
 package saffronferry;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -17,9 +18,11 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 
-/** Drives one module through the contract with a hand-set clock, and records what it does. */
-final class Rig implements Contract.Actions {
+/** Drives one {@link Dispatcher} through the contract with a simulated clock, and records its actions. */
+final class DispatcherHarness implements Contract.Actions {
+    /** A millisecond, in microseconds. */
     static final long MS = 1_000;
+    /** A second, in microseconds. */
     static final long S = 1_000_000;
 
     record Send(long id, int attempt, String worker, long at) {}
@@ -28,20 +31,20 @@
     final Map<Long, String> finals = new HashMap<>();
     final Map<Long, Long> retryAfters = new HashMap<>();
     final List<String> trace = new ArrayList<>();
-    final List<byte[]> told = new ArrayList<>();
-    final List<Integer> toldTo = new ArrayList<>();
+    final List<byte[]> sentMessages = new ArrayList<>();
+    final List<Integer> messageReceivers = new ArrayList<>();
     final TreeMap<Long, List<Long>> timers = new TreeMap<>();
-    private final Map<Long, Integer> tries = new HashMap<>();
-    final Dispatcher module;
+    private final Map<Long, Integer> attemptCounts = new HashMap<>();
+    final Dispatcher dispatcher;
     long now = 10 * S;
     int subscriptions;
 
-    Rig(Settings settings) {
-        module = new Dispatcher(settings, this);
+    DispatcherHarness(Settings settings) {
+        dispatcher = new Dispatcher(settings, this);
     }
 
-    /** Settings to vary: one zone unless said otherwise, two kinds, no tenants. */
-    static final class Plan {
+    /** The settings that tests vary; by default one zone, two kinds and no tenants. */
+    static final class Options {
         long seed = 1;
         int self;
         int peers = 1;
@@ -97,79 +100,81 @@
         return worker(address, 0, WorkerState.IN_SERVICE, 0);
     }
 
-    Rig list(WorkerInfo... workers) {
-        module.workers(now, ListKind.WHOLE, List.of(workers));
+    DispatcherHarness list(WorkerInfo... workers) {
+        dispatcher.workers(now, ListKind.WHOLE, List.of(workers));
         return this;
     }
 
     void change(WorkerInfo... workers) {
-        module.workers(now, ListKind.CHANGES, List.of(workers));
+        dispatcher.workers(now, ListKind.CHANGES, List.of(workers));
     }
 
-    void ask(long id) {
-        ask(id, 0, -1, 5 * S, false);
+    void request(long id) {
+        request(id, 0, -1, 5 * S, false);
     }
 
-    void ask(long id, int jobClass, int tenant, long within, boolean repeat) {
-        module.request(now, new Request(id, jobClass, tenant, now + within, 1, repeat));
+    void request(long id, int jobClass, int tenant, long within, boolean repeat) {
+        dispatcher.request(now, new Request(id, jobClass, tenant, now + within, 1, repeat));
     }
 
-    void answer(long id, int attempt, Outcome outcome) {
-        Send s = sends.stream()
+    void endAttempt(long id, int attempt, Outcome outcome) {
+        Send send = sends.stream()
                 .filter(x -> x.id == id && x.attempt == attempt)
                 .findFirst()
                 .orElseThrow();
-        boolean over = outcome == Outcome.OK;
-        if (over) {
+        boolean answered = outcome == Outcome.OK;
+        if (answered) {
             finals.put(id, "served");
         }
-        module.attemptEnded(now, id, attempt, outcome, now - s.at, over, null);
+        dispatcher.attemptEnded(now, id, attempt, outcome, now - send.at, answered, null);
     }
 
-    /** Tells the module of a worker's load: free slots and nothing waiting. */
+    /** Reports a worker's load: free slots, and no request waiting. */
     void report(String worker, int freeSlots) {
-        module.probed(now, worker, Outcome.OK, new Report(Double.NaN, 0, freeSlots));
+        dispatcher.probed(now, worker, Outcome.OK, new Report(Double.NaN, 0, freeSlots));
     }
 
-    /** Lets the clock run and delivers timers on the way. */
-    void run(long span) {
+    /** Advances the clock and fires the timers that are due on the way. */
+    void advance(long span) {
         long end = now + span;
         while (!timers.isEmpty() && timers.firstKey() <= end) {
             Map.Entry<Long, List<Long>> next = timers.pollFirstEntry();
             now = Math.max(now, next.getKey());
             for (long token : next.getValue()) {
-                module.timer(now, token);
+                dispatcher.timer(now, token);
             }
         }
         now = end;
     }
 
-    long sentTo(String worker) {
-        return sends.stream().filter(s -> s.worker.equals(worker)).count();
+    /** Number of attempts sent to a worker. */
+    long sendCount(String worker) {
+        return sends.stream().filter(send -> send.worker.equals(worker)).count();
     }
 
-    String workerOf(long id) {
+    /** The worker of a request's last attempt, or null. */
+    String lastWorkerOf(long id) {
         return sends.stream()
-                .filter(s -> s.id == id)
-                .reduce((a, b) -> b)
+                .filter(send -> send.id == id)
+                .reduce((first, second) -> second)
                 .map(Send::worker)
                 .orElse(null);
     }
 
-    private void note(String action) {
+    private void appendTrace(String action) {
         trace.add(now + " " + action);
     }
 
     @Override
     public void send(long id, String worker) {
-        int attempt = tries.merge(id, 1, Integer::sum) - 1;
+        int attempt = attemptCounts.merge(id, 1, Integer::sum) - 1;
         sends.add(new Send(id, attempt, worker, now));
-        note("send " + id + " " + worker);
+        appendTrace("send " + id + " " + worker);
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        note("cancel " + id + " " + attempt);
+        appendTrace("cancel " + id + " " + attempt);
     }
 
     @Override
@@ -183,12 +188,12 @@
         finish(id, "failed");
     }
 
-    private void finish(long id, String how) {
-        String before = finals.put(id, how);
+    private void finish(long id, String result) {
+        String before = finals.put(id, result);
         if (before != null) {
-            throw new AssertionError("request " + id + " ended twice: " + before + ", " + how);
+            throw new AssertionError("request " + id + " ended twice: " + before + ", " + result);
         }
-        note("log " + how + " " + id);
+        appendTrace("log " + result + " " + id);
     }
 
     @Override
@@ -198,14 +203,14 @@
 
     @Override
     public void probe(String worker) {
-        note("probe " + worker);
+        appendTrace("probe " + worker);
     }
 
     @Override
     public void tell(int peer, byte[] bytes) {
-        toldTo.add(peer);
-        told.add(bytes);
-        note("tell " + peer + " " + java.util.Arrays.hashCode(bytes));
+        messageReceivers.add(peer);
+        sentMessages.add(bytes);
+        appendTrace("tell " + peer + " " + Arrays.hashCode(bytes));
     }
 
     @Override
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -6,6 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.S;
 
 import java.util.Arrays;
 import java.util.List;
@@ -22,7 +24,7 @@
 import saffronferry.fleet.WatchEnd;
 
 class DispatcherTest {
-    private final Rig.Plan plan = new Rig.Plan();
+    private final DispatcherHarness.Options options = new DispatcherHarness.Options();
 
     @Test
     void acceptanceIsSlotsOverSlotsAndHeld() {
@@ -42,405 +44,405 @@
 
     @Test
     void placesAtOnceThenHoldsAndLetsTheOldestLeaveFirst() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (long id = 1; id <= 4; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(2, rig.sends.size()); // an unknown worker counts two slots
-        rig.answer(1, 0, Outcome.OK);
-        assertEquals("a", rig.workerOf(3));
-        assertNull(rig.workerOf(4));
+        assertEquals(2, harness.sends.size()); // an unknown worker counts two slots
+        harness.endAttempt(1, 0, Outcome.OK);
+        assertEquals("a", harness.lastWorkerOf(3));
+        assertNull(harness.lastWorkerOf(4));
     }
 
     @Test
     void learnsSlotsFromReportsUnderLoad() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        rig.report("a", 5);
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        harness.report("a", 5);
         for (long id = 1; id <= 6; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(5, rig.sends.size());
+        assertEquals(5, harness.sends.size());
         // under full load a report of no free slot must not shrink what was learned
-        rig.run(4 * Rig.S);
+        harness.advance(4 * S);
         for (int i = 0; i < 20; i++) {
-            rig.run(20 * Rig.MS);
-            rig.report("a", 0);
+            harness.advance(20 * MS);
+            harness.report("a", 0);
         }
-        rig.answer(1, 0, Outcome.OK);
-        rig.ask(7);
-        assertTrue(rig.sends.size() >= 6);
+        harness.endAttempt(1, 0, Outcome.OK);
+        harness.request(7);
+        assertTrue(harness.sends.size() >= 6);
     }
 
     /** Guards against slots left idle: a first report that missed jobs on their way must not weigh long. */
     @Test
     void aReportFromAWorkerAtRestCorrectsOneFromABusyMoment() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        rig.ask(1);
-        rig.run(100 * Rig.MS);
-        rig.report("a", 4); // five slots, of which one is taken; the old average would make it 4.1
-        rig.answer(1, 0, Outcome.OK);
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        harness.request(1);
+        harness.advance(100 * MS);
+        harness.report("a", 4); // five slots, of which one is taken; the old average would make it 4.1
+        harness.endAttempt(1, 0, Outcome.OK);
         for (int i = 0; i < 3; i++) {
-            rig.run(2 * Rig.S);
-            rig.report("a", 5);
+            harness.advance(2 * S);
+            harness.report("a", 5);
         }
         for (long id = 2; id <= 7; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(1 + 5, rig.sends.size());
+        assertEquals(1 + 5, harness.sends.size());
     }
 
     /** Guards against healthy workers left out because a class runs longer than was guessed at first. */
     @Test
     void workersThatRunLongJobsAreNoSuspectsOnceSomeHaveEnded() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        rig.report("a", 4);
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        harness.report("a", 4);
         for (long id = 1; id <= 6; id++) {
-            rig.ask(id, 0, -1, 60 * Rig.S, false);
-            rig.run(4 * Rig.S);
-            rig.answer(id, 0, Outcome.OK);
+            harness.request(id, 0, -1, 60 * S, false);
+            harness.advance(4 * S);
+            harness.endAttempt(id, 0, Outcome.OK);
         }
-        long before = rig.sends.size();
+        long before = harness.sends.size();
         for (long id = 7; id <= 9; id++) {
-            rig.ask(id, 0, -1, 60 * Rig.S, false);
+            harness.request(id, 0, -1, 60 * S, false);
         }
-        rig.run(5 * Rig.S);
-        rig.ask(10, 0, -1, 60 * Rig.S, false);
-        assertEquals(before + 4, rig.sends.size()); // a suspect would get no more
+        harness.advance(5 * S);
+        harness.request(10, 0, -1, 60 * S, false);
+        assertEquals(before + 4, harness.sends.size()); // a suspect would get no more
     }
 
     /** Guards against healthy workers left out, and their jobs moved, for one connection that broke. */
     @Test
     void oneBrokenConnectionIsNoBrokenWorkerButSeveralAre() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        rig.report("a", 4);
-        rig.ask(1);
-        rig.ask(2);
-        rig.answer(1, 0, Outcome.RESET);
-        assertEquals(3, rig.sends.size()); // sent again at once
-        rig.ask(3);
-        assertEquals(4, rig.sends.size());
-        rig.answer(2, 0, Outcome.RESET); // and the worker gave no sign in between
-        rig.ask(4);
-        assertEquals(4, rig.sends.size());
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        harness.report("a", 4);
+        harness.request(1);
+        harness.request(2);
+        harness.endAttempt(1, 0, Outcome.RESET);
+        assertEquals(3, harness.sends.size()); // sent again at once
+        harness.request(3);
+        assertEquals(4, harness.sends.size());
+        harness.endAttempt(2, 0, Outcome.RESET); // and the worker gave no sign in between
+        harness.request(4);
+        assertEquals(4, harness.sends.size());
     }
 
     /** Guards against a worker that fails its jobs at once, is therefore always free, and draws them all. */
     @Test
     void aWorkerThatFailsJobsGetsNeitherTheSameNorAllOthers() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"));
-        rig.report("a", 5);
-        rig.ask(1);
-        String bad = rig.workerOf(1);
-        rig.answer(1, 0, Outcome.ERROR);
-        assertNotEquals(bad, rig.workerOf(1));
-        long before = rig.sentTo(bad);
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        harness.report("a", 5);
+        harness.request(1);
+        String bad = harness.lastWorkerOf(1);
+        harness.endAttempt(1, 0, Outcome.ERROR);
+        assertNotEquals(bad, harness.lastWorkerOf(1));
+        long before = harness.sendCount(bad);
         long id = 2;
-        while (rig.sentTo(bad) == before) {
-            rig.ask(id++);
+        while (harness.sendCount(bad) == before) {
+            harness.request(id++);
         }
-        rig.answer(id - 1, 0, Outcome.ERROR);
-        before = rig.sentTo(bad);
+        harness.endAttempt(id - 1, 0, Outcome.ERROR);
+        before = harness.sendCount(bad);
         for (int i = 0; i < 12; i++) {
-            rig.ask(id++);
+            harness.request(id++);
         }
-        assertEquals(before, rig.sentTo(bad));
+        assertEquals(before, harness.sendCount(bad));
     }
 
     @Test
     void aDrainingWorkerGetsNothingMore() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"));
-        rig.change(Rig.worker("a", 0, WorkerState.DRAINING, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        harness.change(DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0));
         for (long id = 1; id <= 4; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(0, rig.sentTo("a"));
-        assertEquals(2, rig.sentTo("b"));
+        assertEquals(0, harness.sendCount("a"));
+        assertEquals(2, harness.sendCount("b"));
     }
 
     @Test
     void aWorkerMissingFromAWholeListIsGone() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"));
-        rig.list(Rig.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        harness.list(DispatcherHarness.worker("b"));
         for (long id = 1; id <= 4; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(0, rig.sentTo("a"));
+        assertEquals(0, harness.sendCount("a"));
     }
 
     @Test
     void aRequestThatArrivesWithNoTimeLeftIsRefusedAtOnce() {
-        Rig rig = new Rig(plan.settings()).list();
-        rig.ask(1, 0, -1, 10 * Rig.MS, false);
-        assertEquals("refused", rig.finals.get(1L));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list();
+        harness.request(1, 0, -1, 10 * MS, false);
+        assertEquals("refused", harness.finals.get(1L));
     }
 
     @Test
     void aHeldRequestIsRefusedBeforeTheClientLeaves() {
-        Rig rig = new Rig(plan.settings()).list();
-        rig.ask(1, 0, -1, 5 * Rig.S, false);
-        rig.run(5 * Rig.S - 1);
-        assertEquals("refused", rig.finals.get(1L));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list();
+        harness.request(1, 0, -1, 5 * S, false);
+        harness.advance(5 * S - 1);
+        assertEquals("refused", harness.finals.get(1L));
     }
 
     @Test
     void aRefusalSaysWhenToComeBackWithinWhatTheSettingsAllow() {
-        plan.maxRetryAfter = 100 * Rig.MS;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
+        options.maxRetryAfter = 100 * MS;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (long id = 1; id <= 40; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        rig.ask(41, 0, -1, 10 * Rig.MS, false);
-        assertEquals(100 * Rig.MS, rig.retryAfters.get(41L));
-        plan.maxRetryAfter = 0;
-        Rig silent = new Rig(plan.settings()).list();
-        silent.ask(1, 0, -1, 10 * Rig.MS, false);
+        harness.request(41, 0, -1, 10 * MS, false);
+        assertEquals(100 * MS, harness.retryAfters.get(41L));
+        options.maxRetryAfter = 0;
+        DispatcherHarness silent = new DispatcherHarness(options.settings()).list();
+        silent.request(1, 0, -1, 10 * MS, false);
         assertEquals(0, silent.retryAfters.get(1L));
     }
 
     /** Guards against an answer held back until near the deadline though nothing can come of waiting. */
     @Test
     void aRequestThatNoWorkerMayTakeAnyMoreEndsAtOnce() {
-        plan.classes = List.of(Rig.jobClass(Effect.KEYED, Group.CELL));
-        plan.zones = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b", 1, WorkerState.IN_SERVICE, 0));
-        rig.ask(1);
-        rig.change(Rig.worker("a", 0, WorkerState.GONE, 0));
-        rig.answer(1, 0, Outcome.RESET);
-        rig.run(100 * Rig.MS);
-        assertEquals("failed", rig.finals.get(1L));
+        options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
+        options.zones = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b", 1, WorkerState.IN_SERVICE, 0));
+        harness.request(1);
+        harness.change(DispatcherHarness.worker("a", 0, WorkerState.GONE, 0));
+        harness.endAttempt(1, 0, Outcome.RESET);
+        harness.advance(100 * MS);
+        assertEquals("failed", harness.finals.get(1L));
     }
 
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNotRepeated() {
-        plan.classes = List.of(Rig.jobClass(Effect.UNSAFE, Group.ALL));
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"));
-        rig.ask(1);
-        rig.answer(1, 0, Outcome.ERROR);
-        assertEquals("failed", rig.finals.get(1L));
-        rig.ask(2);
-        rig.answer(2, 0, Outcome.FULL); // proof that it did not run
-        assertEquals(3, rig.sends.size());
+        options.classes = List.of(DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        harness.request(1);
+        harness.endAttempt(1, 0, Outcome.ERROR);
+        assertEquals("failed", harness.finals.get(1L));
+        harness.request(2);
+        harness.endAttempt(2, 0, Outcome.FULL); // proof that it did not run
+        assertEquals(3, harness.sends.size());
     }
 
     @Test
     void aKeyedRequestIsRepeatedOnlyInItsGroupAndWindow() {
-        plan.zones = 2;
-        plan.classes = List.of(Rig.jobClass(Effect.KEYED, Group.CELL));
-        Rig rig = new Rig(plan.settings())
-                .list(Rig.worker("a"), new Contract.WorkerInfo("b", WorkerState.IN_SERVICE, 0, 0, 0, 9));
-        rig.ask(1);
-        String first = rig.workerOf(1);
-        rig.answer(1, 0, Outcome.ERROR);
-        rig.run(Rig.S);
-        assertEquals(first, rig.workerOf(1)); // the other worker is of another cell
-        assertEquals(2, rig.sends.size());
+        options.zones = 2;
+        options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), new Contract.WorkerInfo("b", WorkerState.IN_SERVICE, 0, 0, 0, 9));
+        harness.request(1);
+        String first = harness.lastWorkerOf(1);
+        harness.endAttempt(1, 0, Outcome.ERROR);
+        harness.advance(S);
+        assertEquals(first, harness.lastWorkerOf(1)); // the other worker is of another cell
+        assertEquals(2, harness.sends.size());
     }
 
     @Test
     void aSilentWorkerIsSuspectedAndItsJobsMove() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         for (int round = 0; round < 200; round++) {
-            rig.ask(1000 + round);
-            rig.run(50 * Rig.MS);
-            rig.answer(1000 + round, 0, Outcome.OK);
-        }
-        rig.ask(1);
-        String silent = rig.workerOf(1);
-        rig.run(4 * Rig.S);
-        assertNotEquals(silent, rig.workerOf(1), "the job was not hedged");
-        long before = rig.sentTo(silent);
-        rig.answer(1, 1, Outcome.OK);
+            harness.request(1000 + round);
+            harness.advance(50 * MS);
+            harness.endAttempt(1000 + round, 0, Outcome.OK);
+        }
+        harness.request(1);
+        String silent = harness.lastWorkerOf(1);
+        harness.advance(4 * S);
+        assertNotEquals(silent, harness.lastWorkerOf(1), "the job was not hedged");
+        long before = harness.sendCount(silent);
+        harness.endAttempt(1, 1, Outcome.OK);
         for (long id = 3; id < 8; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(before, rig.sentTo(silent));
+        assertEquals(before, harness.sendCount(silent));
     }
 
     @Test
     void aWorkerThatKeepsSayingFullIsLeftAloneLonger() {
-        plan.maxAttempts = 100;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        rig.ask(1);
+        options.maxAttempts = 100;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        harness.request(1);
         for (int i = 0; i < 400; i++) {
-            Rig.Send last = rig.sends.get(rig.sends.size() - 1);
-            if (last.at() == rig.now || rig.sends.size() > 1 && i == 0) {
-                rig.answer(1, last.attempt(), Outcome.FULL);
+            DispatcherHarness.Send last = harness.sends.get(harness.sends.size() - 1);
+            if (last.at() == harness.now || harness.sends.size() > 1 && i == 0) {
+                harness.endAttempt(1, last.attempt(), Outcome.FULL);
             }
-            rig.run(10 * Rig.MS);
-            Rig.Send next = rig.sends.get(rig.sends.size() - 1);
+            harness.advance(10 * MS);
+            DispatcherHarness.Send next = harness.sends.get(harness.sends.size() - 1);
             if (next != last) {
-                rig.answer(1, next.attempt(), Outcome.FULL);
+                harness.endAttempt(1, next.attempt(), Outcome.FULL);
             }
         }
-        assertTrue(rig.sends.size() <= 7, "a draining worker was tried " + rig.sends.size() + " times in 4 s");
-        assertTrue(rig.sends.size() >= 2);
+        assertTrue(harness.sends.size() <= 7, "a draining worker was tried " + harness.sends.size() + " times in 4 s");
+        assertTrue(harness.sends.size() >= 2);
     }
 
     @Test
     void theOnlyDispatcherAdoptsAZoneThatHasNone() {
-        plan.zones = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        options.zones = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (long id = 1; id <= 4; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(2, rig.sentTo("a"));
-        assertEquals(2, rig.sentTo("far"));
+        assertEquals(2, harness.sendCount("a"));
+        assertEquals(2, harness.sendCount("far"));
         assertTrue(
-                rig.sends.get(0).worker().equals("a")
-                        && rig.sends.get(1).worker().equals("a"),
+                harness.sends.get(0).worker().equals("a")
+                        && harness.sends.get(1).worker().equals("a"),
                 "own zone first");
     }
 
     @Test
     void everyWorkerHasOneOwnerAmongTheDispatchersOfAZone() {
-        plan.peers = 2;
+        options.peers = 2;
         Contract.WorkerInfo[] workers = new Contract.WorkerInfo[40];
         for (int i = 0; i < workers.length; i++) {
-            workers[i] = Rig.worker("10.0.0." + i);
-        }
-        Rig one = new Rig(plan.settings()).list(workers);
-        plan.self = 1;
-        Rig two = new Rig(plan.settings()).list(workers);
-        one.module.peerMessage(one.now, 1, two.told.get(0));
-        two.module.peerMessage(two.now, 0, one.told.get(0));
-        one.run(100 * Rig.MS);
-        two.run(100 * Rig.MS);
+            workers[i] = DispatcherHarness.worker("10.0.0." + i);
+        }
+        DispatcherHarness one = new DispatcherHarness(options.settings()).list(workers);
+        options.self = 1;
+        DispatcherHarness two = new DispatcherHarness(options.settings()).list(workers);
+        one.dispatcher.peerMessage(one.now, 1, two.sentMessages.get(0));
+        two.dispatcher.peerMessage(two.now, 0, one.sentMessages.get(0));
+        one.advance(100 * MS);
+        two.advance(100 * MS);
         for (long id = 1; id <= 200; id++) {
-            one.ask(id);
-            two.ask(id);
+            one.request(id);
+            two.request(id);
         }
         assertTrue(one.sends.size() > 20 && two.sends.size() > 20);
-        for (Rig.Send s : one.sends) {
-            assertEquals(0, two.sentTo(s.worker()), s.worker() + " is filled by both");
+        for (DispatcherHarness.Send s : one.sends) {
+            assertEquals(0, two.sendCount(s.worker()), s.worker() + " is filled by both");
         }
     }
 
     @Test
     void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndItsOwnerHears() {
-        plan.peers = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d"));
-        Message hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
-        rig.module.peerMessage(rig.now, 1, hello.bytes());
-        rig.run(60 * Rig.MS);
+        options.peers = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+        Message hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
+        harness.dispatcher.peerMessage(harness.now, 1, hello.bytes());
+        harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        int own = rig.sends.size();
+        int own = harness.sends.size();
         assertTrue(own < 8, "some workers belong to the other dispatcher");
         String foreign = List.of("a", "b", "c", "d").stream()
-                .filter(w -> rig.sentTo(w) == 0)
+                .filter(w -> harness.sendCount(w) == 0)
                 .findFirst()
                 .orElseThrow();
-        Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
+        Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
-        rig.told.clear();
-        rig.module.peerMessage(rig.now, 1, offer.bytes());
-        assertEquals(1, rig.sentTo(foreign));
-        assertTrue(rig.told.stream().map(b -> Message.read(b, 0)).anyMatch(m -> m.type == Message.Type.BORROWS));
+        harness.sentMessages.clear();
+        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        assertEquals(1, harness.sendCount(foreign));
+        assertTrue(harness.sentMessages.stream().map(b -> Message.read(b, 0)).anyMatch(m -> m.type == Message.Type.BORROWS));
     }
 
     /** Who does not fill a worker took it for cold for good, and never used a slot lent there again. */
     @Test
     void aSlotLentOfAWorkerThatWasColdIsUsedOnceItIsWarm() {
-        plan.peers = 2;
-        plan.zones = 2;
-        Rig rig = new Rig(plan.settings());
-        rig.list(Rig.worker("a"), Rig.worker("far", 1, WorkerState.IN_SERVICE, rig.now));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+        options.peers = 2;
+        options.zones = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings());
+        harness.list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, harness.now));
+        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // heard often enough not to be taken for gone
-            rig.run((after == 1 ? 1 : 5) * Rig.S);
-            rig.module.peerMessage(rig.now, 1, offer.bytes());
+            harness.advance((after == 1 ? 1 : 5) * S);
+            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
             for (long id = 100 * after; id < 100 * after + 20; id++) {
-                rig.ask(id);
+                harness.request(id);
             }
-            assertEquals(after > 10 ? 1 : 0, rig.sentTo("far"), "after " + after + " s");
+            assertEquals(after > 10 ? 1 : 0, harness.sendCount("far"), "after " + after + " s");
         }
     }
 
     @Test
     void spillsOnlyToASlotThatANeighbourOffers() {
-        plan.peers = 2;
-        plan.zones = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+        options.peers = 2;
+        options.zones = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 3);
-        rig.module.peerMessage(rig.now, 1, offer.bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         for (long id = 1; id <= 60; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(2, rig.sentTo("a"));
-        assertEquals(3, rig.sentTo("far")); // three were offered, each is used once
+        assertEquals(2, harness.sendCount("a"));
+        assertEquals(3, harness.sendCount("far")); // three were offered, each is used once
         // who lent the slots must hear of it, or it fills them too
-        int last = rig.toldTo.lastIndexOf(1);
-        assertTrue(rig.told.stream()
+        int last = harness.messageReceivers.lastIndexOf(1);
+        assertTrue(harness.sentMessages.stream()
                 .map(b -> Message.read(b, 0))
                 .anyMatch(m -> m.type == Message.Type.BORROWS && m.count[0] == 3));
-        assertEquals(1, rig.toldTo.get(last));
+        assertEquals(1, harness.messageReceivers.get(last));
     }
 
     /** Guards a zone that lost its workers against holding and refusing while a neighbour's stand idle. */
     @Test
     void heldJobsAreDrawnAgainWhenANeighbourOffers() {
-        plan.peers = 2;
-        plan.zones = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        rig.module.peerMessage(rig.now, 1, new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS).bytes());
-        rig.run(Rig.S);
+        options.peers = 2;
+        options.zones = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+        harness.advance(S);
         for (long id = 1; id <= 8; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(0, rig.sends.size());
+        assertEquals(0, harness.sends.size());
         for (int i = 0; i < 5; i++) {
-            Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+            Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
             offer.add(new DispatcherState.Worker("far", 0).hash, 4);
-            rig.module.peerMessage(rig.now, 1, offer.bytes());
+            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         }
-        assertTrue(rig.sends.size() >= 4, rig.sends.size() + " sent"); // P is one in nine at first
+        assertTrue(harness.sends.size() >= 4, harness.sends.size() + " sent"); // P is one in nine at first
     }
 
     /** Seen where datagrams get lost: one end that was not heard of kept a slot from everybody for 25 s. */
     @Test
     void aSlotIsFreeAgainThoughWordOfTheJobsEndIsLost() {
-        plan.peers = 2;
+        options.peers = 2;
         for (boolean toldAgain : new boolean[] {true, false}) {
-            Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d"));
-            rig.module.peerMessage(rig.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
-            rig.run(60 * Rig.MS);
+            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+            harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+            harness.advance(60 * MS);
             for (String own : List.of("a", "b", "c", "d")) {
-                Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * Rig.MS);
+                Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
                 borrows.add(new DispatcherState.Worker(own, 0).hash, 2);
-                rig.module.peerMessage(rig.now, 1, borrows.bytes());
+                harness.dispatcher.peerMessage(harness.now, 1, borrows.bytes());
             }
-            rig.ask(1);
-            assertEquals(0, rig.sends.size(), "all their slots are taken by the other's jobs");
+            harness.request(1);
+            assertEquals(0, harness.sends.size(), "all their slots are taken by the other's jobs");
             if (toldAgain) {
-                rig.module.peerMessage(rig.now, 1, new Message(Message.Type.HOLDS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
+                harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.HOLDS, 0, 1, 1, 1, 50 * MS).bytes());
             } else {
-                rig.run(1_900 * Rig.MS);
+                harness.advance(1_900 * MS);
             }
-            assertEquals(1, rig.sends.size(), toldAgain ? "it says that it has none there" : "nor told again");
+            assertEquals(1, harness.sends.size(), toldAgain ? "it says that it has none there" : "nor told again");
         }
     }
 
     /** And who has jobs on another's slots says so again, until it has none and has said that too. */
     @Test
     void aLenderIsToldAgainOfAllJobsOnItsSlots() {
-        plan.peers = 2;
-        plan.zones = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+        options.peers = 2;
+        options.zones = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 4);
-        rig.module.peerMessage(rig.now, 1, offer.bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         for (long id = 1; id <= 30; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        int held = rig.sends.size();
+        int held = harness.sends.size();
         assertTrue(held > 0);
-        rig.run(1_100 * Rig.MS);
-        rig.sends.forEach(s -> rig.answer(s.id(), 0, Outcome.OK));
-        rig.run(1_600 * Rig.MS);
-        List<String> told = rig.told.stream()
+        harness.advance(1_100 * MS);
+        harness.sends.forEach(s -> harness.endAttempt(s.id(), 0, Outcome.OK));
+        harness.advance(1_600 * MS);
+        List<String> told = harness.sentMessages.stream()
                 .map(b -> Message.read(b, 0))
                 .filter(m -> m.type == Message.Type.HOLDS)
                 .map(m -> m.entries == 0 ? "none" : Integer.toString(m.count[0]))
@@ -451,22 +453,22 @@
     /** Seen in the laboratory: one job of 14 s of work pushed over four cold workers, one after the other. */
     @Test
     void aJobUnderWhichAWorkerBrokeGoesToNoColdOne() {
-        plan.classes = List.of(new JobClass("c", 9 * Rig.S, 2, 30 * Rig.S, 1, 0.2, Effect.SAFE, Group.ALL, 0, -1));
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        rig.ask(1, 0, -1, 30 * Rig.S, false);
-        rig.change(Rig.worker("a", 0, WorkerState.DRAINING, 0), Rig.worker("cold", 0, WorkerState.IN_SERVICE, rig.now));
-        rig.answer(1, 0, Outcome.RESET);
-        rig.run(Rig.S);
-        assertEquals(0, rig.sentTo("cold"));
-        rig.ask(2);
-        rig.run(9 * Rig.S);
-        assertEquals("cold", rig.workerOf(2), "other jobs are sent there");
-        rig.run(2 * Rig.S);
-        assertEquals("cold", rig.workerOf(1), "and this one once it is warm");
-    }
-
-    private static List<String> borrows(Rig rig) {
-        return rig.told.stream()
+        options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Effect.SAFE, Group.ALL, 0, -1));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        harness.request(1, 0, -1, 30 * S, false);
+        harness.change(DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0), DispatcherHarness.worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
+        harness.endAttempt(1, 0, Outcome.RESET);
+        harness.advance(S);
+        assertEquals(0, harness.sendCount("cold"));
+        harness.request(2);
+        harness.advance(9 * S);
+        assertEquals("cold", harness.lastWorkerOf(2), "other jobs are sent there");
+        harness.advance(2 * S);
+        assertEquals("cold", harness.lastWorkerOf(1), "and this one once it is warm");
+    }
+
+    private static List<String> borrows(DispatcherHarness harness) {
+        return harness.sentMessages.stream()
                 .map(b -> Message.read(b, 0))
                 .filter(m -> m.type == Message.Type.BORROWS)
                 .map(m -> m.hash[0] + " " + m.count[0])
@@ -476,33 +478,33 @@
     /** Seen in eight dispatchers that meet: slots counted as taken by jobs that had ended long ago, or as free. */
     @Test
     void whenAWorkerChangesHandsItsNewOwnerHearsOfTheJobsThereAndTheOldOneForgetsThem() {
-        plan.peers = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"));
+        options.peers = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         for (long id = 1; id <= 4; id++) {
-            rig.ask(id); // alone it fills both
+            harness.request(id); // alone it fills both
         }
-        byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes();
-        rig.module.peerMessage(rig.now, 1, here);
-        rig.run(40 * Rig.MS);
+        byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        harness.dispatcher.peerMessage(harness.now, 1, here);
+        harness.advance(40 * MS);
         int a = new DispatcherState.Worker("a", 0).hash;
         int b = new DispatcherState.Worker("b", 0).hash;
-        String moved = borrows(rig).contains(a + " 2") ? "a" : "b";
+        String moved = borrows(harness).contains(a + " 2") ? "a" : "b";
         int hash = moved.equals("a") ? a : b;
-        assertEquals(List.of(hash + " 2"), borrows(rig)); // one of the two has gone to the other, with its jobs
-        for (Rig.Send send : List.copyOf(rig.sends)) {
-            rig.answer(send.id(), 0, Outcome.OK);
+        assertEquals(List.of(hash + " 2"), borrows(harness)); // one of the two has gone to the other, with its jobs
+        for (DispatcherHarness.Send send : List.copyOf(harness.sends)) {
+            harness.endAttempt(send.id(), 0, Outcome.OK);
         }
-        assertEquals(List.of(hash + " 2", hash + " 1", hash + " 0"), borrows(rig));
+        assertEquals(List.of(hash + " 2", hash + " 1", hash + " 0"), borrows(harness));
     }
 
     /** Word of a job's end goes to whoever fills its worker now; what we were told before must not stay for good. */
     @Test
     void jobsToldOfAWorkerThatHasChangedHandsAreForgotten() {
-        plan.peers = 3;
+        options.peers = 3;
         // jobs so long that none is taken for over by its age
-        plan.classes =
-                List.of(new JobClass("c", 300 * Rig.MS, 2, 90 * Rig.S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * Rig.S, -1));
-        WorkerInfo[] all = {Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d")};
+        options.classes =
+                List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * S, -1));
+        WorkerInfo[] all = {DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d")};
         int[] hashes = Arrays.stream(all)
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
@@ -513,134 +515,134 @@
                 .filter(i -> two[i] == 0 && three[i] != 0)
                 .findFirst()
                 .orElseThrow();
-        Rig rig = new Rig(plan.settings()).list(all);
-        byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes();
-        Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * Rig.MS);
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
+        byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
         borrows.add(hashes[moving], 2);
-        rig.module.peerMessage(rig.now, 2, borrows.bytes());
-        rig.run(40 * Rig.MS);
-        rig.ask(1);
-        rig.ask(2);
-        rig.ask(3); // of its two workers' four slots two are taken
-        assertEquals(2, rig.sends.size());
+        harness.dispatcher.peerMessage(harness.now, 2, borrows.bytes());
+        harness.advance(40 * MS);
+        harness.request(1);
+        harness.request(2);
+        harness.request(3); // of its two workers' four slots two are taken
+        assertEquals(2, harness.sends.size());
         for (long id = 1; id <= 3; id++) {
-            rig.answer(id, 0, Outcome.OK);
+            harness.endAttempt(id, 0, Outcome.OK);
         }
-        rig.module.peerMessage(rig.now, 1, here);
+        harness.dispatcher.peerMessage(harness.now, 1, here);
         for (int i = 0; i < 20; i++) { // the first falls silent, the second stays
-            rig.run(Rig.S);
-            rig.module.peerMessage(rig.now, 2, here);
+            harness.advance(S);
+            harness.dispatcher.peerMessage(harness.now, 2, here);
         }
         for (long id = 11; id <= 14; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        assertEquals(7, rig.sends.size());
+        assertEquals(7, harness.sends.size());
     }
 
     /** Seen with 24 dispatchers in six zones: 27 jobs held in one zone beside 17 free slots of another. */
     @Test
     void anOfferIsUsedHoweverManyNeighboursHaveNone() {
-        plan.peers = 41;
-        plan.zones = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        options.peers = 41;
+        options.zones = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
-            rig.module.peerMessage(rig.now, peer, new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS).bytes());
+            harness.dispatcher.peerMessage(harness.now, peer, new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
         }
         for (long id = 1; id <= 8; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 4);
         for (int i = 0; i < 5; i++) {
-            rig.module.peerMessage(rig.now, 1, offer.bytes());
+            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         }
-        assertTrue(rig.sentTo("far") >= 4, rig.sentTo("far") + " sent");
+        assertTrue(harness.sendCount("far") >= 4, harness.sendCount("far") + " sent");
     }
 
     @Test
     void whoHoldsJobsAsksByItsExchangeAndWhoHasSlotsOffersAtOnce() {
-        plan.peers = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d"));
-        rig.module.peerMessage(rig.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
-        rig.run(60 * Rig.MS);
-        rig.told.clear();
-        Message asking = new Message(Message.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * Rig.MS);
-        rig.module.peerMessage(rig.now, 1, asking.bytes());
-        assertEquals(1, rig.told.size());
-        assertTrue(Message.read(rig.told.get(0), 0).entries > 0);
+        options.peers = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+        harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+        harness.advance(60 * MS);
+        harness.sentMessages.clear();
+        Message asking = new Message(Message.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * MS);
+        harness.dispatcher.peerMessage(harness.now, 1, asking.bytes());
+        assertEquals(1, harness.sentMessages.size());
+        assertTrue(Message.read(harness.sentMessages.get(0), 0).entries > 0);
         for (long id = 1; id <= 20; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
-        rig.run(500 * Rig.MS);
-        Message asked = Message.read(rig.told.get(rig.told.size() - 1), 0);
+        harness.advance(500 * MS);
+        Message asked = Message.read(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
         assertTrue(asked.entries == 0 && asked.p < 1);
     }
 
     @Test
     void markedRepeatsYieldToNewRequests() {
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        rig.ask(1);
-        rig.ask(2);
-        rig.ask(3, 0, -1, 5 * Rig.S, true);
-        rig.ask(4);
-        rig.answer(1, 0, Outcome.OK);
-        assertEquals("a", rig.workerOf(4));
-        assertNull(rig.workerOf(3));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        harness.request(1);
+        harness.request(2);
+        harness.request(3, 0, -1, 5 * S, true);
+        harness.request(4);
+        harness.endAttempt(1, 0, Outcome.OK);
+        assertEquals("a", harness.lastWorkerOf(4));
+        assertNull(harness.lastWorkerOf(3));
     }
 
     @Test
     void whatIsBeyondATenantsShareYields() {
-        plan.tenants = List.of(new Tenant("big", 1), new Tenant("small", 100));
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
+        options.tenants = List.of(new Tenant("big", 1), new Tenant("small", 100));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (long id = 1; id <= 5; id++) {
-            rig.ask(id, 0, 0, 5 * Rig.S, false);
+            harness.request(id, 0, 0, 5 * S, false);
         }
-        rig.ask(6, 0, 1, 5 * Rig.S, false);
-        rig.answer(1, 0, Outcome.OK);
-        assertEquals("a", rig.workerOf(6));
-        assertNull(rig.workerOf(3));
+        harness.request(6, 0, 1, 5 * S, false);
+        harness.endAttempt(1, 0, Outcome.OK);
+        assertEquals("a", harness.lastWorkerOf(6));
+        assertNull(harness.lastWorkerOf(3));
     }
 
     @Test
     void subscribesOnDemandAndAgainAfterALoss() {
-        plan.onDemand = true;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        assertEquals(1, rig.subscriptions);
-        rig.module.workersUnavailable(rig.now, WatchEnd.ENDED);
-        rig.run(Rig.S);
-        assertEquals(2, rig.subscriptions);
+        options.onDemand = true;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        assertEquals(1, harness.subscriptions);
+        harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
+        harness.advance(S);
+        assertEquals(2, harness.subscriptions);
     }
 
     /** Guards against a list that stays old for seconds because discovery failed several times before. */
     @Test
     void asksForTheListAgainWithinASecondHoweverOftenThatFailed() {
-        plan.onDemand = true;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
+        options.onDemand = true;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (int i = 1; i <= 8; i++) {
-            assertEquals(i, rig.subscriptions);
-            rig.module.workersUnavailable(rig.now, WatchEnd.ENDED);
-            rig.run(Rig.S);
+            assertEquals(i, harness.subscriptions);
+            harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
+            harness.advance(S);
         }
     }
 
     @Test
     void foreignMessagesAreIgnored() {
-        plan.peers = 2;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
+        options.peers = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (byte[] bytes : List.of(
                 new byte[0], new byte[] {1, 2}, new byte[] {9, 0, 0, 0, 0, 0, 77}, new byte[] {0, 0, 0, 0, 0, 0, 1, 5
                 })) {
-            rig.module.peerMessage(rig.now, 1, bytes);
+            harness.dispatcher.peerMessage(harness.now, 1, bytes);
         }
-        rig.module.peerMessage(rig.now, 99, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
-        rig.ask(1);
-        assertFalse(rig.sends.isEmpty());
+        harness.dispatcher.peerMessage(harness.now, 99, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
+        harness.request(1);
+        assertFalse(harness.sends.isEmpty());
     }
 
     @Test
     void illegalSettingsAreNamed() {
-        plan.zone = 5;
-        Exception e = assertThrows(IllegalArgumentException.class, plan::settings);
+        options.zone = 5;
+        Exception e = assertThrows(IllegalArgumentException.class, options::settings);
         assertEquals("illegal setting zone: 5", e.getMessage());
     }
 }
--- a/src/test/java/saffronferry/FiringsTest.java
+++ b/src/test/java/saffronferry/FiringsTest.java
@@ -1,6 +1,8 @@
 package saffronferry;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.S;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -18,15 +20,15 @@
  */
 class FiringsTest {
     private static final int DISPATCHERS = 60;
-    private static final long SLOT = 25 * Rig.MS;
+    private static final long SLOT = 25 * MS;
 
-    private static List<Rig> start(Rig.Plan plan, String... workers) {
-        List<Rig> all = new ArrayList<>();
+    private static List<DispatcherHarness> start(DispatcherHarness.Options options, String... workers) {
+        List<DispatcherHarness> all = new ArrayList<>();
         for (int i = 0; i < DISPATCHERS; i++) {
-            plan.seed = 1_000 + i;
-            Rig rig = new Rig(plan.settings());
-            rig.list(Arrays.stream(workers).map(Rig::worker).toArray(Contract.WorkerInfo[]::new));
-            all.add(rig);
+            options.seed = 1_000 + i;
+            DispatcherHarness harness = new DispatcherHarness(options.settings());
+            harness.list(Arrays.stream(workers).map(DispatcherHarness::worker).toArray(Contract.WorkerInfo[]::new));
+            all.add(harness);
         }
         return all;
     }
@@ -54,9 +56,9 @@
         return result;
     }
 
-    private static List<Long> told(List<Rig> all, String action) {
+    private static List<Long> told(List<DispatcherHarness> all, String action) {
         List<Long> times = new ArrayList<>();
-        all.forEach(rig -> rig.trace.stream()
+        all.forEach(harness -> harness.trace.stream()
                 .filter(line -> line.contains(" " + action + " "))
                 .mapToLong(line -> Long.parseLong(line.substring(0, line.indexOf(' '))))
                 .distinct()
@@ -65,19 +67,19 @@
     }
 
     /** Requests at a rate of their own for each dispatcher; whatever is sent ends so. When it was sent. */
-    private static List<Long> play(List<Rig> all, long span, long every, Outcome outcome) {
+    private static List<Long> play(List<DispatcherHarness> all, long span, long every, Outcome outcome) {
         List<Long> sent = new ArrayList<>();
-        for (Rig rig : all) {
-            long end = rig.now + span;
-            int seen = rig.sends.size();
-            long id = 1_000_000 + rig.now;
-            while (rig.now < end) {
-                rig.ask(++id, 0, -1, 200 * Rig.MS, false);
-                rig.run(every);
-                for (; seen < rig.sends.size(); seen++) {
-                    Rig.Send s = rig.sends.get(seen);
+        for (DispatcherHarness harness : all) {
+            long end = harness.now + span;
+            int seen = harness.sends.size();
+            long id = 1_000_000 + harness.now;
+            while (harness.now < end) {
+                harness.request(++id, 0, -1, 200 * MS, false);
+                harness.advance(every);
+                for (; seen < harness.sends.size(); seen++) {
+                    DispatcherHarness.Send s = harness.sends.get(seen);
                     sent.add(s.at());
-                    rig.answer(s.id(), s.attempt(), outcome);
+                    harness.endAttempt(s.id(), s.attempt(), outcome);
                 }
             }
         }
@@ -87,20 +89,20 @@
     /** Exchange and probes: over two minutes from a common start, and two more after a common stop of 20 s. */
     @Test
     void exchangesAndProbesOfAFleetThatStartsTogetherDoNotKeepStep() {
-        Rig.Plan plan = new Rig.Plan();
-        plan.peers = DISPATCHERS;
-        plan.zones = 2;
-        plan.peerPrice = 1; // messages are dear: the period is its longest
-        List<Rig> all = start(plan, "a", "b", "c");
+        DispatcherHarness.Options options = new DispatcherHarness.Options();
+        options.peers = DISPATCHERS;
+        options.zones = 2;
+        options.peerPrice = 1; // messages are dear: the period is its longest
+        List<DispatcherHarness> all = start(options, "a", "b", "c");
         long begin = all.get(0).now;
-        play(all, 120 * Rig.S, 250 * Rig.MS, Outcome.OK);
-        all.forEach(rig -> rig.now = begin + 140 * Rig.S); // stopped: what is overdue comes at one instant
-        play(all, 120 * Rig.S, 250 * Rig.MS, Outcome.OK);
+        play(all, 120 * S, 250 * MS, Outcome.OK);
+        all.forEach(harness -> harness.now = begin + 140 * S); // stopped: what is overdue comes at one instant
+        play(all, 120 * S, 250 * MS, Outcome.OK);
         List<Double> spreads = new ArrayList<>();
         for (String action : new String[] {"tell", "probe"}) {
             List<Long> times = told(all, action);
-            for (long from : new long[] {begin + 20 * Rig.S, begin + 160 * Rig.S}) {
-                spreads.add(spread(action, times, from, from + 99 * Rig.S));
+            for (long from : new long[] {begin + 20 * S, begin + 160 * S}) {
+                spreads.add(spread(action, times, from, from + 99 * S));
             }
         }
         assertTrue(spreads.stream().allMatch(x -> x < 3), "spreads " + spreads);
@@ -111,13 +113,13 @@
     void trialsAndRestsAfterACommonOutageAreSpread() {
         List<Double> spreads = new ArrayList<>();
         for (Outcome outcome : new Outcome[] {Outcome.CONNECT_FAILED, Outcome.FULL}) {
-            Rig.Plan plan = new Rig.Plan();
-            plan.maxAttempts = 1;
-            plan.classes = List.of(Rig.jobClass(Effect.SAFE, Group.ALL));
-            List<Rig> all = start(plan, "a");
+            DispatcherHarness.Options options = new DispatcherHarness.Options();
+            options.maxAttempts = 1;
+            options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+            List<DispatcherHarness> all = start(options, "a");
             long begin = all.get(0).now;
-            List<Long> asked = play(all, 120 * Rig.S, 5 * Rig.MS, outcome);
-            spreads.add(spread(outcome.name(), asked, begin + 20 * Rig.S, begin + 120 * Rig.S));
+            List<Long> asked = play(all, 120 * S, 5 * MS, outcome);
+            spreads.add(spread(outcome.name(), asked, begin + 20 * S, begin + 120 * S));
         }
         assertTrue(spreads.stream().allMatch(x -> x < 3), "spreads " + spreads);
     }
@@ -125,25 +127,25 @@
     /** Refused at one instant, clients must not be told to come back at one; and none sooner than is of use. */
     @Test
     void whatRefusedClientsAreToldIsSpreadAndNeverTooShort() {
-        Rig.Plan plan = new Rig.Plan();
-        plan.maxRetryAfter = 10 * Rig.S;
-        List<Rig> all = start(plan, "a");
+        DispatcherHarness.Options options = new DispatcherHarness.Options();
+        options.maxRetryAfter = 10 * S;
+        List<DispatcherHarness> all = start(options, "a");
         List<Long> back = new ArrayList<>();
-        for (Rig rig : all) {
+        for (DispatcherHarness harness : all) {
             for (long id = 1; id <= 6; id++) {
-                rig.ask(id);
+                harness.request(id);
             }
-            long at = rig.now;
+            long at = harness.now;
             for (long id = 7; id <= 12; id++) {
-                rig.ask(id, 0, -1, 10 * Rig.MS, false);
-                long told = rig.retryAfters.get(id);
+                harness.request(id, 0, -1, 10 * MS, false);
+                long told = harness.retryAfters.get(id);
                 // four held jobs beside two slots: two rounds of 500 ms
-                assertTrue(told >= Rig.S, "told " + told);
+                assertTrue(told >= S, "told " + told);
                 back.add(at + told);
             }
         }
         long from = all.get(0).now;
-        double spread = spread("told to come back", back, from, from + 2 * Rig.S);
+        double spread = spread("told to come back", back, from, from + 2 * S);
         assertTrue(spread < 40, "spread " + spread);
     }
 }
--- a/src/test/java/saffronferry/LessonsTest.java
+++ b/src/test/java/saffronferry/LessonsTest.java
@@ -10,7 +10,7 @@
 
 /** What is learned of workers that others fill too. */
 class LessonsTest {
-    private final Lessons known = new Lessons(2, List.of(Rig.jobClass(Effect.SAFE, Group.ALL)), 500_000);
+    private final Lessons known = new Lessons(2, List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL)), 500_000);
 
     @Test
     void slotsLeftToUsAreNotAllSlots() {
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -2,6 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.S;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,35 +17,35 @@
  * 0.3 s before. What a worker's connection takes is not in it: a dial ends when the list comes.
  */
 class ListClockTest {
-    private static final long MARGIN = 300 * Rig.MS;
-    private static final long TOLD = 6 * Rig.S;
-    private static final long LINE = 3 * Rig.S; // a call may wait so long, and counts as told 2 s after that wait
-    private static final long AFTER_WAIT = 2 * Rig.S;
-    private static final long STOP = 2 * Rig.S;
+    private static final long MARGIN = 300 * MS;
+    private static final long TOLD = 6 * S;
+    private static final long LINE = 3 * S; // a call may wait so long, and counts as told 2 s after that wait
+    private static final long AFTER_WAIT = 2 * S;
+    private static final long STOP = 2 * S;
     /** Between the step that asks and discovery's answer, where nobody waits before us. */
-    private static final long ANSWER = 50 * Rig.MS;
+    private static final long ANSWER = 50 * MS;
 
     /** One dispatcher of so many whose watch has just told its last line. */
-    private static Rig watching(int peers, long seed) {
-        Rig.Plan plan = new Rig.Plan();
-        plan.onDemand = true;
-        plan.peers = peers;
-        plan.seed = seed;
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"));
-        rig.run(10 * Rig.S);
-        assertEquals(1, rig.subscriptions);
-        rig.change(); // a line: changes, none of them
-        return rig;
+    private static DispatcherHarness watching(int peers, long seed) {
+        DispatcherHarness.Options options = new DispatcherHarness.Options();
+        options.onDemand = true;
+        options.peers = peers;
+        options.seed = seed;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        harness.advance(10 * S);
+        assertEquals(1, harness.subscriptions);
+        harness.change(); // a line: changes, none of them
+        return harness;
     }
 
     /** The clock runs, jobs coming each 20 ms, until discovery is called once more; when that was. */
-    private static long nextCall(Rig rig, long[] job) {
-        int before = rig.subscriptions;
-        while (rig.subscriptions == before) {
-            rig.run(20 * Rig.MS);
-            rig.ask(job[0]++);
+    private static long nextCall(DispatcherHarness harness, long[] job) {
+        int before = harness.subscriptions;
+        while (harness.subscriptions == before) {
+            harness.advance(20 * MS);
+            harness.request(job[0]++);
         }
-        return rig.now;
+        return harness.now;
     }
 
     /** The worst of a few dispatchers: silence, a call that is taken and never answered, and the one that tells. */
@@ -52,33 +54,33 @@
         long worst = 0;
         for (int peers = 1; peers <= 8; peers++) {
             for (long seed = 1; seed <= 200; seed++) {
-                Rig rig = watching(peers, seed);
-                long last = rig.now;
+                DispatcherHarness harness = watching(peers, seed);
+                long last = harness.now;
                 long[] job = {1};
-                rig.run(CallPace.SILENCE);
-                rig.module.workersUnavailable(rig.now, WatchEnd.SILENT);
-                nextCall(rig, job);
-                rig.run(CallPace.FIRST_LIST);
-                rig.module.workersUnavailable(rig.now, WatchEnd.LATE);
-                nextCall(rig, job);
-                rig.run(ANSWER);
-                rig.change(Rig.worker("b", 0, WorkerState.DRAINING, 0));
-                worst = Math.max(worst, rig.now - last);
-                int sent = rig.sends.size();
+                harness.advance(CallPace.SILENCE);
+                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.SILENT);
+                nextCall(harness, job);
+                harness.advance(CallPace.FIRST_LIST);
+                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
+                nextCall(harness, job);
+                harness.advance(ANSWER);
+                harness.change(DispatcherHarness.worker("b", 0, WorkerState.DRAINING, 0));
+                worst = Math.max(worst, harness.now - last);
+                int sent = harness.sends.size();
                 for (int i = 0; i < 20; i++) {
-                    rig.run(20 * Rig.MS);
-                    rig.ask(job[0]++);
+                    harness.advance(20 * MS);
+                    harness.request(job[0]++);
                 }
                 assertEquals(
                         List.of(),
-                        rig.sends.subList(sent, rig.sends.size()).stream()
+                        harness.sends.subList(sent, harness.sends.size()).stream()
                                 .filter(s -> s.worker().equals("b"))
                                 .toList(),
                         "sent behind the list");
             }
         }
         assertTrue(worst <= TOLD + STOP - MARGIN, worst / 1e6 + " s from the last line to the list");
-        assertTrue(worst >= 7 * Rig.S, "the worst was not forced: " + worst / 1e6);
+        assertTrue(worst >= 7 * S, "the worst was not forced: " + worst / 1e6);
     }
 
     /**
@@ -89,16 +91,16 @@
     void ofManyEachCallBeginsBeforeItsLastWaitInVainCountsAsTold() {
         for (int peers : new int[] {9, 20, 103, 300}) {
             for (long seed = 1; seed <= 40; seed++) {
-                Rig rig = watching(peers, seed);
-                long last = rig.now;
+                DispatcherHarness harness = watching(peers, seed);
+                long last = harness.now;
                 long[] job = {1};
-                rig.run(CallPace.SILENCE);
-                rig.module.workersUnavailable(rig.now, WatchEnd.SILENT);
-                long first = nextCall(rig, job);
+                harness.advance(CallPace.SILENCE);
+                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.SILENT);
+                long first = nextCall(harness, job);
                 assertTrue(first - last + LINE <= TOLD + STOP - MARGIN, "served in " + (first - last + LINE));
-                rig.run(LINE);
-                rig.module.workersUnavailable(rig.now, WatchEnd.LATE);
-                long second = nextCall(rig, job);
+                harness.advance(LINE);
+                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
+                long second = nextCall(harness, job);
                 long told = Math.max(last + TOLD, first + LINE + AFTER_WAIT);
                 assertTrue(second <= told + STOP - MARGIN, (second - told) / 1e6 + " s after it counts as told");
             }
--- a/src/test/java/saffronferry/MessageTest.java
+++ b/src/test/java/saffronferry/MessageTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static saffronferry.DispatcherHarness.MS;
 
 import java.util.Arrays;
 import java.util.BitSet;
@@ -17,7 +18,7 @@
     private static Message lending(long at, int peers) {
         BitSet word = new BitSet();
         word.set(0, peers);
-        Message m = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
+        Message m = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         m.at = at;
         m.cold = true;
         m.word = word;
@@ -103,7 +104,7 @@
         lender.recordOffers(new DispatcherState.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
         assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000) && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
         assertTrue(lender.hasUnusedLoan(false, NOW, 400_000), "nobody waits");
-        byte[] bytes = lender.returnUnusedBudget(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
+        byte[] bytes = lender.returnUnusedBudget(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * MS))
                 .bytes();
         assertTrue(!lender.hasUnusedLoan(false, NOW, 400_000) && !lender.offerCovers(0, 1, 1), "ours no more once it is told");
         for (int cut = 0; cut < bytes.length; cut++) {
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -1,5 +1,8 @@
 package saffronferry;
 
+import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.S;
+
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.util.ArrayList;
@@ -27,8 +30,8 @@
     static final int BURST = 8;
 
     private static final int SLOTS = 16;
-    private static final long TICK = 25 * Rig.MS;
-    private static final long HEARD_AGAIN = 500 * Rig.MS;
+    private static final long TICK = 25 * MS;
+    private static final long HEARD_AGAIN = 500 * MS;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     final Dispatcher module;
@@ -37,7 +40,7 @@
     private final List<Long> sent = new ArrayList<>();
     private final SplittableRandom dice = new SplittableRandom(1);
     private int next;
-    private long now = 100 * Rig.S;
+    private long now = 100 * S;
     private long nextTick = Long.MAX_VALUE;
     private long tickToken;
     private long heardAt;
@@ -49,11 +52,11 @@
      * @param fleet with two dispatchers in each zone, all heard; else it is alone and fills all workers
      */
     ModuleCost(int workers, int zones, boolean fleet) {
-        Rig.Plan plan = new Rig.Plan();
-        plan.zones = zones;
-        plan.peers = fleet ? 2 * zones : 1;
-        plan.classes = List.of(Rig.jobClass(Effect.SAFE, Group.ALL));
-        settings = plan.settings();
+        DispatcherHarness.Options options = new DispatcherHarness.Options();
+        options.zones = zones;
+        options.peers = fleet ? 2 * zones : 1;
+        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        settings = options.settings();
         module = new Dispatcher(settings, this);
         for (int i = 0; i < workers; i++) {
             list.add(info(i, WorkerState.IN_SERVICE));
@@ -85,7 +88,7 @@
             module.peerMessage(
                     now,
                     peer,
-                    new Message(Message.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * Rig.MS).bytes());
+                    new Message(Message.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * MS).bytes());
         }
     }
 
@@ -104,7 +107,7 @@
     long picks() {
         long begun = THREADS.getCurrentThreadCpuTime();
         for (int i = 0; i < BURST; i++) {
-            module.request(now, new Request(++id, 0, -1, now + 5 * Rig.S, 1, false));
+            module.request(now, new Request(++id, 0, -1, now + 5 * S, 1, false));
         }
         long cost = THREADS.getCurrentThreadCpuTime() - begun;
         if (sent.size() != BURST) {
--- a/src/test/java/saffronferry/ModuleTrace.java
+++ b/src/test/java/saffronferry/ModuleTrace.java
@@ -1,5 +1,8 @@
 package saffronferry;
 
+import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.S;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -23,17 +26,17 @@
  * each action as well.
  */
 final class ModuleTrace {
-    private static final long STEP = 5 * Rig.MS;
+    private static final long STEP = 5 * MS;
 
     private final SplittableRandom dice;
-    private final List<Rig> rigs = new ArrayList<>();
+    private final List<DispatcherHarness> harnesses = new ArrayList<>();
     private final List<WorkerInfo> listed = new ArrayList<>();
     private final int zones;
     private final int[] read;
     private final int[] heard;
     private final long[] silentUntil;
     private final List<Map<Long, Request>> asked = new ArrayList<>();
-    private final List<Map<Rig.Send, Long>> running = new ArrayList<>();
+    private final List<Map<DispatcherHarness.Send, Long>> running = new ArrayList<>();
     private long nextId;
     private int born;
     private long now;
@@ -44,33 +47,33 @@
         dice = new SplittableRandom(seed);
         zones = 1 + dice.nextInt(4);
         int peers = 1 + dice.nextInt(8);
-        Rig.Plan plan = new Rig.Plan();
-        plan.zones = zones;
-        plan.peers = peers;
-        plan.parallel = dice.nextInt(4) > 0;
-        plan.tellsStart = dice.nextBoolean();
-        plan.classes = List.of(
-                Rig.jobClass(Effect.SAFE, Group.ALL),
-                Rig.jobClass(Effect.UNSAFE, Group.ALL),
-                Rig.jobClass(Effect.KEYED, Group.values()[dice.nextInt(3)]));
+        DispatcherHarness.Options options = new DispatcherHarness.Options();
+        options.zones = zones;
+        options.peers = peers;
+        options.parallel = dice.nextInt(4) > 0;
+        options.tellsStart = dice.nextBoolean();
+        options.classes = List.of(
+                DispatcherHarness.jobClass(Effect.SAFE, Group.ALL),
+                DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL),
+                DispatcherHarness.jobClass(Effect.KEYED, Group.values()[dice.nextInt(3)]));
         int workers = 4 << dice.nextInt(7);
         for (int i = 0; i < workers; i++) {
             add();
         }
         for (int d = 0; d < peers; d++) {
-            plan.self = d;
-            plan.zone = d % zones;
-            plan.seed = seed * 100 + d;
-            Rig rig = new Rig(plan.settings());
-            rig.module.workers(rig.now, ListKind.WARM_COPY, listed);
-            rigs.add(rig);
+            options.self = d;
+            options.zone = d % zones;
+            options.seed = seed * 100 + d;
+            DispatcherHarness harness = new DispatcherHarness(options.settings());
+            harness.dispatcher.workers(harness.now, ListKind.WARM_COPY, listed);
+            harnesses.add(harness);
             asked.add(new HashMap<>());
             running.add(new LinkedHashMap<>());
         }
         read = new int[peers];
         heard = new int[peers];
         silentUntil = new long[peers];
-        now = rigs.get(0).now;
+        now = harnesses.get(0).now;
     }
 
     private WorkerInfo add() {
@@ -86,18 +89,18 @@
         for (int i = 0; i < steps; i++) {
             discover();
             if (dice.nextInt(400) == 0) {
-                silentUntil[dice.nextInt(rigs.size())] = now + dice.nextLong(4 * Rig.S);
+                silentUntil[dice.nextInt(harnesses.size())] = now + dice.nextLong(4 * S);
             }
-            for (int d = 0; d < rigs.size(); d++) {
-                requests(d, perStep / rigs.size());
+            for (int d = 0; d < harnesses.size(); d++) {
+                requests(d, perStep / harnesses.size());
                 endings(d);
-                rigs.get(d).run(STEP);
+                harnesses.get(d).advance(STEP);
             }
             now += STEP;
             exchange();
         }
-        for (Rig rig : rigs) {
-            for (String line : rig.trace) {
+        for (DispatcherHarness harness : harnesses) {
+            for (String line : harness.trace) {
                 digest = digest * 31 + line.hashCode();
                 counts.merge(line.split(" ")[1], 1L, Long::sum);
             }
@@ -115,7 +118,7 @@
                     w.address(), WorkerState.values()[dice.nextInt(3)], w.kind(), w.zone(), w.startedAt(), w.cell());
         } else if (what == 1) {
             other = new WorkerInfo(
-                    w.address(), WorkerState.IN_SERVICE, w.kind(), w.zone(), now - dice.nextLong(9 * Rig.S), w.cell());
+                    w.address(), WorkerState.IN_SERVICE, w.kind(), w.zone(), now - dice.nextLong(9 * S), w.cell());
         } else if (what == 2 && dice.nextBoolean()) {
             other = new WorkerInfo(w.address(), WorkerState.GONE, w.kind(), w.zone(), w.startedAt(), w.cell());
             listed.remove(at);
@@ -123,7 +126,7 @@
         } else if (what == 3) {
             other = add();
         } else if (what == 4 && dice.nextInt(8) == 0) {
-            rigs.forEach(r -> r.module.workers(r.now, ListKind.WHOLE, listed));
+            harnesses.forEach(r -> r.dispatcher.workers(r.now, ListKind.WHOLE, listed));
         } else if (what == 5 && dice.nextInt(4) == 0) {
             other = new WorkerInfo(w.address(), w.state(), w.kind(), dice.nextInt(zones), w.startedAt(), w.cell());
         }
@@ -131,8 +134,8 @@
             String address = other.address();
             WorkerInfo known = other;
             listed.replaceAll(x -> x.address().equals(address) ? known : x);
-            for (Rig rig : rigs) {
-                rig.change(other);
+            for (DispatcherHarness harness : harnesses) {
+                harness.change(other);
             }
         }
     }
@@ -144,22 +147,22 @@
             long within = dice.nextInt(8) == 0 ? 1 + dice.nextLong(100_000) : 5_000_000;
             Request q = new Request(++nextId, dice.nextInt(3), -1, now + within, slots, dice.nextInt(9) == 0);
             asked.get(d).put(q.id(), q);
-            rigs.get(d).module.request(now, q);
-            if (dice.nextInt(100) == 0 && !rigs.get(d).finals.containsKey(q.id())) {
-                rigs.get(d).finals.put(q.id(), "left");
-                rigs.get(d).module.clientGone(now, q.id());
+            harnesses.get(d).dispatcher.request(now, q);
+            if (dice.nextInt(100) == 0 && !harnesses.get(d).finals.containsKey(q.id())) {
+                harnesses.get(d).finals.put(q.id(), "left");
+                harnesses.get(d).dispatcher.clientGone(now, q.id());
             }
         }
     }
 
     private void endings(int d) {
-        Rig rig = rigs.get(d);
-        for (; read[d] < rig.sends.size(); read[d]++) {
-            Rig.Send s = rig.sends.get(read[d]);
-            running.get(d).put(s, now + 50 * Rig.MS + dice.nextLong(dice.nextInt(9) == 0 ? 3 * Rig.S : 400 * Rig.MS));
+        DispatcherHarness harness = harnesses.get(d);
+        for (; read[d] < harness.sends.size(); read[d]++) {
+            DispatcherHarness.Send s = harness.sends.get(read[d]);
+            running.get(d).put(s, now + 50 * MS + dice.nextLong(dice.nextInt(9) == 0 ? 3 * S : 400 * MS));
         }
-        for (Map.Entry<Rig.Send, Long> e : List.copyOf(running.get(d).entrySet())) {
-            Rig.Send s = e.getKey();
+        for (Map.Entry<DispatcherHarness.Send, Long> e : List.copyOf(running.get(d).entrySet())) {
+            DispatcherHarness.Send s = e.getKey();
             long until = asked.get(d).get(s.id()).validUntil();
             if (now >= e.getValue() || now >= until) {
                 running.get(d).remove(s);
@@ -167,19 +170,19 @@
                 // some workers are worse than others
                 boolean bad = dice.nextInt(s.worker().hashCode() % 7 == 0 ? 4 : 40) == 0;
                 Outcome how = now >= until ? Outcome.TIMEOUT : bad ? all[dice.nextInt(all.length)] : Outcome.OK;
-                boolean over = rig.finals.containsKey(s.id());
+                boolean over = harness.finals.containsKey(s.id());
                 if (how == Outcome.OK && !over) {
-                    rig.finals.put(s.id(), "served");
+                    harness.finals.put(s.id(), "served");
                     over = true;
                 }
                 Report report = dice.nextInt(4) == 0 ? new Report(dice.nextInt(3), 0, dice.nextInt(6)) : null;
-                rig.module.attemptEnded(now, s.id(), s.attempt(), how, now - s.at(), over, report);
+                harness.dispatcher.attemptEnded(now, s.id(), s.attempt(), how, now - s.at(), over, report);
             } else if (dice.nextInt(60) == 0) {
-                rig.module.note(now, s.id(), s.attempt(), dice.nextBoolean());
+                harness.dispatcher.note(now, s.id(), s.attempt(), dice.nextBoolean());
             }
         }
         if (dice.nextInt(20) == 0 && !listed.isEmpty()) {
-            rig.module.probed(
+            harness.dispatcher.probed(
                     now,
                     listed.get(dice.nextInt(listed.size())).address(),
                     Outcome.OK,
@@ -188,13 +191,13 @@
     }
 
     private void exchange() {
-        for (int d = 0; d < rigs.size(); d++) {
-            Rig from = rigs.get(d);
-            for (; heard[d] < from.told.size(); heard[d]++) {
-                int to = from.toldTo.get(heard[d]);
+        for (int d = 0; d < harnesses.size(); d++) {
+            DispatcherHarness from = harnesses.get(d);
+            for (; heard[d] < from.sentMessages.size(); heard[d]++) {
+                int to = from.messageReceivers.get(heard[d]);
                 boolean lost = now < silentUntil[d] || now < silentUntil[to] || dice.nextInt(20) == 0;
                 if (!lost) {
-                    rigs.get(to).module.peerMessage(now, d, from.told.get(heard[d]));
+                    harnesses.get(to).dispatcher.peerMessage(now, d, from.sentMessages.get(heard[d]));
                 }
             }
         }
@@ -205,8 +208,8 @@
         for (long seed = first; seed < first + Long.parseLong(args[1]); seed++) {
             ModuleTrace day = new ModuleTrace(seed);
             System.out.printf("%d %016x %s%n", seed, day.play(3000), new TreeMap<>(day.counts));
-            for (int d = 0; args.length > 2 && d < day.rigs.size(); d++) {
-                for (String line : day.rigs.get(d).trace) {
+            for (int d = 0; args.length > 2 && d < day.harnesses.size(); d++) {
+                for (String line : day.harnesses.get(d).trace) {
                     System.out.println(d + " " + line);
                 }
             }
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static saffronferry.DispatcherHarness.MS;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -39,34 +40,34 @@
     /** Finding 16: only a worker's owner notices that it hangs; a job on a slot it lent waits for its deadline. */
     @Test
     void aJobOnABorrowedSlotOfAWorkerThatHangsIsCopied() {
-        Rig.Plan plan = new Rig.Plan();
-        plan.peers = 2;
-        plan.tellsStart = true;
-        plan.classes = List.of(Rig.jobClass(Effect.SAFE, Group.ALL));
-        Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d"));
-        rig.module.peerMessage(rig.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
-        rig.run(60 * Rig.MS);
+        DispatcherHarness.Options options = new DispatcherHarness.Options();
+        options.peers = 2;
+        options.tellsStart = true;
+        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+        harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+        harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
-            rig.ask(id);
+            harness.request(id);
         }
         String foreign = List.of("a", "b", "c", "d").stream()
-                .filter(w -> rig.sentTo(w) == 0)
+                .filter(w -> harness.sendCount(w) == 0)
                 .findFirst()
                 .orElseThrow();
-        Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
+        Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
-        rig.module.peerMessage(rig.now, 1, offer.bytes());
-        Rig.Send lent = rig.sends.stream()
+        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        DispatcherHarness.Send lent = harness.sends.stream()
                 .filter(s -> s.worker().equals(foreign))
                 .findFirst()
                 .orElseThrow();
         for (int i = 0; i < 20; i++) { // the others' jobs end; the lent worker says nothing
-            rig.run(200 * Rig.MS);
-            List.copyOf(rig.sends).stream()
-                    .filter(s -> !s.worker().equals(foreign) && !rig.finals.containsKey(s.id()))
-                    .forEach(s -> rig.answer(s.id(), s.attempt(), Contract.Outcome.OK));
+            harness.advance(200 * MS);
+            List.copyOf(harness.sends).stream()
+                    .filter(s -> !s.worker().equals(foreign) && !harness.finals.containsKey(s.id()))
+                    .forEach(s -> harness.endAttempt(s.id(), s.attempt(), Contract.Outcome.OK));
         }
-        long copies = rig.sends.stream().filter(s -> s.id() == lent.id()).count();
+        long copies = harness.sends.stream().filter(s -> s.id() == lent.id()).count();
         expectedToFail(() -> assertTrue(copies > 1, "not copied"));
     }
 }
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static saffronferry.DispatcherHarness.MS;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -55,25 +56,25 @@
     /** What operators read of a fleet of four, of which one other of the zone is heard, and one elsewhere. */
     @Test
     void whatIsSharedIsTold() {
-        Rig.Plan plan = new Rig.Plan();
-        plan.peers = 4;
-        plan.zones = 2;
-        Rig rig = new Rig(plan.settings());
-        rig.list(Rig.worker("old"), Rig.worker("cold", 0, Contract.WorkerState.IN_SERVICE, rig.now - 1));
-        assertEquals(Sharing.Fallback.ALONE, rig.module.sharing().fallback());
-        assertEquals(0.25, rig.module.sharing().part());
+        DispatcherHarness.Options options = new DispatcherHarness.Options();
+        options.peers = 4;
+        options.zones = 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings());
+        harness.list(DispatcherHarness.worker("old"), DispatcherHarness.worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
+        assertEquals(Sharing.Fallback.ALONE, harness.dispatcher.sharing().fallback());
+        assertEquals(0.25, harness.dispatcher.sharing().part());
         for (int peer : new int[] {1, 2}) {
-            rig.module.peerMessage(
-                    rig.now, peer, new Message(Message.Type.OFFERS, peer - 1, 1, 1, 1, 50 * Rig.MS).bytes());
+            harness.dispatcher.peerMessage(
+                    harness.now, peer, new Message(Message.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).bytes());
         }
-        Sharing s = rig.module.sharing();
+        Sharing s = harness.dispatcher.sharing();
         assertEquals(Sharing.Fallback.PARTS, s.fallback());
         assertEquals("4 3 2 1", s.peers() + " " + s.heard() + " " + s.counted() + " " + s.cold());
         assertTrue(s.guarded() == 0 || s.part() == 1 / 3.0, "one is elsewhere: " + s);
     }
 
     private static final Lessons KNOWN =
-            new Lessons(2, List.of(Rig.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
+            new Lessons(2, List.of(DispatcherHarness.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
 
     /** One dispatcher; zones keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
