--- a/src/test/java/saffronferry/BoundariesTest.java
+++ b/src/test/java/saffronferry/BoundariesTest.java
@@ -9,14 +9,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Who may know whom: decisions know neither sockets nor clocks, and serve loads nothing of the laboratory. */
+/** Allowed dependencies between packages: decisions use no sockets or clocks, and serving loads no simulator code. */
 class BoundariesTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("saffronferry");
 
     @Test
-    void decisionsDoNoInputOrOutput() {
+    void decisionPackagesDoNoInputOrOutputAndReadNoClock() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void theLedgerKnowsNoSocketAndTheModuleKnowsNobody() {
+    void stateUsesNoSocketsAndTheDecisionsUseNoOtherPackages() {
         noClasses()
                 .that()
                 .resideInAPackage("saffronferry.state")
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void whatOperatorsCallForIsDecidedWithoutSocketsAndTheirServerDecidesNothing() {
+    void operatorCallsAreDecidedWithoutSocketsAndTheConsoleServerDecidesNothing() {
         noClasses()
                 .that()
                 .resideInAPackage("saffronferry.ops")
@@ -111,9 +111,9 @@
                 .check(ALL);
     }
 
-    /** It judges from outside: of the program it knows scenarios, the rules' checker and the facade's words. */
+    /** The rig checks the program from outside: it uses scenarios, the rule checker and the types of the facade only. */
     @Test
-    void theRigKnowsNothingOfWhatDispatchersDo() {
+    void theRigDoesNotUseTheDispatchersCode() {
         noClasses()
                 .that()
                 .resideInAPackage("saffronferry.rig")
@@ -138,9 +138,9 @@
                 .check(ALL);
     }
 
-    /** A forecast is reckoned from what a file says, and the command reads that file. */
+    /** A forecast is computed from given values; reading the file is the command's part. */
     @Test
-    void fitsAreReckonedWithoutInputOrOutputAndKnowNothingOfWhatWasMeasured() {
+    void fitsAreComputedWithoutInputOrOutputOrOtherPackages() {
         noClasses()
                 .that()
                 .resideInAPackage("saffronferry.scale.fit")
@@ -158,9 +158,9 @@
                 .check(ALL);
     }
 
-    /** Hollow dispatchers have the real module and the real reading of lists, and no socket. */
+    /** The scale test's dispatchers run the real decisions and the real list parser, without sockets. */
     @Test
-    void hollowDispatchersKnowNoSocketAndNobodyKnowsThemButTheCommandLine() {
+    void scaleTestsUseNoSocketsAndOnlyTheCommandLineUsesThem() {
         noClasses()
                 .that()
                 .resideInAPackage("saffronferry.scale")
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void whatServeLoadsDependsOnNothingOfTheLaboratory() {
+    void servingDependsOnNoSimulatorOrTestCode() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -27,28 +27,28 @@
     private final DispatcherHarness.Options options = new DispatcherHarness.Options();
 
     @Test
-    void acceptanceIsSlotsOverSlotsAndHeld() {
+    void acceptanceIsSlotsOverSlotsPlusHeldSlots() {
         assertEquals(1.0, Dispatcher.acceptanceProbability(0, 10));
         assertEquals(10.0 / 15, Dispatcher.acceptanceProbability(5, 10), 1e-12);
         assertEquals(0.25, Dispatcher.acceptanceProbability(30, 10), 1e-12);
     }
 
     @Test
-    void drawWeightIsThePapersAndNeverNegative() {
+    void spillWeightFollowsThePaperAndIsNeverNegative() {
         // P = 0.5, R_y = 0.8: 1 - 0.2 / 0.5 = 0.6
         assertEquals(0.6, Dispatcher.spillWeight(0.5, 0.8), 1e-12);
         assertEquals(0, Dispatcher.spillWeight(0.5, 0.3)); // 1 - 0.7 / 0.5 < 0
-        assertEquals(0, Dispatcher.spillWeight(1, 1)); // nothing to give away
+        assertEquals(0, Dispatcher.spillWeight(1, 1)); // P = 1: nothing is spilled
         assertEquals(1, Dispatcher.spillWeight(0.5, 1));
     }
 
     @Test
-    void placesAtOnceThenHoldsAndLetsTheOldestLeaveFirst() {
+    void sendsToFreeSlotsThenHoldsAndSendsTheOldestFirst() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
         }
-        assertEquals(2, harness.sends.size()); // an unknown worker counts two slots
+        assertEquals(2, harness.sends.size()); // a worker of unknown size counts as two slots
         harness.endAttempt(1, 0, Outcome.OK);
         assertEquals("a", harness.lastWorkerOf(3));
         assertNull(harness.lastWorkerOf(4));
@@ -62,7 +62,7 @@
             harness.request(id);
         }
         assertEquals(5, harness.sends.size());
-        // under full load a report of no free slot must not shrink what was learned
+        // under full load a report of no free slot must not lower the learned number of slots
         harness.advance(4 * S);
         for (int i = 0; i < 20; i++) {
             harness.advance(20 * MS);
@@ -73,13 +73,13 @@
         assertTrue(harness.sends.size() >= 6);
     }
 
-    /** Guards against slots left idle: a first report that missed jobs on their way must not weigh long. */
+    /** A first report that misses a job on its way gives too few slots; later reports must outweigh it soon. */
     @Test
-    void aReportFromAWorkerAtRestCorrectsOneFromABusyMoment() {
+    void reportsOfAnIdleWorkerCorrectOneOfABusyWorker() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.request(1);
         harness.advance(100 * MS);
-        harness.report("a", 4); // five slots, of which one is taken; the old average would make it 4.1
+        harness.report("a", 4); // five slots, one of them in use; a slow average would learn 4.1
         harness.endAttempt(1, 0, Outcome.OK);
         for (int i = 0; i < 3; i++) {
             harness.advance(2 * S);
@@ -91,9 +91,9 @@
         assertEquals(1 + 5, harness.sends.size());
     }
 
-    /** Guards against healthy workers left out because a class runs longer than was guessed at first. */
+    /** A class that runs longer than the initial estimate must not keep its healthy workers out of service. */
     @Test
-    void workersThatRunLongJobsAreNoSuspectsOnceSomeHaveEnded() {
+    void workersAreNotSuspectedForLongJobsOnceTheirRunningTimeIsLearned() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.report("a", 4);
         for (long id = 1; id <= 6; id++) {
@@ -107,12 +107,12 @@
         }
         harness.advance(5 * S);
         harness.request(10, 0, -1, 60 * S, false);
-        assertEquals(before + 4, harness.sends.size()); // a suspect would get no more
+        assertEquals(before + 4, harness.sends.size()); // a suspect worker would get no more
     }
 
-    /** Guards against healthy workers left out, and their jobs moved, for one connection that broke. */
+    /** One broken connection must not take a healthy worker out of service and move its jobs. */
     @Test
-    void oneBrokenConnectionIsNoBrokenWorkerButSeveralAre() {
+    void aWorkerIsSuspectedAfterTwoResetsInARowNotAfterOne() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.report("a", 4);
         harness.request(1);
@@ -121,18 +121,18 @@
         assertEquals(3, harness.sends.size()); // sent again at once
         harness.request(3);
         assertEquals(4, harness.sends.size());
-        harness.endAttempt(2, 0, Outcome.RESET); // and the worker gave no sign in between
+        harness.endAttempt(2, 0, Outcome.RESET); // without a sign of life in between
         harness.request(4);
         assertEquals(4, harness.sends.size());
     }
 
-    /** Guards against a worker that fails its jobs at once, is therefore always free, and draws them all. */
+    /** A worker that fails its jobs at once always has free slots, and would attract all jobs. */
     @Test
-    void aWorkerThatFailsJobsGetsNeitherTheSameNorAllOthers() {
+    void aWorkerThatFailsJobsGetsNeitherTheirRetriesNorFurtherJobs() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.report("a", 5);
         harness.request(1);
-        String bad = harness.lastWorkerOf(1);
+        String failing = harness.lastWorkerOf(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
         assertNotEquals(bad, harness.lastWorkerOf(1));
         long before = harness.sendCount(bad);
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aDrainingWorkerGetsNothingMore() {
+    void aDrainingWorkerGetsNoJobs() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.change(DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0));
         for (long id = 1; id <= 4; id++) {
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aWorkerMissingFromAWholeListIsGone() {
+    void aWorkerMissingFromAWholeListGetsNoJobs() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.list(DispatcherHarness.worker("b"));
         for (long id = 1; id <= 4; id++) {
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aHeldRequestIsRefusedBeforeTheClientLeaves() {
+    void aHeldRequestIsRefusedBeforeItsDeadline() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list();
         harness.request(1, 0, -1, 5 * S, false);
         harness.advance(5 * S - 1);
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void aRefusalSaysWhenToComeBackWithinWhatTheSettingsAllow() {
+    void retryAfterIsLimitedByTheSettings() {
         options.maxRetryAfter = 100 * MS;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (long id = 1; id <= 40; id++) {
@@ -194,14 +194,14 @@
         harness.request(41, 0, -1, 10 * MS, false);
         assertEquals(100 * MS, harness.retryAfters.get(41L));
         options.maxRetryAfter = 0;
-        DispatcherHarness silent = new DispatcherHarness(options.settings()).list();
-        silent.request(1, 0, -1, 10 * MS, false);
-        assertEquals(0, silent.retryAfters.get(1L));
+        DispatcherHarness withoutAdvice = new DispatcherHarness(options.settings()).list();
+        withoutAdvice.request(1, 0, -1, 10 * MS, false);
+        assertEquals(0, withoutAdvice.retryAfters.get(1L));
     }
 
-    /** Guards against an answer held back until near the deadline though nothing can come of waiting. */
+    /** With no worker left that may take it, a request is answered at once instead of near its deadline. */
     @Test
-    void aRequestThatNoWorkerMayTakeAnyMoreEndsAtOnce() {
+    void aRequestThatNoWorkerMayTakeEndsAtOnce() {
         options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b", 1, WorkerState.IN_SERVICE, 0));
@@ -239,7 +239,7 @@
     }
 
     @Test
-    void aSilentWorkerIsSuspectedAndItsJobsMove() {
+    void aSilentWorkerIsSuspectedAndItsJobsAreHedged() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         for (int round = 0; round < 200; round++) {
             harness.request(1000 + round);
@@ -259,7 +259,7 @@
     }
 
     @Test
-    void aWorkerThatKeepsSayingFullIsLeftAloneLonger() {
+    void theBackoffGrowsWhileAWorkerAnswersFull() {
         options.maxAttempts = 100;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.request(1);
@@ -274,12 +274,12 @@
                 harness.endAttempt(1, next.attempt(), Outcome.FULL);
             }
         }
-        assertTrue(harness.sends.size() <= 7, "a draining worker was tried " + harness.sends.size() + " times in 4 s");
+        assertTrue(harness.sends.size() <= 7, "a worker that answers full was tried " + harness.sends.size() + " times in 4 s");
         assertTrue(harness.sends.size() >= 2);
     }
 
     @Test
-    void theOnlyDispatcherAdoptsAZoneThatHasNone() {
+    void workersOfAZoneWithoutDispatchersAreAdopted() {
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (long id = 1; id <= 4; id++) {
@@ -313,12 +313,12 @@
         }
         assertTrue(one.sends.size() > 20 && two.sends.size() > 20);
         for (DispatcherHarness.Send s : one.sends) {
-            assertEquals(0, two.sendCount(s.worker()), s.worker() + " is filled by both");
+            assertEquals(0, two.sendCount(s.worker()), s.worker() + " gets jobs from both");
         }
     }
 
     @Test
-    void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndItsOwnerHears() {
+    void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndTheOwnerIsTold() {
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
         Message hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
@@ -327,8 +327,8 @@
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
         }
-        int own = harness.sends.size();
-        assertTrue(own < 8, "some workers belong to the other dispatcher");
+        int sentToOwned = harness.sends.size();
+        assertTrue(sentToOwned < 8, "some workers belong to the other dispatcher");
         String foreign = List.of("a", "b", "c", "d").stream()
                 .filter(w -> harness.sendCount(w) == 0)
                 .findFirst()
@@ -341,16 +341,16 @@
         assertTrue(harness.sentMessages.stream().map(b -> Message.read(b, 0)).anyMatch(m -> m.type == Message.Type.BORROWS));
     }
 
-    /** Who does not fill a worker took it for cold for good, and never used a slot lent there again. */
+    /** A dispatcher that does not own a worker must time its warm-up too, or it never uses a slot offered there again. */
     @Test
-    void aSlotLentOfAWorkerThatWasColdIsUsedOnceItIsWarm() {
+    void anOfferedSlotOfAColdWorkerIsUsedOnceTheWorkerIsWarm() {
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
         harness.list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, harness.now));
         Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 1);
-        for (int after : new int[] {1, 6, 11}) { // heard often enough not to be taken for gone
+        for (int after : new int[] {1, 6, 11}) { // often enough for the peer not to count as silent
             harness.advance((after == 1 ? 1 : 5) * S);
             harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
             for (long id = 100 * after; id < 100 * after + 20; id++) {
@@ -373,7 +373,7 @@
         }
         assertEquals(2, harness.sendCount("a"));
         assertEquals(3, harness.sendCount("far")); // three were offered, each is used once
-        // who lent the slots must hear of it, or it fills them too
+        // the lender must be told, or it uses the slots too
         int last = harness.messageReceivers.lastIndexOf(1);
         assertTrue(harness.sentMessages.stream()
                 .map(b -> Message.read(b, 0))
@@ -381,9 +381,9 @@
         assertEquals(1, harness.messageReceivers.get(last));
     }
 
-    /** Guards a zone that lost its workers against holding and refusing while a neighbour's stand idle. */
+    /** A zone that lost its workers must not hold and refuse jobs while a neighbour's workers stand idle. */
     @Test
-    void heldJobsAreDrawnAgainWhenANeighbourOffers() {
+    void heldJobsAreSpilledWhenANeighbourOffersSlots() {
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
@@ -398,14 +398,14 @@
             offer.add(new DispatcherState.Worker("far", 0).hash, 4);
             harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         }
-        assertTrue(harness.sends.size() >= 4, harness.sends.size() + " sent"); // P is one in nine at first
+        assertTrue(harness.sends.size() >= 4, harness.sends.size() + " sent"); // P is 1/9 at first
     }
 
-    /** Seen where datagrams get lost: one end that was not heard of kept a slot from everybody for 25 s. */
+    /** With lost datagrams, one missed end of a job kept a slot out of use for 25 s. */
     @Test
-    void aSlotIsFreeAgainThoughWordOfTheJobsEndIsLost() {
+    void aSlotIsFreeAgainThoughTheMessageOfItsJobsEndIsLost() {
         options.peers = 2;
-        for (boolean toldAgain : new boolean[] {true, false}) {
+        for (boolean reportedAgain : new boolean[] {true, false}) {
             DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
             harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
             harness.advance(60 * MS);
@@ -415,19 +415,19 @@
                 harness.dispatcher.peerMessage(harness.now, 1, borrows.bytes());
             }
             harness.request(1);
-            assertEquals(0, harness.sends.size(), "all their slots are taken by the other's jobs");
-            if (toldAgain) {
+            assertEquals(0, harness.sends.size(), "all slots are in use by the peer's jobs");
+            if (reportedAgain) {
                 harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.HOLDS, 0, 1, 1, 1, 50 * MS).bytes());
             } else {
                 harness.advance(1_900 * MS);
             }
-            assertEquals(1, harness.sends.size(), toldAgain ? "it says that it has none there" : "nor told again");
+            assertEquals(1, harness.sends.size(), reportedAgain ? "the peer reports no jobs" : "the peer reports nothing more");
         }
     }
 
-    /** And who has jobs on another's slots says so again, until it has none and has said that too. */
+    /** Jobs on borrowed slots are reported again until there are none and that has been reported too. */
     @Test
-    void aLenderIsToldAgainOfAllJobsOnItsSlots() {
+    void jobsOnBorrowedSlotsAreReportedAgainUntilNoneIsReported() {
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
@@ -437,22 +437,22 @@
         for (long id = 1; id <= 30; id++) {
             harness.request(id);
         }
-        int held = harness.sends.size();
-        assertTrue(held > 0);
+        int borrowed = harness.sends.size();
+        assertTrue(borrowed > 0);
         harness.advance(1_100 * MS);
         harness.sends.forEach(s -> harness.endAttempt(s.id(), 0, Outcome.OK));
         harness.advance(1_600 * MS);
-        List<String> told = harness.sentMessages.stream()
+        List<String> reports = harness.sentMessages.stream()
                 .map(b -> Message.read(b, 0))
                 .filter(m -> m.type == Message.Type.HOLDS)
                 .map(m -> m.entries == 0 ? "none" : Integer.toString(m.count[0]))
                 .toList();
-        assertEquals(List.of(Integer.toString(held), Integer.toString(held), "none"), told);
+        assertEquals(List.of(Integer.toString(borrowed), Integer.toString(borrowed), "none"), reports);
     }
 
-    /** Seen in the laboratory: one job of 14 s of work pushed over four cold workers, one after the other. */
+    /** In the simulator one job of 14 s of work overloaded four cold workers, one after the other. */
     @Test
-    void aJobUnderWhichAWorkerBrokeGoesToNoColdOne() {
+    void aJobThatEndedWithAResetIsNotSentToAColdWorker() {
         options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Effect.SAFE, Group.ALL, 0, -1));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.request(1, 0, -1, 30 * S, false);
@@ -462,12 +462,12 @@
         assertEquals(0, harness.sendCount("cold"));
         harness.request(2);
         harness.advance(9 * S);
-        assertEquals("cold", harness.lastWorkerOf(2), "other jobs are sent there");
+        assertEquals("cold", harness.lastWorkerOf(2), "other jobs are sent to the cold worker");
         harness.advance(2 * S);
-        assertEquals("cold", harness.lastWorkerOf(1), "and this one once it is warm");
+        assertEquals("cold", harness.lastWorkerOf(1), "the reset job is sent there once the worker is warm");
     }
 
-    private static List<String> borrows(DispatcherHarness harness) {
+    private static List<String> reportedBorrows(DispatcherHarness harness) {
         return harness.sentMessages.stream()
                 .map(b -> Message.read(b, 0))
                 .filter(m -> m.type == Message.Type.BORROWS)
@@ -475,33 +475,36 @@
                 .toList();
     }
 
-    /** Seen in eight dispatchers that meet: slots counted as taken by jobs that had ended long ago, or as free. */
+    /**
+     * When eight dispatchers met, the new owners of workers counted slots as free that had jobs on them, or as in use
+     * by jobs that had ended.
+     */
     @Test
-    void whenAWorkerChangesHandsItsNewOwnerHearsOfTheJobsThereAndTheOldOneForgetsThem() {
+    void aNewOwnerIsToldOfTheJobsOnItsWorkerAndOfTheirEnds() {
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         for (long id = 1; id <= 4; id++) {
-            harness.request(id); // alone it fills both
+            harness.request(id); // alone it owns both workers
         }
-        byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
-        harness.dispatcher.peerMessage(harness.now, 1, here);
+        byte[] hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        harness.dispatcher.peerMessage(harness.now, 1, hello);
         harness.advance(40 * MS);
         int a = new DispatcherState.Worker("a", 0).hash;
         int b = new DispatcherState.Worker("b", 0).hash;
-        String moved = borrows(harness).contains(a + " 2") ? "a" : "b";
+        String moved = reportedBorrows(harness).contains(a + " 2") ? "a" : "b";
         int hash = moved.equals("a") ? a : b;
-        assertEquals(List.of(hash + " 2"), borrows(harness)); // one of the two has gone to the other, with its jobs
+        assertEquals(List.of(hash + " 2"), reportedBorrows(harness)); // the peer owns one of the two now, with its jobs
         for (DispatcherHarness.Send send : List.copyOf(harness.sends)) {
             harness.endAttempt(send.id(), 0, Outcome.OK);
         }
-        assertEquals(List.of(hash + " 2", hash + " 1", hash + " 0"), borrows(harness));
+        assertEquals(List.of(hash + " 2", hash + " 1", hash + " 0"), reportedBorrows(harness));
     }
 
-    /** Word of a job's end goes to whoever fills its worker now; what we were told before must not stay for good. */
+    /** The end of a job is reported to its worker's present owner; the former owner must drop the job on its own. */
     @Test
-    void jobsToldOfAWorkerThatHasChangedHandsAreForgotten() {
+    void jobsReportedForAWorkerThatChangedItsOwnerAreDropped() {
         options.peers = 3;
-        // jobs so long that none is taken for over by its age
+        // a deadline so long that no job counts as ended by its age
         options.classes =
                 List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * S, -1));
         WorkerInfo[] all = {DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d")};
@@ -509,29 +512,29 @@
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
                 .toArray();
-        int[] two = Owners.share(hashes, new int[] {0, 2});
-        int[] three = Owners.share(hashes, new int[] {0, 1, 2});
+        int[] ownersOfTwo = Owners.share(hashes, new int[] {0, 2});
+        int[] ownersOfThree = Owners.share(hashes, new int[] {0, 1, 2});
         int moving = IntStream.range(0, 4)
-                .filter(i -> two[i] == 0 && three[i] != 0)
+                .filter(i -> ownersOfTwo[i] == 0 && ownersOfThree[i] != 0)
                 .findFirst()
                 .orElseThrow();
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
-        byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        byte[] hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
         Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
         borrows.add(hashes[moving], 2);
         harness.dispatcher.peerMessage(harness.now, 2, borrows.bytes());
         harness.advance(40 * MS);
         harness.request(1);
         harness.request(2);
-        harness.request(3); // of its two workers' four slots two are taken
+        harness.request(3); // two of its four slots are in use by the peer's jobs
         assertEquals(2, harness.sends.size());
         for (long id = 1; id <= 3; id++) {
             harness.endAttempt(id, 0, Outcome.OK);
         }
-        harness.dispatcher.peerMessage(harness.now, 1, here);
-        for (int i = 0; i < 20; i++) { // the first falls silent, the second stays
+        harness.dispatcher.peerMessage(harness.now, 1, hello);
+        for (int i = 0; i < 20; i++) { // peer 1 falls silent, peer 2 goes on
             harness.advance(S);
-            harness.dispatcher.peerMessage(harness.now, 2, here);
+            harness.dispatcher.peerMessage(harness.now, 2, hello);
         }
         for (long id = 11; id <= 14; id++) {
             harness.request(id);
@@ -539,9 +542,9 @@
         assertEquals(7, harness.sends.size());
     }
 
-    /** Seen with 24 dispatchers in six zones: 27 jobs held in one zone beside 17 free slots of another. */
+    /** With 24 dispatchers in six zones, one zone held 27 jobs while another had 17 free slots. */
     @Test
-    void anOfferIsUsedHoweverManyNeighboursHaveNone() {
+    void anOfferIsUsedThoughMostNeighboursOfferNothing() {
         options.peers = 41;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
@@ -560,7 +563,7 @@
     }
 
     @Test
-    void whoHoldsJobsAsksByItsExchangeAndWhoHasSlotsOffersAtOnce() {
+    void aMessageWithPBelowOneIsAnsweredWithAnOfferAtOnce() {
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
         harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
@@ -574,12 +577,12 @@
             harness.request(id);
         }
         harness.advance(500 * MS);
-        Message asked = Message.read(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
-        assertTrue(asked.entries == 0 && asked.p < 1);
+        Message lastSent = Message.read(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
+        assertTrue(lastSent.entries == 0 && lastSent.p < 1);
     }
 
     @Test
-    void markedRepeatsYieldToNewRequests() {
+    void newRequestsAreSentBeforeMarkedRepeats() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.request(1);
         harness.request(2);
@@ -591,7 +594,7 @@
     }
 
     @Test
-    void whatIsBeyondATenantsShareYields() {
+    void requestsOverATenantsShareAreSentLast() {
         options.tenants = List.of(new Tenant("big", 1), new Tenant("small", 100));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (long id = 1; id <= 5; id++) {
@@ -604,7 +607,7 @@
     }
 
     @Test
-    void subscribesOnDemandAndAgainAfterALoss() {
+    void subscribesOnDemandAndAgainAfterTheWatchEnds() {
         options.onDemand = true;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         assertEquals(1, harness.subscriptions);
@@ -613,9 +616,9 @@
         assertEquals(2, harness.subscriptions);
     }
 
-    /** Guards against a list that stays old for seconds because discovery failed several times before. */
+    /** After several failures of discovery the list must not stay outdated for seconds. */
     @Test
-    void asksForTheListAgainWithinASecondHoweverOftenThatFailed() {
+    void subscribesAgainWithinASecondHoweverOftenDiscoveryFailed() {
         options.onDemand = true;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (int i = 1; i <= 8; i++) {
@@ -626,7 +629,7 @@
     }
 
     @Test
-    void foreignMessagesAreIgnored() {
+    void malformedMessagesAreIgnored() {
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (byte[] bytes : List.of(
@@ -640,7 +643,7 @@
     }
 
     @Test
-    void illegalSettingsAreNamed() {
+    void anIllegalSettingIsNamed() {
         options.zone = 5;
         Exception e = assertThrows(IllegalArgumentException.class, options::settings);
         assertEquals("illegal setting zone: 5", e.getMessage());
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -23,7 +23,7 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.fleet.WatchEnd;
 
-/** Arithmetic at its edges: counters near their ends, rates of zero, figures that are none, long silences. */
+/** Edge cases: counters near overflow, rates of zero, numbers that are not finite, long silences. */
 class EdgesTest {
     private final DispatcherHarness.Options options = new DispatcherHarness.Options();
     private long lastId;
@@ -50,26 +50,26 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"healthCheckPosition", "probePosition"})
-    void aTurnThatWrapsIsNoNegativeIndex(String turn) throws Exception {
+    void aPositionThatWrapsIsNoNegativeIndex(String position) throws Exception {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
-        field(harness.dispatcher, turn).setInt(harness.dispatcher, Integer.MAX_VALUE - 1);
+        field(harness.dispatcher, position).setInt(harness.dispatcher, Integer.MAX_VALUE - 1);
         traffic(harness, 20, 10 * S);
         assertEquals(200, harness.sends.size());
     }
 
-    /** A worker that has said full two thousand million times is still asked again after 3.2 to 4 s. */
+    /** After two thousand million answers of "full" a worker is still tried again after 3.2 to 4 s. */
     @Test
-    void aWorkerThatKeepsSayingFullIsAskedAgainHoweverOftenItDid() throws Exception {
+    void aWorkerThatAnswersFullIsTriedAgainHoweverOftenItDid() throws Exception {
         options.maxAttempts = 1;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         worker(harness, "a").consecutiveFulls = Integer.MAX_VALUE - 2;
         for (long id = 1; id <= 70; id++) {
             harness.request(id);
             assertEquals(
-                    id, harness.sends.size(), "the worker rests until " + worker(harness, "a").backoffUntil + " at " + harness.now);
+                    id, harness.sends.size(), "backs off until " + worker(harness, "a").backoffUntil + " at " + harness.now);
             harness.endAttempt(id, 0, Outcome.FULL);
-            long rest = worker(harness, "a").backoffUntil - harness.now;
-            assertTrue(rest >= 3_200 * MS && rest <= 4 * S, "rests " + rest);
+            long backoff = worker(harness, "a").backoffUntil - harness.now;
+            assertTrue(backoff >= 3_200 * MS && backoff <= 4 * S, "backs off for " + backoff);
             harness.advance(4 * S);
         }
     }
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void theListIsAskedForWithinASecondHoweverOftenThatFailed() throws Exception {
+    void subscribesWithinASecondHoweverOftenDiscoveryFailed() throws Exception {
         options.onDemand = true;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (int i = 0; i < 70; i++) {
@@ -101,25 +101,25 @@
         }
     }
 
-    /** After two thousand million jobs of a class its running time is still learned, and a number. */
+    /** After two thousand million jobs of a class its running time is still learned, and still a finite number. */
     @Test
-    void runningTimesStayNumbersHoweverManyJobsEnded() throws Exception {
+    void runningTimesStayFiniteHoweverManyJobsEnded() throws Exception {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
-        Lessons known = (Lessons) get(harness.dispatcher, "estimates");
-        known.ended[0] = Integer.MAX_VALUE - 3;
+        Lessons estimates = (Lessons) get(harness.dispatcher, "estimates");
+        estimates.ended[0] = Integer.MAX_VALUE - 3;
         for (long id = 1; id <= 10; id++) {
             harness.request(id);
             harness.advance(200 * MS);
             harness.endAttempt(id, 0, Outcome.OK);
         }
-        assertTrue(known.ended[0] > 0, "it has wrapped, and will be a divisor of 0 one day");
-        double mean = known.mean[0];
+        assertTrue(estimates.ended[0] > 0, "the count has wrapped, and would become a divisor of 0");
+        double mean = estimates.mean[0];
         assertTrue(mean >= 200 * MS && mean <= 500 * MS, "mean " + mean);
     }
 
-    /** A bit mask of classes holds 64: the 65th must not block the first. */
+    /** A bit mask of classes would hold 64 of them, and blocking the 65th would block the first. */
     @Test
-    void aClassBeyondTheSixtyFourthBlocksNoOther() {
+    void blockingAClassBeyondTheSixtyFourthBlocksNoOther() {
         options.classes = IntStream.range(0, 66)
                 .mapToObj(c -> new JobClass(
                         "c" + c,
@@ -136,7 +136,7 @@
         DispatcherHarness harness =
                 new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), new WorkerInfo("b", WorkerState.IN_SERVICE, 1, 0, 0, 0));
         harness.request(1, 64, -1, 5 * S, false);
-        harness.endAttempt(1, 0, Outcome.FULL); // b rests for a while: nothing is found for class 64
+        harness.endAttempt(1, 0, Outcome.FULL); // b backs off for a while: no slot is found for class 64
         harness.request(2, 64, -1, 5 * S, false);
         for (long id = 3; id <= 5; id++) {
             harness.request(id, 0, -1, 5 * S, false);
@@ -149,7 +149,7 @@
     // ---- rates, P and R ----
 
     @Test
-    void noPairOfPAndRGivesAnythingButAWeight() {
+    void everyPairOfPAndRGivesAWeightFromZeroToOne() {
         double[] edges = {0, Double.MIN_VALUE, 1e-9, 1 / 510.0, 1 / 255.0, 0.5, 254 / 255.0, 1 - 1e-9, 1};
         for (double p : edges) {
             for (double r : edges) {
@@ -163,9 +163,9 @@
         assertTrue(Dispatcher.acceptanceProbability(Integer.MAX_VALUE, 1) > 0);
     }
 
-    /** Who holds one job beside a thousand slots has a P just below one: rounded up it could not ask. */
+    /** One held job beside a thousand slots gives a P just below 1. Rounded up to 1, it would no longer ask for slots. */
     @Test
-    void aPJustBelowOneStillSaysThatJobsWait() {
+    void aPJustBelowOneStaysBelowOneInAMessage() {
         for (double p : new double[] {0.99, 0.999, 1 - 1e-9}) {
             assertTrue(Message.read(hello(p, 1), 0).p < 1, "P " + p);
         }
@@ -181,10 +181,10 @@
         }
     }
 
-    /** Own rate zero, all zero, both: shares stay numbers from 0 to 1, and one's first job is served. */
+    /** With the own rate or all rates at zero, shares are numbers from 0 to 1, and the first job is served. */
     @Test
-    void sharesAtRatesOfZeroAreNumbers() throws Exception {
-        for (double theirs : new double[] {0, 1e-9, 30, 4_095}) {
+    void sharesAreNumbersAtRatesOfZero() throws Exception {
+        for (double peerRate : new double[] {0, 1e-9, 30, 4_095}) {
             options.peers = 2;
             options.tenants = List.of(new Tenant("t", 5));
             DispatcherHarness harness = new DispatcherHarness(options.settings())
@@ -192,22 +192,22 @@
                             .mapToObj(i -> DispatcherHarness.worker("w" + i))
                             .toArray(WorkerInfo[]::new));
             for (int i = 0; i < 20; i++) {
-                harness.dispatcher.peerMessage(harness.now, 1, hello(1, theirs));
+                harness.dispatcher.peerMessage(harness.now, 1, hello(1, peerRate));
                 harness.advance(250 * MS);
             }
             double share = (double) get(harness.dispatcher, "zoneTrafficShare");
             double traffic = (double) get(harness.dispatcher, "fleetTrafficShare");
             assertTrue(
-                    share >= 0 && share <= 1 && traffic >= 0 && traffic <= 1, theirs + ": " + share + ", " + traffic);
-            assertEquals(theirs > 0.1 ? 0 : 0.5, share, "even parts where nobody has traffic, none beside one who has");
+                    share >= 0 && share <= 1 && traffic >= 0 && traffic <= 1, peerRate + ": " + share + ", " + traffic);
+            assertEquals(peerRate > 0.1 ? 0 : 0.5, share, "equal shares without traffic, none beside a peer that has traffic");
             harness.request(1, 0, 0, 5 * S, false);
             assertEquals(1, harness.sends.size());
         }
     }
 
-    /** A dispatcher that has just started knows its rate from its first arrivals, not 2 s later. */
+    /** After a start the request rate must be right from the first arrivals on, not only after the 2 s of averaging. */
     @Test
-    void aStartDoesNotCountItsFirstRequestsAsBeyondTheirShare() throws Exception {
+    void theFirstRequestsAfterAStartAreNotOverTheirShare() throws Exception {
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
         for (int i = 0; i < 4; i++) {
@@ -218,9 +218,9 @@
         assertTrue(share > 0.4 && share < 0.6, "equal traffic, but a share of " + share);
     }
 
-    /** No neighbour, or one; several zones or one: time passes and jobs are served. */
+    /** With no neighbour or one, in one zone or several, jobs are served after some time. */
     @Test
-    void aloneOrInPairsItServes() {
+    void servesAloneAndInPairs() {
         for (int peers = 1; peers <= 2; peers++) {
             for (int zones = 1; zones <= 3; zones++) {
                 options.peers = peers;
@@ -235,11 +235,11 @@
         }
     }
 
-    // ---- reports that are none ----
+    // ---- absurd reports ----
 
     @ParameterizedTest
     @ValueSource(doubles = {Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, 1e18, -1e18})
-    void anAbsurdReportFloodsAndIdlesNoWorker(double freeSlots) throws Exception {
+    void anAbsurdReportChangesNoLearnedSlots(double freeSlots) throws Exception {
         for (double held : new double[] {Double.NaN, 2}) {
             DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
             harness.report("a", 3);
@@ -252,11 +252,11 @@
         }
     }
 
-    // ---- silence, loss and what is kept of the past ----
+    // ---- silence, lost messages, and state that must be dropped ----
 
-    /** Stopped for two days and continued, it first reads a datagram: that is no pace of two days. */
+    /** After a stop of two days the first datagram must not be averaged in as a message interval of two days. */
     @Test
-    void aPeerThatDiesAfterALongStopIsForgottenSoon() {
+    void aPeerThatFailsAfterALongStopIsForgottenSoon() {
         options.peers = 2;
         WorkerInfo[] all =
                 IntStream.range(0, 8).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new);
@@ -265,15 +265,15 @@
         harness.advance(3 * S);
         harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         harness.now += 172_800 * S;
-        harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5)); // then it dies
+        harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5)); // then it fails
         harness.advance(30 * S);
         for (long id = 1; id <= 16; id++) {
             harness.request(id);
         }
-        assertEquals(16, harness.sends.size(), "the dead one's workers stand idle");
+        assertEquals(16, harness.sends.size(), "the failed peer's workers stand idle");
     }
 
-    private DispatcherHarness withBorrowedSlots(int peersMessages) throws Exception {
+    private DispatcherHarness withBorrowedSlots(int peerMessages) throws Exception {
         options.peers = 2;
         WorkerInfo[] all =
                 IntStream.range(0, 8).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new);
@@ -281,7 +281,7 @@
         harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         harness.advance(100 * MS);
         borrow(harness, 2);
-        for (int i = 0; i < peersMessages; i++) {
+        for (int i = 0; i < peerMessages; i++) {
             harness.advance(500 * MS);
             harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         }
@@ -294,7 +294,7 @@
         harness.dispatcher.peerMessage(harness.now, 1, m.bytes());
     }
 
-    private static int others(DispatcherHarness harness) throws Exception {
+    private static int peerSlots(DispatcherHarness harness) throws Exception {
         int sum = 0;
         for (int i = 0; i < 8; i++) {
             sum += worker(harness, "w" + i).peerSlots;
@@ -302,49 +302,49 @@
         return sum;
     }
 
-    /** The word that a borrowed slot is free again is one datagram, which may be lost. */
+    /** The message that a borrowed slot is free again is one datagram, which may be lost. */
     @Test
-    void aBorrowedSlotIsNotTakenForGoodWhenTheWordOfItsEndIsLost() throws Exception {
+    void aBorrowedSlotIsFreeAgainThoughTheMessageOfItsJobsEndIsLost() throws Exception {
         DispatcherHarness harness = withBorrowedSlots(1);
-        assertEquals(16, others(harness));
+        assertEquals(16, peerSlots(harness));
         harness = withBorrowedSlots(20); // 10 s; no job lives longer than 5
-        assertEquals(0, others(harness));
+        assertEquals(0, peerSlots(harness));
     }
 
-    /** Its process took the jobs with it; the peer's word comes when the list no longer names the worker. */
+    /** Jobs end with the worker's process, and the peer's message of it comes when the list no longer names the worker. */
     @Test
-    void aWorkerThatIsGoneAndBackHasNoBorrowedSlots() throws Exception {
+    void aWorkerThatReturnsHasNoBorrowedSlots() throws Exception {
         DispatcherHarness harness = withBorrowedSlots(1);
         for (WorkerState state : List.of(WorkerState.GONE, WorkerState.IN_SERVICE)) {
             harness.change(IntStream.range(0, 8)
                     .mapToObj(i -> DispatcherHarness.worker("w" + i, 0, state, 0))
                     .toArray(WorkerInfo[]::new));
         }
-        assertEquals(0, others(harness));
+        assertEquals(0, peerSlots(harness));
     }
 
-    /** A release replaces workers by new ones, for ever: a peer's jobs of the past must not be kept. */
+    /** Each release replaces the workers; holds at former workers would fill the memory. */
     @Test
-    void jobsOfPeersAtWorkersOfThePastAreForgotten() throws Exception {
+    void holdsThatHaveEndedAreDropped() throws Exception {
         DispatcherHarness harness = withBorrowedSlots(1);
         borrow(harness, 0);
         DispatcherState.Peer peer = ((DispatcherState.Peer[]) get(harness.dispatcher, "peers"))[1];
         assertEquals(0, ((Collection<?>) get(peer, "holds")).size());
     }
 
-    /** What is over must not be kept until its client would have left: that is traffic times deadline. */
+    /** Finished jobs kept until their deadlines would be as many as arrive in that time. */
     @Test
-    void jobsThatAreOverAreForgotten() throws Exception {
+    void finishedJobsAreDropped() throws Exception {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (long id = 1; id <= 20_000; id++) {
             harness.request(id);
             harness.endAttempt(id, 0, Outcome.OK);
         }
         int kept = ((Collection<?>) get(harness.dispatcher, "jobsByDeadline")).size();
-        assertTrue(kept < 200, kept + " jobs are kept, all of them over");
+        assertTrue(kept < 200, kept + " finished jobs are kept");
     }
 
-    /** All dispatchers of the other zone die: its workers must not stand idle for good. */
+    /** When all dispatchers of a zone have failed its workers must not stand idle for good. */
     @Test
     void aZoneThatLosesItsDispatchersIsAdoptedAfterAWhile() {
         options.peers = 2;
@@ -358,26 +358,26 @@
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
         }
-        assertEquals(0, harness.sendCount("far"), "it has a dispatcher of its own");
+        assertEquals(0, harness.sendCount("far"), "the zone has a dispatcher");
         harness.advance(5 * S);
         assertEquals(0, harness.sendCount("far"), "a restart takes no longer than this");
         harness.advance(15 * S);
         for (long id = 11; id <= 14; id++) {
             harness.request(id);
         }
-        assertTrue(harness.sendCount("far") > 0, "nobody fills it");
+        assertTrue(harness.sendCount("far") > 0, "the zone is not adopted");
         harness.dispatcher.peerMessage(harness.now, 1, hello);
         harness.advance(500 * MS);
         long before = harness.sendCount("far");
         for (long id = 21; id <= 24; id++) {
             harness.request(id);
         }
-        assertEquals(before, harness.sendCount("far"), "its dispatcher is back");
+        assertEquals(before, harness.sendCount("far"), "the zone's dispatcher is back");
     }
 
-    /** A client may say that its job takes 255 slots. */
+    /** A client may ask for 255 slots for one job; held, such a job would keep P low. */
     @Test
-    void aJobThatFitsNoWorkerIsAnsweredAtOnceAndDrivesNoPDown() throws Exception {
+    void aJobThatFitsNoWorkerIsRefusedAtOnceAndDoesNotLowerP() throws Exception {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.report("a", 4);
         harness.dispatcher.request(harness.now, new Contract.Request(1, 0, -1, harness.now + 5 * S, 255, false));
@@ -388,9 +388,9 @@
         assertEquals(1.0, (double) get(harness.dispatcher, "acceptance"));
     }
 
-    /** All fails, but not so that workers look broken: attempts must not grow to as many as each RPC may have. */
+    /** When every attempt fails though no worker looks broken, attempts must not grow to the limit of each request. */
     @Test
-    void repeatsOfWhatMayHaveRunAreBoundedInAll() {
+    void repeatsOfJobsThatMayHaveRunAreBounded() {
         options.maxAttempts = 4;
         options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
@@ -410,9 +410,9 @@
         assertTrue(seen <= asked * 1.2 + 5 * 20 + 25, seen + " attempts for " + asked + " requests");
     }
 
-    /** One large worker breaks with 100 jobs on it: their copies, held at once and sent later, are bounded too. */
+    /** A large worker breaks with 100 jobs on it; their repeats, held at once and sent later, are bounded too. */
     @Test
-    void copiesHeldAllAtOnceAreBoundedToo() {
+    void repeatsThatAreHeldAtOnceAreBounded() {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.report("a", 100);
         harness.report("b", 100);
@@ -429,7 +429,7 @@
         List.copyOf(harness.sends).stream()
                 .filter(s -> s.worker().equals("b") && s.id() != broken && s.attempt() == 0)
                 .forEach(s -> harness.endAttempt(s.id(), 0, Outcome.OK));
-        int copies = harness.sends.size() - 200;
-        assertTrue(copies > 5 && copies <= 0.2 * 200 + 25 + 1, copies + " copies");
+        int repeats = harness.sends.size() - 200;
+        assertTrue(repeats > 5 && repeats <= 0.2 * 200 + 25 + 1, repeats + " repeats");
     }
 }
--- a/src/test/java/saffronferry/FiringsTest.java
+++ b/src/test/java/saffronferry/FiringsTest.java
@@ -14,13 +14,12 @@
 import saffronferry.Contract.Outcome;
 
 /**
- * Many dispatchers from one instant, and again after an outage that stopped all of them: what they do by the
- * clock must not fall together. Counted in slots of 25 ms; chance alone gives a spread (variance over mean)
- * of about 1.
+ * Timers of dispatchers that start together, or resume together after a common outage, must not fire in step. Firings
+ * are counted in intervals of 25 ms; independent ones give a dispersion (variance over mean) of about 1.
  */
 class FiringsTest {
     private static final int DISPATCHERS = 60;
-    private static final long SLOT = 25 * MS;
+    private static final long INTERVAL_US = 25 * MS;
 
     private static List<DispatcherHarness> start(DispatcherHarness.Options options, String... workers) {
         List<DispatcherHarness> all = new ArrayList<>();
@@ -33,30 +32,31 @@
         return all;
     }
 
-    /** Variance over mean of the firings in each slot of a span. */
-    private static double spread(String what, List<Long> firings, long from, long until) {
-        int[] slots = new int[(int) ((until - from) / SLOT)];
+    /** Variance over mean of the number of firings in each interval of a span. */
+    private static double dispersion(String what, List<Long> firings, long from, long until) {
+        int[] counts = new int[(int) ((until - from) / INTERVAL_US)];
         firings.stream()
                 .filter(t -> t >= from && t < until)
-                .forEach(t -> slots[(int) Math.min(slots.length - 1, (t - from) / SLOT)]++);
-        double mean = Arrays.stream(slots).average().orElse(0);
-        double variance = Arrays.stream(slots)
+                .forEach(t -> counts[(int) Math.min(counts.length - 1, (t - from) / INTERVAL_US)]++);
+        double mean = Arrays.stream(counts).average().orElse(0);
+        double variance = Arrays.stream(counts)
                 .mapToDouble(n -> (n - mean) * (n - mean))
                 .average()
                 .orElse(0);
         double result = mean == 0 ? 0 : variance / mean;
         System.out.printf(
                 Locale.ROOT,
-                "%s: %d in %d slots, most in one %d, spread %.2f%n",
+                "%s: %d in %d intervals, at most %d in one, dispersion %.2f%n",
                 what,
-                Arrays.stream(slots).sum(),
-                slots.length,
-                Arrays.stream(slots).max().orElse(0),
+                Arrays.stream(counts).sum(),
+                counts.length,
+                Arrays.stream(counts).max().orElse(0),
                 result);
         return result;
     }
 
-    private static List<Long> told(List<DispatcherHarness> all, String action) {
+    /** The times at which the dispatchers did an action. */
+    private static List<Long> timesOf(List<DispatcherHarness> all, String action) {
         List<Long> times = new ArrayList<>();
         all.forEach(harness -> harness.trace.stream()
                 .filter(line -> line.contains(" " + action + " "))
@@ -66,8 +66,8 @@
         return times;
     }
 
-    /** Requests at a rate of their own for each dispatcher; whatever is sent ends so. When it was sent. */
-    private static List<Long> play(List<DispatcherHarness> all, long span, long every, Outcome outcome) {
+    /** Sends requests to each dispatcher and ends all attempts with one outcome; returns when attempts were sent. */
+    private static List<Long> sendRequests(List<DispatcherHarness> all, long span, long every, Outcome outcome) {
         List<Long> sent = new ArrayList<>();
         for (DispatcherHarness harness : all) {
             long end = harness.now + span;
@@ -86,51 +86,51 @@
         return sent;
     }
 
-    /** Exchange and probes: over two minutes from a common start, and two more after a common stop of 20 s. */
+    /** Exchanges and probes, for two minutes after a common start and two more after a common stop of 20 s. */
     @Test
-    void exchangesAndProbesOfAFleetThatStartsTogetherDoNotKeepStep() {
+    void exchangesAndProbesOfAFleetThatStartsTogetherAreSpread() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = DISPATCHERS;
         options.zones = 2;
-        options.peerPrice = 1; // messages are dear: the period is its longest
+        options.peerPrice = 1; // messages are expensive: the exchange period is at its maximum
         List<DispatcherHarness> all = start(options, "a", "b", "c");
         long begin = all.get(0).now;
-        play(all, 120 * S, 250 * MS, Outcome.OK);
-        all.forEach(harness -> harness.now = begin + 140 * S); // stopped: what is overdue comes at one instant
-        play(all, 120 * S, 250 * MS, Outcome.OK);
-        List<Double> spreads = new ArrayList<>();
+        sendRequests(all, 120 * S, 250 * MS, Outcome.OK);
+        all.forEach(harness -> harness.now = begin + 140 * S); // after the stop all overdue timers fire at once
+        sendRequests(all, 120 * S, 250 * MS, Outcome.OK);
+        List<Double> dispersions = new ArrayList<>();
         for (String action : new String[] {"tell", "probe"}) {
-            List<Long> times = told(all, action);
+            List<Long> times = timesOf(all, action);
             for (long from : new long[] {begin + 20 * S, begin + 160 * S}) {
-                spreads.add(spread(action, times, from, from + 99 * S));
+                dispersions.add(dispersion(action, times, from, from + 99 * S));
             }
         }
-        assertTrue(spreads.stream().allMatch(x -> x < 3), "spreads " + spreads);
+        assertTrue(dispersions.stream().allMatch(x -> x < 3), "dispersions " + dispersions);
     }
 
-    /** One outage hits the workers of all dispatchers: their trials must not come back together. */
+    /** After an outage of the workers of all dispatchers, their trials must not come at the same time. */
     @Test
-    void trialsAndRestsAfterACommonOutageAreSpread() {
-        List<Double> spreads = new ArrayList<>();
+    void trialsAndBackoffsAfterACommonOutageAreSpread() {
+        List<Double> dispersions = new ArrayList<>();
         for (Outcome outcome : new Outcome[] {Outcome.CONNECT_FAILED, Outcome.FULL}) {
             DispatcherHarness.Options options = new DispatcherHarness.Options();
             options.maxAttempts = 1;
             options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
             List<DispatcherHarness> all = start(options, "a");
             long begin = all.get(0).now;
-            List<Long> asked = play(all, 120 * S, 5 * MS, outcome);
-            spreads.add(spread(outcome.name(), asked, begin + 20 * S, begin + 120 * S));
+            List<Long> sent = sendRequests(all, 120 * S, 5 * MS, outcome);
+            dispersions.add(dispersion(outcome.name(), sent, begin + 20 * S, begin + 120 * S));
         }
-        assertTrue(spreads.stream().allMatch(x -> x < 3), "spreads " + spreads);
+        assertTrue(dispersions.stream().allMatch(x -> x < 3), "dispersions " + dispersions);
     }
 
-    /** Refused at one instant, clients must not be told to come back at one; and none sooner than is of use. */
+    /** Clients refused at one time must not retry at one time, nor before there can be a free slot. */
     @Test
-    void whatRefusedClientsAreToldIsSpreadAndNeverTooShort() {
+    void retryAfterIsSpreadAndNeverTooShort() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.maxRetryAfter = 10 * S;
         List<DispatcherHarness> all = start(options, "a");
-        List<Long> back = new ArrayList<>();
+        List<Long> retryTimes = new ArrayList<>();
         for (DispatcherHarness harness : all) {
             for (long id = 1; id <= 6; id++) {
                 harness.request(id);
@@ -138,14 +138,14 @@
             long at = harness.now;
             for (long id = 7; id <= 12; id++) {
                 harness.request(id, 0, -1, 10 * MS, false);
-                long told = harness.retryAfters.get(id);
-                // four held jobs beside two slots: two rounds of 500 ms
-                assertTrue(told >= S, "told " + told);
-                back.add(at + told);
+                long retryAfter = harness.retryAfters.get(id);
+                // four held jobs for two slots: two rounds of 500 ms
+                assertTrue(retryAfter >= S, "retry after " + retryAfter);
+                retryTimes.add(at + retryAfter);
             }
         }
         long from = all.get(0).now;
-        double spread = spread("told to come back", back, from, from + 2 * S);
-        assertTrue(spread < 40, "spread " + spread);
+        double dispersion = dispersion("retry after", retryTimes, from, from + 2 * S);
+        assertTrue(dispersion < 40, "dispersion " + dispersion);
     }
 }
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -12,20 +12,24 @@
 import saffronferry.fleet.WatchEnd;
 
 /**
- * From the last whole line of a watch to the last send at a worker whose drain that watch hides, with the clock handed
- * in. The change counts as told 6 s after the watch fell silent, and sends must end 2 s after that; what is here ends
- * 0.3 s before. What a worker's connection takes is not in it: a dial ends when the list comes.
+ * Time from the last line of a watch to the last attempt sent to a worker that drains unnoticed, with a simulated
+ * clock. The drain counts as announced 6 s after the watch fell silent, and no attempt may be sent later than 2 s after
+ * that; these tests keep a margin of 0.3 s. Connection setup is not part of it: a dial ends when the list arrives.
  */
 class ListClockTest {
-    private static final long MARGIN = 300 * MS;
-    private static final long TOLD = 6 * S;
-    private static final long LINE = 3 * S; // a call may wait so long, and counts as told 2 s after that wait
-    private static final long AFTER_WAIT = 2 * S;
-    private static final long STOP = 2 * S;
-    /** Between the step that asks and discovery's answer, where nobody waits before us. */
-    private static final long ANSWER = 50 * MS;
+    private static final long MARGIN_US = 300 * MS;
+    /** A change counts as announced so long after the watch fell silent. */
+    private static final long ANNOUNCED_US = 6 * S;
+    /** A call to discovery may wait so long; the change counts as announced {@link #AFTER_WAIT_US} after that. */
+    private static final long MAX_CALL_WAIT_US = 3 * S;
 
-    /** One dispatcher of so many whose watch has just told its last line. */
+    private static final long AFTER_WAIT_US = 2 * S;
+    /** Attempts must stop so long after the change counts as announced. */
+    private static final long STOP_US = 2 * S;
+    /** Time of discovery's answer to a call while no other call waits. */
+    private static final long ANSWER_US = 50 * MS;
+
+    /** One of several dispatchers, whose watch has just delivered its last line. */
     private static DispatcherHarness watching(int peers, long seed) {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.onDemand = true;
@@ -34,75 +38,76 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.advance(10 * S);
         assertEquals(1, harness.subscriptions);
-        harness.change(); // a line: changes, none of them
+        harness.change(); // a line without changes
         return harness;
     }
 
-    /** The clock runs, jobs coming each 20 ms, until discovery is called once more; when that was. */
-    private static long nextCall(DispatcherHarness harness, long[] job) {
+    /** Sends a request each 20 ms until discovery is called again; returns when that was. */
+    private static long nextCall(DispatcherHarness harness, long[] nextId) {
         int before = harness.subscriptions;
         while (harness.subscriptions == before) {
             harness.advance(20 * MS);
-            harness.request(job[0]++);
+            harness.request(nextId[0]++);
         }
         return harness.now;
     }
 
-    /** The worst of a few dispatchers: silence, a call that is taken and never answered, and the one that tells. */
+    /** The worst case: the watch falls silent, the next call is accepted and not answered, and the one after it is. */
     @Test
-    void aSilentWatchAndACallInVainLeaveAMarginBeforeTheLastSend() {
+    void afterASilentWatchAndAnUnansweredCallAttemptsStopInTime() {
         long worst = 0;
         for (int peers = 1; peers <= 8; peers++) {
             for (long seed = 1; seed <= 200; seed++) {
                 DispatcherHarness harness = watching(peers, seed);
                 long last = harness.now;
-                long[] job = {1};
+                long[] nextId = {1};
                 harness.advance(CallPace.SILENCE);
                 harness.dispatcher.workersUnavailable(harness.now, WatchEnd.SILENT);
-                nextCall(harness, job);
+                nextCall(harness, nextId);
                 harness.advance(CallPace.FIRST_LIST);
                 harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
-                nextCall(harness, job);
-                harness.advance(ANSWER);
+                nextCall(harness, nextId);
+                harness.advance(ANSWER_US);
                 harness.change(DispatcherHarness.worker("b", 0, WorkerState.DRAINING, 0));
                 worst = Math.max(worst, harness.now - last);
                 int sent = harness.sends.size();
                 for (int i = 0; i < 20; i++) {
                     harness.advance(20 * MS);
-                    harness.request(job[0]++);
+                    harness.request(nextId[0]++);
                 }
                 assertEquals(
                         List.of(),
                         harness.sends.subList(sent, harness.sends.size()).stream()
                                 .filter(s -> s.worker().equals("b"))
                                 .toList(),
-                        "sent behind the list");
+                        "sent after the list");
             }
         }
-        assertTrue(worst <= TOLD + STOP - MARGIN, worst / 1e6 + " s from the last line to the list");
-        assertTrue(worst >= 7 * S, "the worst was not forced: " + worst / 1e6);
+        assertTrue(worst <= ANNOUNCED_US + STOP_US - MARGIN_US, worst / 1e6 + " s from the last line to the list");
+        assertTrue(worst >= 7 * S, "the worst case did not occur: " + worst / 1e6);
     }
 
     /**
-     * Many wait in line: what a call may wait counts on, but the next one must begin in time. Discovery ends a call
-     * that has waited too long; one that it takes and never answers leaves no margin here, and is not said to wait.
+     * With many dispatchers calls wait in discovery's queue. The permitted wait does not count, but the next call must
+     * begin in time. Discovery ends a call that has waited too long; one that it accepts and never answers would leave
+     * no margin here, and is not covered.
      */
     @Test
-    void ofManyEachCallBeginsBeforeItsLastWaitInVainCountsAsTold() {
+    void inALargeFleetEachCallBeginsBeforeTheChangeCountsAsAnnounced() {
         for (int peers : new int[] {9, 20, 103, 300}) {
             for (long seed = 1; seed <= 40; seed++) {
                 DispatcherHarness harness = watching(peers, seed);
                 long last = harness.now;
-                long[] job = {1};
+                long[] nextId = {1};
                 harness.advance(CallPace.SILENCE);
                 harness.dispatcher.workersUnavailable(harness.now, WatchEnd.SILENT);
-                long first = nextCall(harness, job);
-                assertTrue(first - last + LINE <= TOLD + STOP - MARGIN, "served in " + (first - last + LINE));
-                harness.advance(LINE);
+                long first = nextCall(harness, nextId);
+                assertTrue(first - last + MAX_CALL_WAIT_US <= ANNOUNCED_US + STOP_US - MARGIN_US, "answered after " + (first - last + MAX_CALL_WAIT_US));
+                harness.advance(MAX_CALL_WAIT_US);
                 harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
-                long second = nextCall(harness, job);
-                long told = Math.max(last + TOLD, first + LINE + AFTER_WAIT);
-                assertTrue(second <= told + STOP - MARGIN, (second - told) / 1e6 + " s after it counts as told");
+                long second = nextCall(harness, nextId);
+                long announced = Math.max(last + ANNOUNCED_US, first + MAX_CALL_WAIT_US + AFTER_WAIT_US);
+                assertTrue(second <= announced + STOP_US - MARGIN_US, (second - announced) / 1e6 + " s after it counts as announced");
             }
         }
     }
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -21,35 +21,36 @@
 import saffronferry.Contract.WorkerState;
 
 /**
- * One module beside a list of any size, with the same little traffic of its own zone at each: what each event
- * costs in processor time. Command: {@code java -cp target/classes:target/test-classes saffronferry.ModuleCost
- * [ROUNDS [alone|fleet [ZONES [WORKERS...]]]]}. Figures and their meaning: docs/measurements/module.md.
+ * Measures the processor time of each event of one {@link Dispatcher} by the length of the worker list, with the same
+ * light load at each length. Command: {@code java -cp target/classes:target/test-classes saffronferry.ModuleCost
+ * [ROUNDS [alone|fleet [ZONES [WORKERS...]]]]}. Results: docs/measurements/module.md.
  */
 final class ModuleCost implements Contract.Actions {
-    /** Requests at a time: few enough for one worker, so that each size has the same load. */
-    static final int BURST = 8;
+    /** Requests in a row: few enough for one worker, so that lists of every length have the same load. */
+    static final int BURST_REQUESTS = 8;
 
-    private static final int SLOTS = 16;
-    private static final long TICK = 25 * MS;
-    private static final long HEARD_AGAIN = 500 * MS;
+    private static final int SLOTS_PER_WORKER = 16;
+    private static final long JOB_DURATION_US = 25 * MS;
+    private static final long PEER_MESSAGE_INTERVAL_US = 500 * MS;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    final Dispatcher module;
+    final Dispatcher dispatcher;
     private final Settings settings;
     private final List<WorkerInfo> list = new ArrayList<>();
     private final List<Long> sent = new ArrayList<>();
-    private final SplittableRandom dice = new SplittableRandom(1);
-    private int next;
+    private final SplittableRandom random = new SplittableRandom(1);
+    private int nextWorkerNumber;
     private long now = 100 * S;
     private long nextTick = Long.MAX_VALUE;
     private long tickToken;
-    private long heardAt;
-    private long id;
+    private long peersHeardAt;
+    private long lastRequestId;
 
     /**
-     * Begins with a whole list.
+     * A dispatcher that has the whole list and has learned slots.
      *
-     * @param fleet with two dispatchers in each zone, all heard; else it is alone and fills all workers
+     * @param fleet whether there are two dispatchers in each zone, all of them heard; else it is alone and owns all
+     *     workers
      */
     ModuleCost(int workers, int zones, boolean fleet) {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
@@ -57,16 +58,16 @@
         options.peers = fleet ? 2 * zones : 1;
         options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
         settings = options.settings();
-        module = new Dispatcher(settings, this);
+        dispatcher = new Dispatcher(settings, this);
         for (int i = 0; i < workers; i++) {
             list.add(info(i, WorkerState.IN_SERVICE));
         }
-        next = workers;
-        module.workers(now, ListKind.WARM_COPY, list);
-        hear();
-        for (int i = 0; i < 400; i++) { // homes are settled, slots learned
-            module.probed(now, list.get(i % workers).address(), Outcome.OK, new Report(SLOTS, 0, SLOTS));
-            step();
+        nextWorkerNumber = workers;
+        dispatcher.workers(now, ListKind.WARM_COPY, list);
+        receivePeerMessages();
+        for (int i = 0; i < 400; i++) { // until ownership has settled and slots are learned
+            dispatcher.probed(now, list.get(i % workers).address(), Outcome.OK, new Report(SLOTS_PER_WORKER, 0, SLOTS_PER_WORKER));
+            tick();
         }
     }
 
@@ -82,122 +83,124 @@
                 cell);
     }
 
-    private void hear() {
-        heardAt = now;
+    private void receivePeerMessages() {
+        peersHeardAt = now;
         for (int peer = 1; peer < settings.peers(); peer++) {
-            module.peerMessage(
+            dispatcher.peerMessage(
                     now,
                     peer,
                     new Message(Message.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * MS).bytes());
         }
     }
 
-    /** Lets the clock run to the next tick, plays it, and says what it cost, in ns. */
-    long step() {
+    /** Advances the clock to the next tick and handles it; returns its cost in ns. */
+    long tick() {
         now = nextTick;
-        if (now - heardAt >= HEARD_AGAIN) {
-            hear();
+        if (now - peersHeardAt >= PEER_MESSAGE_INTERVAL_US) {
+            receivePeerMessages();
         }
-        long begun = THREADS.getCurrentThreadCpuTime();
-        module.timer(now, tickToken);
-        return THREADS.getCurrentThreadCpuTime() - begun;
+        long start = THREADS.getCurrentThreadCpuTime();
+        dispatcher.timer(now, tickToken);
+        return THREADS.getCurrentThreadCpuTime() - start;
     }
 
-    /** Picks for some requests, whose jobs then end; what the picks cost, in ns. */
-    long picks() {
-        long begun = THREADS.getCurrentThreadCpuTime();
-        for (int i = 0; i < BURST; i++) {
-            module.request(now, new Request(++id, 0, -1, now + 5 * S, 1, false));
+    /** Handles a burst of requests; returns its cost in ns. */
+    long requestBurst() {
+        long start = THREADS.getCurrentThreadCpuTime();
+        for (int i = 0; i < BURST_REQUESTS; i++) {
+            dispatcher.request(now, new Request(++lastRequestId, 0, -1, now + 5 * S, 1, false));
         }
-        long cost = THREADS.getCurrentThreadCpuTime() - begun;
-        if (sent.size() != BURST) {
-            throw new IllegalStateException(sent.size() + " of " + BURST + " requests sent");
+        long cost = THREADS.getCurrentThreadCpuTime() - start;
+        if (sent.size() != BURST_REQUESTS) {
+            throw new IllegalStateException(sent.size() + " of " + BURST_REQUESTS + " requests sent");
         }
         return cost;
     }
 
-    void end() {
+    void endJobs() {
         List<Long> jobs = new ArrayList<>(sent);
         sent.clear();
         for (long job : jobs) {
-            module.attemptEnded(now, job, 0, Outcome.OK, TICK, true, null);
+            dispatcher.attemptEnded(now, job, 0, Outcome.OK, JOB_DURATION_US, true, null);
         }
     }
 
-    /** One worker of the list drains, or is back in service, in turns; what that costs, in ns. */
-    long change(boolean back) {
-        int which = dice.nextInt(list.size());
-        WorkerInfo w = list.get(which);
-        WorkerInfo drains = new WorkerInfo(
-                w.address(), back ? WorkerState.IN_SERVICE : WorkerState.DRAINING, w.kind(), w.zone(), 0, w.cell());
-        return change(List.of(drains));
+    /** Drains a random worker, or puts one back in service; returns the cost in ns. */
+    long changeWorker(boolean backInService) {
+        int index = random.nextInt(list.size());
+        WorkerInfo worker = list.get(index);
+        WorkerInfo changed = new WorkerInfo(
+                worker.address(), backInService ? WorkerState.IN_SERVICE : WorkerState.DRAINING, worker.kind(), worker.zone(), 0, worker.cell());
+        return change(List.of(changed));
     }
 
-    /** One worker is replaced by another, which is cold; what that costs with the ticks of the time after, in ns. */
+    /** Replaces a worker by a new, cold one; returns the cost in ns, with that of the ticks that follow. */
     long replace(int ticks) {
-        int which = dice.nextInt(list.size());
-        WorkerInfo old = list.get(which);
-        WorkerInfo young = info(next - next % settings.zones() + settings.zones() + old.zone(), WorkerState.IN_SERVICE);
-        next += settings.zones();
-        list.set(which, young);
+        int index = random.nextInt(list.size());
+        WorkerInfo old = list.get(index);
+        WorkerInfo replacement = info(
+                nextWorkerNumber - nextWorkerNumber % settings.zones() + settings.zones() + old.zone(),
+                WorkerState.IN_SERVICE);
+        nextWorkerNumber += settings.zones();
+        list.set(index, replacement);
         long cost = change(
-                List.of(young, new WorkerInfo(old.address(), WorkerState.GONE, old.kind(), old.zone(), 0, old.cell())));
+                List.of(replacement, new WorkerInfo(old.address(), WorkerState.GONE, old.kind(), old.zone(), 0, old.cell())));
         for (int i = 0; i < ticks; i++) {
-            cost += step();
+            cost += tick();
         }
         return cost;
     }
 
     private long change(List<WorkerInfo> entries) {
-        long begun = THREADS.getCurrentThreadCpuTime();
-        module.workers(now, ListKind.CHANGES, entries);
-        return THREADS.getCurrentThreadCpuTime() - begun;
+        long start = THREADS.getCurrentThreadCpuTime();
+        dispatcher.workers(now, ListKind.CHANGES, entries);
+        return THREADS.getCurrentThreadCpuTime() - start;
     }
 
-    /** The whole list once more, with nothing new in it; what that costs, in ns. */
-    long whole() {
-        long begun = THREADS.getCurrentThreadCpuTime();
-        module.workers(now, ListKind.WHOLE, list);
-        return THREADS.getCurrentThreadCpuTime() - begun;
+    /** Applies the whole list again, without any change; returns the cost in ns. */
+    long applyWholeList() {
+        long start = THREADS.getCurrentThreadCpuTime();
+        dispatcher.workers(now, ListKind.WHOLE, list);
+        return THREADS.getCurrentThreadCpuTime() - start;
     }
 
-    /** What reading the clock twice seems to cost, in ns. */
-    private static double clock() {
+    /** Mean of an empty measurement, in ns; to be subtracted from the others. */
+    private static double clockOverheadNs() {
         long sum = 0;
         for (int i = 0; i < 20_000; i++) {
-            long begun = THREADS.getCurrentThreadCpuTime();
-            sum += THREADS.getCurrentThreadCpuTime() - begun;
+            long start = THREADS.getCurrentThreadCpuTime();
+            sum += THREADS.getCurrentThreadCpuTime() - start;
         }
         return sum / 20_000.0;
     }
 
     private static String row(int workers, int zones, boolean fleet, int rounds) {
-        ModuleCost module = new ModuleCost(workers, zones, fleet);
+        ModuleCost cost = new ModuleCost(workers, zones, fleet);
         double pick = 0;
         double tick = 0;
-        for (int i = -rounds / 2; i < rounds; i++) { // the first ones are for the compiler
-            pick += i < 0 ? 0 * module.picks() : module.picks();
-            module.end();
-            tick += i < 0 ? 0 * module.step() : module.step();
+        for (int i = -rounds / 2; i < rounds; i++) { // the first rounds warm up the JIT compiler
+            pick += i < 0 ? 0 * cost.requestBurst() : cost.requestBurst();
+            cost.endJobs();
+            tick += i < 0 ? 0 * cost.tick() : cost.tick();
         }
         int few = Math.max(4, rounds / 16);
         double change = 0;
         double replace = 0;
         double whole = 0;
         for (int i = -few / 4; i < few; i++) {
-            change += i < 0 ? 0 * module.change(i % 2 == 0) : module.change(i % 2 == 0);
+            change += i < 0 ? 0 * cost.changeWorker(i % 2 == 0) : cost.changeWorker(i % 2 == 0);
         }
-        module.whole();
+        cost.applyWholeList();
         for (int i = 0; i < few; i++) {
-            replace += module.replace(8);
+            replace += cost.replace(8);
         }
-        for (int i = 0; i < 100_000 / workers; i++) { // for the compiler: changes may go another way
-            module.whole();
+        for (int i = 0; i < 100_000 / workers; i++) { // warms up the JIT compiler: changes may take another path
+            cost.applyWholeList();
         }
         for (int i = 0; i < Math.max(4, few / 8); i++) {
-            whole += module.whole();
+            whole += cost.applyWholeList();
         }
-        double clock = clock();
+        double clock = clockOverheadNs();
         double oneTick = tick / rounds - clock;
         return String.format(
                 Locale.ROOT,
@@ -205,7 +208,7 @@
                 fleet ? "fleet" : "alone",
                 zones,
                 workers,
-                (pick / rounds - clock) / BURST / 1e3,
+                (pick / rounds - clock) / BURST_REQUESTS / 1e3,
                 oneTick / 1e3,
                 (change / few - clock) / 1e3,
                 (replace / few - 9 * clock - 8 * oneTick) / 1e3,
@@ -219,7 +222,7 @@
         int[] sizes = args.length > 3
                 ? Arrays.stream(args).skip(3).mapToInt(Integer::parseInt).toArray()
                 : new int[] {100, 600, 2000, 8000, 21_000};
-        for (int i = 0; i < 2; i++) { // for the compiler
+        for (int i = 0; i < 2; i++) { // warms up the JIT compiler
             row(600, zones[0], true, rounds);
             row(600, zones[0], false, rounds);
         }
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -16,30 +16,31 @@
 import saffronferry.lab.world.World;
 
 /**
- * Findings of docs/review-findings.md that are open. Each runs, fails as expected, and is red once its fault is gone.
+ * The open findings of docs/review-findings.md. Each test asserts the right behaviour and is expected to fail; once the
+ * fault is corrected it is reported, and has to become an ordinary test.
  */
 class OpenFindingsTest {
     private static void expectedToFail(Executable test) {
-        assertThrows(AssertionError.class, test, "the fault is gone: make this an ordinary test");
+        assertThrows(AssertionError.class, test, "the fault is corrected: make this an ordinary test");
     }
 
-    /** 48 dispatchers that hear nobody broke rule 4 twelve times on this day. */
+    /** 48 dispatchers that receive no peer messages broke rule 4 twelve times in this scenario: cold workers overloaded. */
     @Test
-    void deafDispatchersPushNoColdWorkerOver() throws Exception {
-        var deaf = ScenarioReader.read(
+    void dispatchersWithoutPeerMessagesOverloadNoColdWorker() throws Exception {
+        var scenario = ScenarioReader.read(
                 Path.of("examples/lab/alumni-deploy-deaf.toml"),
                 List.of("fleet.workers=48", "fleet.dispatchers=48", "load.share=0.75", "length_s=25"));
-        World.Day day = World.play(deaf, Policy.NETWORKED_QUEUES, 1);
+        World.Day day = World.play(scenario, Policy.NETWORKED_QUEUES, 1);
         assertEquals(List.of(), day.broken());
-        // with turns of the clock cold workers stood nearly idle: 0.2 to 0.4
+        // when dispatchers took turns by the clock, cold workers stood nearly idle: 0.2 to 0.4
         assertTrue(
                 day.json().getDouble("cold_multiple") > 1,
                 "they are used: " + day.json().getDouble("cold_multiple"));
     }
 
-    /** Finding 16: only a worker's owner notices that it hangs; a job on a slot it lent waits for its deadline. */
+    /** Finding 16: only a worker's owner suspects it when it hangs, so a job on a borrowed slot waits for its deadline. */
     @Test
-    void aJobOnABorrowedSlotOfAWorkerThatHangsIsCopied() {
+    void aJobOnABorrowedSlotOfAWorkerThatHangsIsHedged() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 2;
         options.tellsStart = true;
@@ -57,17 +58,17 @@
         Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
-        DispatcherHarness.Send lent = harness.sends.stream()
+        DispatcherHarness.Send borrowed = harness.sends.stream()
                 .filter(s -> s.worker().equals(foreign))
                 .findFirst()
                 .orElseThrow();
-        for (int i = 0; i < 20; i++) { // the others' jobs end; the lent worker says nothing
+        for (int i = 0; i < 20; i++) { // jobs at the owned workers end; the borrowed worker does not answer
             harness.advance(200 * MS);
             List.copyOf(harness.sends).stream()
                     .filter(s -> !s.worker().equals(foreign) && !harness.finals.containsKey(s.id()))
                     .forEach(s -> harness.endAttempt(s.id(), s.attempt(), Contract.Outcome.OK));
         }
-        long copies = harness.sends.stream().filter(s -> s.id() == lent.id()).count();
-        expectedToFail(() -> assertTrue(copies > 1, "not copied"));
+        long attempts = harness.sends.stream().filter(s -> s.id() == borrowed.id()).count();
+        expectedToFail(() -> assertTrue(attempts > 1, "no second attempt"));
     }
 }
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -17,45 +17,49 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 
-/** Random days: every event that the contract knows, in a seeded order; the first three rules must hold. */
+/**
+ * Random sequences of every event of the contract, from a seed. Checked are the first three rules: on sending a request
+ * again, on refusing it, and on its one answer in time.
+ */
 class RulesFuzzTest {
-    private static final long STEP = 2_000;
+    private static final long STEP_US = 2_000;
 
-    private static final class Day {
-        final SplittableRandom dice;
+    /** One random sequence, and what is needed to check the rules. */
+    private static final class RandomRun {
+        final SplittableRandom random;
         final DispatcherHarness.Options options = new DispatcherHarness.Options();
         final DispatcherHarness harness;
         final Map<String, WorkerInfo> listed = new HashMap<>();
-        final Map<String, Long> unusableSince = new HashMap<>();
+        final Map<String, Long> notInServiceSince = new HashMap<>();
         final Map<Long, Request> asked = new HashMap<>();
-        final Map<Long, List<Try>> tries = new HashMap<>();
-        final List<Try> out = new ArrayList<>();
-        int seen;
+        final Map<Long, List<SentAttempt>> attempts = new HashMap<>();
+        final List<SentAttempt> inFlight = new ArrayList<>();
+        int checkedSends;
         long nextId = 1;
 
-        private static final class Try {
+        private static final class SentAttempt {
             final DispatcherHarness.Send send;
             final WorkerInfo worker;
             boolean ended;
             boolean neverRan;
 
-            Try(DispatcherHarness.Send send, WorkerInfo worker) {
+            SentAttempt(DispatcherHarness.Send send, WorkerInfo worker) {
                 this.send = send;
                 this.worker = worker;
             }
         }
 
-        Day(long seed) {
-            dice = new SplittableRandom(seed);
+        RandomRun(long seed) {
+            random = new SplittableRandom(seed);
             options.seed = seed;
-            options.zones = 1 + dice.nextInt(3);
-            options.peers = 1 + dice.nextInt(4);
-            options.parallel = dice.nextBoolean();
-            options.tellsStart = dice.nextBoolean();
+            options.zones = 1 + random.nextInt(3);
+            options.peers = 1 + random.nextInt(4);
+            options.parallel = random.nextBoolean();
+            options.tellsStart = random.nextBoolean();
             options.classes = List.of(
                     DispatcherHarness.jobClass(Effect.SAFE, Group.ALL),
                     DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL),
-                    DispatcherHarness.jobClass(Effect.KEYED, Group.values()[dice.nextInt(3)]));
+                    DispatcherHarness.jobClass(Effect.KEYED, Group.values()[random.nextInt(3)]));
             harness = new DispatcherHarness(options.settings());
             for (int i = 0; i < 12; i++) {
                 put("w" + i, WorkerState.IN_SERVICE, 0);
@@ -65,71 +69,71 @@
 
         WorkerInfo put(String address, WorkerState state, long startedAt) {
             WorkerInfo old = listed.get(address);
-            int zone = old == null ? dice.nextInt(options.zones) : old.zone();
-            int cell = old == null ? 10 * zone + dice.nextInt(2) : old.cell();
+            int zone = old == null ? random.nextInt(options.zones) : old.zone();
+            int cell = old == null ? 10 * zone + random.nextInt(2) : old.cell();
             WorkerInfo w = new WorkerInfo(address, state, 0, zone, startedAt, cell);
             listed.put(address, w);
             if (state == WorkerState.IN_SERVICE) {
-                unusableSince.remove(address);
+                notInServiceSince.remove(address);
             } else {
-                unusableSince.putIfAbsent(address, harness == null ? 0 : harness.now);
+                notInServiceSince.putIfAbsent(address, harness == null ? 0 : harness.now);
             }
             return w;
         }
 
-        void play(int steps) {
+        void run(int steps) {
             for (int i = 0; i < steps; i++) {
-                event();
-                check();
-                harness.advance(STEP);
-                check();
-                expire();
+                randomEvent();
+                checkNewSends();
+                harness.advance(STEP_US);
+                checkNewSends();
+                endExpired();
             }
-            for (int i = 0; i < 6_000_000 / STEP; i++) { // quiet end: everything must have its answer
-                harness.advance(STEP);
-                check();
-                expire();
+            for (int i = 0; i < 6_000_000 / STEP_US; i++) { // no more events: every request must get its answer
+                harness.advance(STEP_US);
+                checkNewSends();
+                endExpired();
             }
             for (long id : asked.keySet()) {
                 assertTrue(harness.finals.containsKey(id), "request " + id + " has no answer");
             }
         }
 
-        void event() {
-            int what = dice.nextInt(100);
-            if (what < 45) {
-                long within = dice.nextInt(8) == 0 ? 1 + dice.nextLong(100_000) : 5_000_000;
-                Request q = new Request(nextId++, dice.nextInt(3), -1, harness.now + within, 1, dice.nextInt(5) == 0);
+        void randomEvent() {
+            int event = random.nextInt(100);
+            if (event < 45) {
+                long within = random.nextInt(8) == 0 ? 1 + random.nextLong(100_000) : 5_000_000;
+                Request q = new Request(nextId++, random.nextInt(3), -1, harness.now + within, 1, random.nextInt(5) == 0);
                 asked.put(q.id(), q);
                 harness.dispatcher.request(harness.now, q);
-            } else if (what < 85 && !out.isEmpty()) {
-                Try t = out.get(dice.nextInt(out.size()));
+            } else if (event < 85 && !inFlight.isEmpty()) {
+                SentAttempt t = inFlight.get(random.nextInt(inFlight.size()));
                 Outcome[] all = Outcome.values();
-                end(t, dice.nextInt(3) > 0 ? Outcome.OK : all[dice.nextInt(all.length)]);
-            } else if (what < 88) {
-                WorkerInfo w = put("w" + dice.nextInt(14), WorkerState.values()[dice.nextInt(3)], 0);
+                end(t, random.nextInt(3) > 0 ? Outcome.OK : all[random.nextInt(all.length)]);
+            } else if (event < 88) {
+                WorkerInfo w = put("w" + random.nextInt(14), WorkerState.values()[random.nextInt(3)], 0);
                 harness.change(w);
-            } else if (what < 90) {
-                harness.change(put("w" + dice.nextInt(14), WorkerState.IN_SERVICE, harness.now - dice.nextLong(500_000)));
-            } else if (what < 93) {
+            } else if (event < 90) {
+                harness.change(put("w" + random.nextInt(14), WorkerState.IN_SERVICE, harness.now - random.nextLong(500_000)));
+            } else if (event < 93) {
                 Message m = new Message(
-                        Message.Type.values()[dice.nextInt(2)],
-                        dice.nextInt(options.zones),
-                        dice.nextDouble(),
-                        dice.nextDouble(),
+                        Message.Type.values()[random.nextInt(2)],
+                        random.nextInt(options.zones),
+                        random.nextDouble(),
+                        random.nextDouble(),
                         20,
                         50_000);
                 for (int k = 0; k < 4; k++) {
-                    m.add(new DispatcherState.Worker("w" + dice.nextInt(14), 0).hash, dice.nextInt(4));
+                    m.add(new DispatcherState.Worker("w" + random.nextInt(14), 0).hash, random.nextInt(4));
                 }
-                harness.dispatcher.peerMessage(harness.now, dice.nextInt(options.peers), m.bytes());
-            } else if (what < 95) {
-                harness.report("w" + dice.nextInt(14), dice.nextInt(5));
-            } else if (what < 97 && !out.isEmpty()) {
-                Try t = out.get(dice.nextInt(out.size()));
-                harness.dispatcher.note(harness.now, t.send.id(), t.send.attempt(), dice.nextBoolean());
+                harness.dispatcher.peerMessage(harness.now, random.nextInt(options.peers), m.bytes());
+            } else if (event < 95) {
+                harness.report("w" + random.nextInt(14), random.nextInt(5));
+            } else if (event < 97 && !inFlight.isEmpty()) {
+                SentAttempt t = inFlight.get(random.nextInt(inFlight.size()));
+                harness.dispatcher.note(harness.now, t.send.id(), t.send.attempt(), random.nextBoolean());
             } else if (!asked.isEmpty()) {
-                long id = 1 + dice.nextLong(nextId - 1);
+                long id = 1 + random.nextLong(nextId - 1);
                 if (!harness.finals.containsKey(id)) {
                     harness.finals.put(id, "left");
                     harness.dispatcher.clientGone(harness.now, id);
@@ -137,8 +141,8 @@
             }
         }
 
-        void end(Try t, Outcome outcome) {
-            out.remove(t);
+        void end(SentAttempt t, Outcome outcome) {
+            inFlight.remove(t);
             t.ended = true;
             t.neverRan = outcome.neverRan;
             boolean over = harness.finals.containsKey(t.send.id());
@@ -149,12 +153,12 @@
             harness.dispatcher.attemptEnded(harness.now, t.send.id(), t.send.attempt(), outcome, harness.now - t.send.at(), over, null);
         }
 
-        /** Attempts time out at the client's deadline; by then each request needs its answer. */
-        void expire() {
-            for (Try t : List.copyOf(out)) {
+        /** Ends attempts at the client's deadline, by which each request must have its answer. */
+        void endExpired() {
+            for (SentAttempt t : List.copyOf(inFlight)) {
                 if (harness.now >= asked.get(t.send.id()).validUntil()) {
                     end(t, Outcome.TIMEOUT);
-                    check();
+                    checkNewSends();
                 }
             }
             for (Request q : asked.values()) {
@@ -162,50 +166,51 @@
             }
         }
 
-        void check() {
-            for (; seen < harness.sends.size(); seen++) {
-                DispatcherHarness.Send s = harness.sends.get(seen);
+        void checkNewSends() {
+            for (; checkedSends < harness.sends.size(); checkedSends++) {
+                DispatcherHarness.Send s = harness.sends.get(checkedSends);
                 WorkerInfo w = listed.get(s.worker());
                 Request q = asked.get(s.id());
                 Contract.JobClass spec = options.classes.get(q.jobClass());
-                List<Try> before = tries.computeIfAbsent(s.id(), k -> new ArrayList<>());
+                List<SentAttempt> before = attempts.computeIfAbsent(s.id(), k -> new ArrayList<>());
                 assertEquals(WorkerState.IN_SERVICE, w.state(), "sent to " + w);
                 assertTrue(before.size() < options.maxAttempts);
-                for (Try t : before) {
-                    assertTrue(t.ended || options.parallel, "two at once");
+                for (SentAttempt t : before) {
+                    assertTrue(t.ended || options.parallel, "two attempts at once");
                     if (t.ended && t.neverRan) {
                         continue;
                     }
-                    assertTrue(spec.effect() != Effect.UNSAFE, "an unsafe request again");
+                    assertTrue(spec.effect() != Effect.UNSAFE, "an unsafe request was sent again");
                     if (spec.effect() == Effect.KEYED) {
-                        assertTrue(DispatcherState.sameGroup(spec.group(), new Place(t.worker).worker, new Place(w).worker));
+                        assertTrue(DispatcherState.sameGroup(spec.group(), new PlacedWorker(t.worker).worker, new PlacedWorker(w).worker));
                         assertTrue(s.at() < t.send.at() + spec.keyTtl());
                     }
                 }
-                Try t = new Try(s, w);
+                SentAttempt t = new SentAttempt(s, w);
                 before.add(t);
-                out.add(t);
-                checkEnd(s.id());
+                inFlight.add(t);
+                checkRefusal(s.id());
             }
-            for (long id : tries.keySet()) {
-                checkEnd(id);
+            for (long id : attempts.keySet()) {
+                checkRefusal(id);
             }
         }
 
-        private void checkEnd(long id) {
+        private void checkRefusal(long id) {
             Contract.JobClass spec = options.classes.get(asked.get(id).jobClass());
             if (!"refused".equals(harness.finals.get(id))
                     || spec.effect() == Effect.SAFE
                     || spec.effect() == Effect.KEYED && spec.group() == Group.ALL) {
                 return;
             }
-            for (Try t : tries.getOrDefault(id, List.of())) {
+            for (SentAttempt t : attempts.getOrDefault(id, List.of())) {
                 assertTrue(t.ended && t.neverRan, "refused though it may have run: " + id);
             }
         }
 
-        private record Place(DispatcherState.Worker worker) {
-            Place(WorkerInfo w) {
+        /** A worker of {@link DispatcherState} with the zone and cell of a list entry. */
+        private record PlacedWorker(DispatcherState.Worker worker) {
+            PlacedWorker(WorkerInfo w) {
                 this(new DispatcherState.Worker(w.address(), 0));
                 worker.zone = w.zone();
                 worker.cell = w.cell();
@@ -214,23 +219,23 @@
     }
 
     @Test
-    void theFirstThreeRulesHoldOnRandomDays() {
+    void theFirstThreeRulesHoldInRandomRuns() {
         int sends = 0;
         for (long seed = 1; seed <= 60; seed++) {
-            Day day = new Day(seed);
-            day.play(1500);
-            sends += day.harness.sends.size();
+            RandomRun randomRun = new RandomRun(seed);
+            randomRun.run(1500);
+            sends += randomRun.harness.sends.size();
         }
-        assertTrue(sends > 5_000, "the days were too quiet to prove anything: " + sends);
+        assertTrue(sends > 5_000, "too few attempts to prove anything: " + sends);
     }
 
     @Test
     void equalEventsGiveEqualActions() {
         for (long seed = 100; seed < 105; seed++) {
-            Day one = new Day(seed);
-            Day two = new Day(seed);
-            one.play(800);
-            two.play(800);
+            RandomRun one = new RandomRun(seed);
+            RandomRun two = new RandomRun(seed);
+            one.run(800);
+            two.run(800);
             assertEquals(one.harness.trace, two.harness.trace);
         }
     }
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -16,21 +16,21 @@
 import saffronferry.fleet.Sharing;
 
 class WorkerIndexTest {
-    /** Guards against memory that grows with every release of the workers. */
+    /** Each release replaces all workers; those that are gone must not fill the memory. */
     @Test
-    void afterManyReleasesTheGoneAreForgotten() {
-        WorkerIndex fleet = new WorkerIndex(1, 1, 0);
+    void workersThatAreGoneAreForgottenAfterManyReleases() {
+        WorkerIndex index = new WorkerIndex(1, 1, 0);
         for (int i = 0; i < 2000; i++) {
             DispatcherState.Worker w = new DispatcherState.Worker("w" + i, 0);
             w.state = i < 10 ? Contract.WorkerState.IN_SERVICE : Contract.WorkerState.GONE;
-            fleet.byAddress.put(w.address, w);
-            fleet.markChanged(w);
+            index.byAddress.put(w.address, w);
+            index.markChanged(w);
         }
-        fleet.reassign(alone(1, 0), false, KNOWN);
-        assertEquals(10, fleet.byAddress.size());
+        index.reassign(alone(1, 0), false, ESTIMATES);
+        assertEquals(10, index.byAddress.size());
     }
 
-    /** Beside a fifth of the requests the sum of repeats does not grow with the fleet, but for a least part of each. */
+    /** Besides a fifth of the requests, the repeats of all dispatchers grow with the fleet by their minimum only. */
     @Test
     void repeatsOfAFleetAreBounded() {
         for (int n : new int[] {1, 2, 4, 16, 100}) {
@@ -38,7 +38,7 @@
             int taken = 0;
             for (int i = 0; i < n; i++) {
                 all[i] = new RepeatBudget(n);
-                all[i].share(i % 2 + 1); // while two processes live each has half
+                all[i].share(i % 2 + 1); // while two processes run, each has half
                 all[i].share(1);
                 for (int t = 0; t < 100; t++) {
                     all[i].pass(0.1);
@@ -53,9 +53,9 @@
         }
     }
 
-    /** What operators read of a fleet of four, of which one other of the zone is heard, and one elsewhere. */
+    /** The figures for operators, in a fleet of four in which one peer of the zone and one of another zone are heard. */
     @Test
-    void whatIsSharedIsTold() {
+    void sharingReportsTheDispatchersThatAreHeard() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 4;
         options.zones = 2;
@@ -67,173 +67,173 @@
             harness.dispatcher.peerMessage(
                     harness.now, peer, new Message(Message.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).bytes());
         }
-        Sharing s = harness.dispatcher.sharing();
-        assertEquals(Sharing.Fallback.PARTS, s.fallback());
-        assertEquals("4 3 2 1", s.peers() + " " + s.heard() + " " + s.counted() + " " + s.cold());
-        assertTrue(s.guarded() == 0 || s.part() == 1 / 3.0, "one is elsewhere: " + s);
+        Sharing sharing = harness.dispatcher.sharing();
+        assertEquals(Sharing.Fallback.PARTS, sharing.fallback());
+        assertEquals("4 3 2 1", sharing.peers() + " " + sharing.heard() + " " + sharing.counted() + " " + sharing.cold());
+        assertTrue(sharing.guarded() == 0 || sharing.part() == 1 / 3.0, "one is in another zone: " + sharing);
     }
 
-    private static final Lessons KNOWN =
+    private static final Lessons ESTIMATES =
             new Lessons(2, List.of(DispatcherHarness.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
 
-    /** One dispatcher; zones keep their workers. */
+    /** Ownership of a single dispatcher, with zones that keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
         WorkerOwnership ownership = new WorkerOwnership(zones, zone, new ColdShares(0, 1));
-        BitSet served = new BitSet();
-        served.set(0, zones);
-        ownership.update(new int[] {0}, new int[] {0}, served);
+        BitSet servedZones = new BitSet();
+        servedZones.set(0, zones);
+        ownership.update(new int[] {0}, new int[] {0}, servedZones);
         return ownership;
     }
 
     private static WorkerIndex of(int workers) {
-        WorkerIndex fleet = new WorkerIndex(1, 1, 0);
+        WorkerIndex index = new WorkerIndex(1, 1, 0);
         for (int i = 0; i < workers; i++) {
             DispatcherState.Worker w = new DispatcherState.Worker("10.0.0." + i, 0);
             w.state = Contract.WorkerState.IN_SERVICE;
-            fleet.byAddress.put(w.address, w);
-            fleet.markChanged(w);
+            index.byAddress.put(w.address, w);
+            index.markChanged(w);
         }
-        arrange(fleet, alone(1, 0));
-        return fleet;
+        reassign(index, alone(1, 0));
+        return index;
     }
 
     @Test
     void everyWorkerIsFoundByItsHash() {
-        WorkerIndex fleet = of(20);
-        for (DispatcherState.Worker w : fleet.byAddress.values()) {
-            assertEquals(w, fleet.find(0, w.hash));
+        WorkerIndex index = of(20);
+        for (DispatcherState.Worker w : index.byAddress.values()) {
+            assertEquals(w, index.find(0, w.hash));
         }
     }
 
-    /** As a walk over all of our own finds them, from any place on and round the end. */
+    /** The same result as a loop over all owned workers, from any position on and round the end. */
     @Test
-    void thoseWatchedAreMetInTheOrderOfTheRing() {
-        WorkerIndex fleet = of(50);
-        SplittableRandom dice = new SplittableRandom(1);
+    void watchedWorkersAreReturnedInHashOrder() {
+        WorkerIndex index = of(50);
+        SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 500; i++) {
-            DispatcherState.Worker changed = fleet.ownedWorkers[dice.nextInt(50)];
+            DispatcherState.Worker changed = index.ownedWorkers[random.nextInt(50)];
             changed.suspect = !changed.suspect;
-            fleet.updateIndexes(changed, true);
-            int turn = dice.nextInt();
-            int most = 1 + dice.nextInt(50);
-            List<DispatcherState.Worker> walked = new ArrayList<>();
-            for (int k = 0; k < most; k++) {
-                DispatcherState.Worker w = fleet.ownedWorkers[(Math.floorMod(turn, 50) + k) % 50];
+            index.updateIndexes(changed, true);
+            int start = random.nextInt();
+            int limit = 1 + random.nextInt(50);
+            List<DispatcherState.Worker> expected = new ArrayList<>();
+            for (int k = 0; k < limit; k++) {
+                DispatcherState.Worker w = index.ownedWorkers[(Math.floorMod(start, 50) + k) % 50];
                 if (w.suspect) {
-                    walked.add(w);
+                    expected.add(w);
                 }
             }
-            assertEquals(walked, fleet.watched(turn, most));
+            assertEquals(expected, index.watched(start, limit));
         }
     }
 
-    /** Guards against a worker that is gone and stands in the way of a new one at its address. */
+    /** A worker that is gone must not stay in an index beside a new one at the same address. */
     @Test
-    void theGoneAreWatchedNoMore() {
-        WorkerIndex fleet = of(1100);
-        DispatcherState.Worker old = fleet.ownedWorkers[0];
+    void workersThatAreGoneLeaveTheIndexes() {
+        WorkerIndex index = of(1100);
+        DispatcherState.Worker old = index.ownedWorkers[0];
         old.suspect = true;
-        fleet.markCold(old, 1);
-        fleet.updateIndexes(old, true);
+        index.markCold(old, 1);
+        index.updateIndexes(old, true);
         old.state = Contract.WorkerState.GONE;
-        fleet.markChanged(old);
-        arrange(fleet, alone(1, 0));
-        assertEquals(1099, fleet.byAddress.size());
-        assertEquals(List.of(), fleet.watched(0, 1099));
-        DispatcherState.Worker young = new DispatcherState.Worker(old.address, 0);
-        young.state = Contract.WorkerState.IN_SERVICE;
-        young.suspect = true;
-        fleet.byAddress.put(young.address, young);
-        fleet.markCold(young, 2);
-        arrange(fleet, alone(1, 0));
-        assertEquals(1, fleet.coldOwned().size());
-        assertSame(young, fleet.coldOwned().iterator().next());
-        assertSame(young, fleet.ownedWorkers[0]);
-        assertEquals(1, fleet.watched(0, 1100).size());
-        assertSame(young, fleet.watched(0, 1).get(0));
+        index.markChanged(old);
+        reassign(index, alone(1, 0));
+        assertEquals(1099, index.byAddress.size());
+        assertEquals(List.of(), index.watched(0, 1099));
+        DispatcherState.Worker replacement = new DispatcherState.Worker(old.address, 0);
+        replacement.state = Contract.WorkerState.IN_SERVICE;
+        replacement.suspect = true;
+        index.byAddress.put(replacement.address, replacement);
+        index.markCold(replacement, 2);
+        reassign(index, alone(1, 0));
+        assertEquals(1, index.coldOwned().size());
+        assertSame(replacement, index.coldOwned().iterator().next());
+        assertSame(replacement, index.ownedWorkers[0]);
+        assertEquals(1, index.watched(0, 1100).size());
+        assertSame(replacement, index.watched(0, 1).get(0));
     }
 
-    private static void arrange(WorkerIndex fleet, WorkerOwnership ownership) {
-        fleet.reassign(ownership, false, KNOWN).forEach(w -> fleet.updateIndexes(w, w.ownedLocally));
+    private static void reassign(WorkerIndex index, WorkerOwnership ownership) {
+        index.reassign(ownership, false, ESTIMATES).forEach(w -> index.updateIndexes(w, w.ownedLocally));
     }
 
-    /** Whatever became of workers: as walks over the whole list find them. */
+    /** After random changes the indexes hold what a loop over the whole list finds. */
     @Test
-    void eachWorkerHasItsPlaceInAllIndexes() {
-        WorkerIndex fleet = new WorkerIndex(2, 2, 1);
-        SplittableRandom dice = new SplittableRandom(1);
-        ColdShares shares = new ColdShares(0, 3);
-        WorkerOwnership ownership = new WorkerOwnership(2, 1, shares);
+    void theIndexesAgreeWithALoopOverTheWholeList() {
+        WorkerIndex index = new WorkerIndex(2, 2, 1);
+        SplittableRandom random = new SplittableRandom(1);
+        ColdShares coldShares = new ColdShares(0, 3);
+        WorkerOwnership ownership = new WorkerOwnership(2, 1, coldShares);
         List<DispatcherState.Worker> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             all.add(new DispatcherState.Worker("10.0.0." + i, i % 3 - 1));
             all.get(i).state = Contract.WorkerState.IN_SERVICE;
-            fleet.byAddress.put(all.get(i).address, all.get(i));
-            fleet.markChanged(all.get(i));
+            index.byAddress.put(all.get(i).address, all.get(i));
+            index.markChanged(all.get(i));
         }
         for (int round = 0; round < 600; round++) {
-            for (int k = dice.nextInt(4); k > 0; k--) {
-                change(fleet, all.get(dice.nextInt(all.size())), dice);
+            for (int k = random.nextInt(4); k > 0; k--) {
+                changeRandomly(index, all.get(random.nextInt(all.size())), random);
             }
-            fleet.promoteWarm(round - 40);
-            int[] near = IntStream.range(0, 3)
-                    .filter(y -> y == 0 || dice.nextInt(200) > 20)
+            index.promoteWarm(round - 40);
+            int[] zoneMembers = IntStream.range(0, 3)
+                    .filter(y -> y == 0 || random.nextInt(200) > 20)
                     .toArray();
-            BitSet served = BitSet.valueOf(new long[] {dice.nextInt(50) == 0 ? 2 : 3});
-            boolean anew = (round / 50 & 1) == 0 && ownership.update(near, near, served) || round == 0;
-            fleet.reassign(ownership, anew, KNOWN).forEach(w -> fleet.updateIndexes(w, w.ownedLocally));
-            DispatcherState.Worker w = all.get(dice.nextInt(all.size()));
+            BitSet servedZones = BitSet.valueOf(new long[] {random.nextInt(50) == 0 ? 2 : 3});
+            boolean ownershipChanged = (round / 50 & 1) == 0 && ownership.update(zoneMembers, zoneMembers, servedZones) || round == 0;
+            index.reassign(ownership, ownershipChanged, ESTIMATES).forEach(w -> index.updateIndexes(w, w.ownedLocally));
+            DispatcherState.Worker w = all.get(random.nextInt(all.size()));
             w.suspect = !w.suspect;
-            fleet.updateIndexes(w, w.ownedLocally);
-            compare(fleet, ownership, all);
+            index.updateIndexes(w, w.ownedLocally);
+            compareWithLoop(index, ownership, all);
         }
     }
 
-    private static void change(WorkerIndex fleet, DispatcherState.Worker w, SplittableRandom dice) {
-        if (dice.nextInt(3) == 0) {
-            fleet.markCold(w, 1 + dice.nextInt(600));
+    private static void changeRandomly(WorkerIndex index, DispatcherState.Worker w, SplittableRandom random) {
+        if (random.nextInt(3) == 0) {
+            index.markCold(w, 1 + random.nextInt(600));
         } else {
-            w.state = Contract.WorkerState.values()[dice.nextInt(3)];
-            w.zone = dice.nextInt(3) - 1;
-            fleet.markChanged(w);
+            w.state = Contract.WorkerState.values()[random.nextInt(3)];
+            w.zone = random.nextInt(3) - 1;
+            index.markChanged(w);
         }
     }
 
-    private static void compare(WorkerIndex fleet, WorkerOwnership ownership, List<DispatcherState.Worker> all) {
+    private static void compareWithLoop(WorkerIndex index, WorkerOwnership ownership, List<DispatcherState.Worker> all) {
         List<DispatcherState.Worker> sorted = all.stream()
                 .filter(w -> w.state != Contract.WorkerState.GONE)
                 .sorted(Comparator.comparing((DispatcherState.Worker w) -> w.hash).thenComparing(w -> w.address))
                 .toList();
         for (int z = 0; z < 2; z++) {
             int zone = z;
-            assertEquals(sorted.stream().filter(w -> ownership.zoneOf(w) == zone).toList(), List.of(fleet.workersByZone[z]));
+            assertEquals(sorted.stream().filter(w -> ownership.zoneOf(w) == zone).toList(), List.of(index.workersByZone[z]));
         }
-        List<DispatcherState.Worker> here = List.of(fleet.workersByZone[1]);
-        int[] owners = ownership.assignWarmOwners(fleet.workersByZone[1]);
+        List<DispatcherState.Worker> inZone = List.of(index.workersByZone[1]);
+        int[] owners = ownership.assignWarmOwners(index.workersByZone[1]);
         for (int i = 0; i < owners.length; i++) {
-            assertEquals(owners[i], here.get(i).warmOwner);
+            assertEquals(owners[i], inZone.get(i).warmOwner);
         }
-        List<DispatcherState.Worker> ours = here.stream().filter(ownership::isOwnedLocally).toList();
-        assertEquals(ours, List.of(fleet.ownedWorkers));
+        List<DispatcherState.Worker> owned = inZone.stream().filter(ownership::isOwnedLocally).toList();
+        assertEquals(owned, List.of(index.ownedWorkers));
         assertEquals(
-                ours,
+                owned,
                 all.stream()
                         .filter(w -> w.ownedLocally)
                         .sorted(Comparator.comparing(sorted::indexOf))
                         .toList());
-        assertEquals(ours.stream().filter(w -> w.coldSince != 0).toList(), List.copyOf(fleet.coldOwned()));
-        assertEquals(here.stream().anyMatch(w -> w.coldSince != 0), fleet.hasCold());
-        assertEquals(ours.stream().filter(w -> w.suspect).toList(), fleet.watched(0, ours.size()));
-        for (int k = 0; k < fleet.kindGroups(); k++) {
+        assertEquals(owned.stream().filter(w -> w.coldSince != 0).toList(), List.copyOf(index.coldOwned()));
+        assertEquals(inZone.stream().anyMatch(w -> w.coldSince != 0), index.hasCold());
+        assertEquals(owned.stream().filter(w -> w.suspect).toList(), index.watched(0, owned.size()));
+        for (int k = 0; k < index.kindGroups(); k++) {
             int kind = k == 2 ? -1 : k;
             List<DispatcherState.Worker> present =
-                    here.stream().filter(w -> w.kind == kind).toList();
-            assertEquals(present.size(), fleet.presentCount(k));
+                    inZone.stream().filter(w -> w.kind == kind).toList();
+            assertEquals(present.size(), index.presentCount(k));
             assertEquals(
                     present.stream()
                             .filter(w -> !w.suspect && w.state == Contract.WorkerState.IN_SERVICE)
                             .count(),
-                    fleet.availableCount(k));
+                    index.availableCount(k));
         }
     }
 }
