--- a/src/test/java/saffronferry/MessageTest.java
+++ b/src/test/java/saffronferry/MessageTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static saffronferry.DispatcherHarness.MS;
 
 import java.util.Arrays;
 import java.util.BitSet;
@@ -17,12 +18,12 @@
     private static Message lending(long at, int peers) {
         BitSet word = new BitSet();
         word.set(0, peers);
-        Message m = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
+        Message m = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         m.at = at;
         m.cold = true;
         m.word = word;
         m.hears = (BitSet) word.clone();
-        m.lend(new Book.Worker("cold", 0).hash, 18);
+        m.lend(new DispatcherState.Worker("cold", 0).hash, 18);
         return m;
     }
 
@@ -82,14 +83,14 @@
             new Case("for the process before", NOW - 100_000, NOW - 50_000, 0, false),
             new Case("from the future", NOW + 300_000, 0, 0, false)
         }) {
-            Book.Peer y = new Book.Peer(1);
-            y.borrowed.taken(c.lentBefore);
+            DispatcherState.Peer y = new DispatcherState.Peer(1);
+            y.borrowedBudget.taken(c.lentBefore);
             Message m = Message.read(lending(c.at, 2).bytes(), NOW);
-            y.offers(new Book.Worker[] {new Book.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
-            assertEquals(c.counts, y.enough(0, 1, 600_000), c.name);
+            y.recordOffers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
+            assertEquals(c.counts, y.offerCovers(0, 1, 600_000), c.name);
             if (c.counts) {
-                y.use(0, 1, 600_000);
-                assertEquals(false, y.enough(0, 1, 600_000), "spent");
+                y.consumeOffer(0, 1, 600_000);
+                assertEquals(false, y.offerCovers(0, 1, 600_000), "spent");
             }
         }
     }
@@ -97,15 +98,15 @@
     /** What is not used goes back to who lent it, once, and never more than was lent. */
     @Test
     void aPartComesBackOnceToTheProcessThatLentIt() {
-        Book.Worker w = new Book.Worker("cold", 0);
-        Book.Peer lender = new Book.Peer(0);
+        DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
+        DispatcherState.Peer lender = new DispatcherState.Peer(0);
         Message offer = lending(NOW, 2);
-        lender.offers(new Book.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
-        assertTrue(!lender.lentInVain(true, NOW + 399_000, 400_000) && lender.lentInVain(true, NOW + 400_000, 400_000));
-        assertTrue(lender.lentInVain(false, NOW, 400_000), "nobody waits");
-        byte[] bytes = lender.giveBack(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
+        lender.recordOffers(new DispatcherState.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
+        assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000) && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
+        assertTrue(lender.hasUnusedLoan(false, NOW, 400_000), "nobody waits");
+        byte[] bytes = lender.returnUnusedBudget(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * MS))
                 .bytes();
-        assertTrue(!lender.lentInVain(false, NOW, 400_000) && !lender.enough(0, 1, 1), "ours no more once it is told");
+        assertTrue(!lender.hasUnusedLoan(false, NOW, 400_000) && !lender.offerCovers(0, 1, 1), "ours no more once it is told");
         for (int cut = 0; cut < bytes.length; cut++) {
             Message.read(Arrays.copyOf(bytes, cut), NOW);
         }
@@ -126,26 +127,26 @@
             assertEquals(c.back, out.back(m.hash[0], m.at, m.amount(0) * Message.LENT_UNIT, c.backAt), c.name);
             assertEquals(0, out.back(m.hash[0], m.at, m.amount(0) * Message.LENT_UNIT, c.backAt), c.name + ", doubled");
         }
-        assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
-        w.cold.spend(900_000);
-        w.cold.covers(600_000, NOW + 1_000_000, 1, 8, 0.5);
-        w.cold.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // filled again meanwhile
-        w.cold.back(900_000);
-        w.cold.spend(1_700_000);
-        assertTrue(!w.cold.covers(1, NOW + 2_000_000, 1, 8, 0.5), "no more is kept than of what was never lent");
+        assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
+        w.coldBudget.spend(900_000);
+        w.coldBudget.covers(600_000, NOW + 1_000_000, 1, 8, 0.5);
+        w.coldBudget.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // filled again meanwhile
+        w.coldBudget.back(900_000);
+        w.coldBudget.spend(1_700_000);
+        assertTrue(!w.coldBudget.covers(1, NOW + 2_000_000, 1, 8, 0.5), "no more is kept than of what was never lent");
     }
 
     /** What is lent is out of the lender's budget before the datagram leaves. */
     @Test
     void theLenderSpendsFirst() {
-        Book.Worker w = new Book.Worker("cold", 0);
-        Book.Peer y = new Book.Peer(1);
+        DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
+        DispatcherState.Peer y = new DispatcherState.Peer(1);
         y.zone = 0;
         Message m = lending(NOW, 2);
         assertTrue(y.mayLend(m, NOW, 0));
-        assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
-        y.lend(w, Book.Peer.whole(600_000), m, NOW);
-        assertEquals(false, w.cold.covers(250_000, NOW, 1, 8, 0.5), "it owes what is lent");
+        assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
+        y.lend(w, DispatcherState.Peer.roundUpToBudgetUnits(600_000), m, NOW);
+        assertEquals(false, w.coldBudget.covers(250_000, NOW, 1, 8, 0.5), "it owes what is lent");
         assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two parts must differ in time");
         assertNotNull(Message.read(m.bytes(), NOW));
     }
