--- a/src/main/java/saffronferry/Balancer.java
+++ b/src/main/java/saffronferry/Balancer.java
@@ -24,28 +24,28 @@
         return steps.take();
     }
 
-    /** Takes news in and returns what follows from it. News of what is forgotten has no effect. */
-    public List<Step> report(long now, News news) {
-        if (news instanceof News.AttemptEnded e) {
+    /** Handles an event and returns the actions that follow. Events about unknown RPCs have no effect. */
+    public List<Step> report(long now, BalancerEvent news) {
+        if (news instanceof BalancerEvent.AttemptEnded e) {
             module.attemptEnded(now, e.rpc(), e.attempt(), e.outcome(), e.took(), e.answered(), e.load());
-        } else if (news instanceof News.AttemptMoved m) {
+        } else if (news instanceof BalancerEvent.AttemptMoved m) {
             module.note(now, m.rpc(), m.attempt(), m.started());
-        } else if (news instanceof News.ClientGone g) {
+        } else if (news instanceof BalancerEvent.ClientGone g) {
             module.clientGone(now, g.rpc());
-        } else if (news instanceof News.Probed p) {
+        } else if (news instanceof BalancerEvent.Probed p) {
             module.probed(now, p.subchannel(), p.outcome(), p.load());
-        } else if (news instanceof News.PeerSaid s) {
+        } else if (news instanceof BalancerEvent.PeerSaid s) {
             module.peerMessage(now, s.peer(), s.bytes());
-        } else if (news instanceof News.Resolved r) {
+        } else if (news instanceof BalancerEvent.Resolved r) {
             module.workers(now, r.kind(), r.entries());
-        } else if (news instanceof News.RunsBeside b) {
+        } else if (news instanceof BalancerEvent.RunsBeside b) {
             module.beside(now, b.other());
-        } else if (news instanceof News.AllowancesChanged a) {
+        } else if (news instanceof BalancerEvent.AllowancesChanged a) {
             module.allowances(now, a.tenants());
-        } else if (news instanceof News.Room r) {
+        } else if (news instanceof BalancerEvent.Room r) {
             module.room(now, r.open());
         } else {
-            module.workersUnavailable(now, ((News.WatchLost) news).how());
+            module.workersUnavailable(now, ((BalancerEvent.WatchLost) news).how());
         }
         return steps.take();
     }
--- a/src/main/java/saffronferry/lab/policy/Brain.java
+++ b/src/main/java/saffronferry/lab/policy/Brain.java
@@ -4,7 +4,7 @@
 import saffronferry.Balancer;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.Settings;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.Step;
 
 /** The facade's shape: whoever decides in an emulated dispatcher. Clock in microseconds, never backwards. */
@@ -13,7 +13,7 @@
     List<Step> pick(long now, Request rpc);
 
     /** Takes news in. */
-    List<Step> report(long now, News news);
+    List<Step> report(long now, BalancerEvent news);
 
     /** A {@link Step.WakeAfter} has fallen due. */
     List<Step> tick(long now, long token);
@@ -28,7 +28,7 @@
             }
 
             @Override
-            public List<Step> report(long now, News news) {
+            public List<Step> report(long now, BalancerEvent news) {
                 return balancer.report(now, news);
             }
 
--- a/src/main/java/saffronferry/lab/policy/TextbookBrain.java
+++ b/src/main/java/saffronferry/lab/policy/TextbookBrain.java
@@ -15,7 +15,7 @@
 import saffronferry.Contract.Settings;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.Step;
 
 /**
@@ -140,25 +140,25 @@
     }
 
     @Override
-    public List<Step> report(long now, News news) {
+    public List<Step> report(long now, BalancerEvent news) {
         List<Step> steps = new ArrayList<>();
-        if (news instanceof News.AttemptEnded e) {
+        if (news instanceof BalancerEvent.AttemptEnded e) {
             ended(now, e, steps);
-        } else if (news instanceof News.Resolved r) {
+        } else if (news instanceof BalancerEvent.Resolved r) {
             resolved(r);
             if (!begun) {
                 begun = true;
                 steps.add(new Step.Watch());
             }
-        } else if (news instanceof News.WatchLost) {
+        } else if (news instanceof BalancerEvent.WatchLost) {
             steps.add(new Step.WakeAfter(WATCH, AGAIN));
-        } else if (news instanceof News.ClientGone g) {
+        } else if (news instanceof BalancerEvent.ClientGone g) {
             open.remove(g.rpc());
         }
         return steps;
     }
 
-    private void ended(long now, News.AttemptEnded e, List<Step> steps) {
+    private void ended(long now, BalancerEvent.AttemptEnded e, List<Step> steps) {
         Open o = open.get(e.rpc());
         if (o == null) {
             return;
@@ -176,7 +176,7 @@
         }
     }
 
-    private void resolved(News.Resolved r) {
+    private void resolved(BalancerEvent.Resolved r) {
         if (r.kind() != ListKind.CHANGES) {
             workers.keySet()
                     .retainAll(r.entries().stream().map(WorkerInfo::address).toList());
--- a/src/main/java/saffronferry/lab/world/Node.java
+++ b/src/main/java/saffronferry/lab/world/Node.java
@@ -12,7 +12,7 @@
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.Step;
 import saffronferry.fleet.WatchEnd;
 import saffronferry.lab.check.RuleChecker;
@@ -177,7 +177,7 @@
     void moved(long id, int attempt) {
         Rpc rpc = open.get(id);
         if (rpc != null && !rpc.attempts.get(attempt).over) {
-            decide(b -> b.report(sim.now(), new News.AttemptMoved(id, attempt, true)));
+            decide(b -> b.report(sim.now(), new BalancerEvent.AttemptMoved(id, attempt, true)));
         }
     }
 
@@ -200,7 +200,7 @@
         boolean answered = rpc.answered;
         forget(rpc);
         decide(b ->
-                b.report(sim.now(), new News.AttemptEnded(id, attempt, outcome, sim.now() - a.sentAt, answered, null)));
+                b.report(sim.now(), new BalancerEvent.AttemptEnded(id, attempt, outcome, sim.now() - a.sentAt, answered, null)));
     }
 
     private void forget(Rpc rpc) {
@@ -218,7 +218,7 @@
 
     void peerSaid(int peer, byte[] bytes) {
         if (up) {
-            decide(b -> b.report(sim.now(), new News.PeerSaid(peer, bytes)));
+            decide(b -> b.report(sim.now(), new BalancerEvent.PeerSaid(peer, bytes)));
         }
     }
 
@@ -231,7 +231,7 @@
 
     void watchLost(int itsWatch) {
         if (up && itsWatch == watch) {
-            decide(b -> b.report(sim.now(), new News.WatchLost(WatchEnd.ENDED)));
+            decide(b -> b.report(sim.now(), new BalancerEvent.WatchLost(WatchEnd.ENDED)));
         }
     }
 
@@ -245,7 +245,7 @@
             listed.put(info.address(), info);
             checker.told(sim.now(), number, info.address(), info.state());
         }
-        decide(b -> b.report(sim.now(), new News.Resolved(kind, entries)));
+        decide(b -> b.report(sim.now(), new BalancerEvent.Resolved(kind, entries)));
     }
 
     // ---- what the brain says ----
@@ -403,6 +403,6 @@
     }
 
     private void probed(String address, Outcome outcome, Report report) {
-        decide(b -> b.report(sim.now(), new News.Probed(address, outcome, report)));
+        decide(b -> b.report(sim.now(), new BalancerEvent.Probed(address, outcome, report)));
     }
 }
--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -14,7 +14,7 @@
 import saffronferry.Balancer;
 import saffronferry.Beside;
 import saffronferry.Contract.JobClass;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.limit.AcceptGate;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
@@ -211,7 +211,7 @@
             company.keep(wire.ledger()::beside, new Company.Listener() {
                 @Override
                 public void told(Beside beside) {
-                    wire.ledger().report(new News.RunsBeside(beside));
+                    wire.ledger().report(new BalancerEvent.RunsBeside(beside));
                 }
 
                 @Override
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.json.JSONObject;
 import saffronferry.Contract.Tenant;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.agree.Agreement;
 import saffronferry.agree.Change;
 import saffronferry.agree.Changeable;
@@ -147,7 +147,7 @@
                 .toList();
         if (!next.equals(tenants)) {
             tenants = next;
-            wire.ledger().report(new News.AllowancesChanged(next));
+            wire.ledger().report(new BalancerEvent.AllowancesChanged(next));
         }
     }
 
--- a/src/main/java/saffronferry/scale/HollowBrain.java
+++ b/src/main/java/saffronferry/scale/HollowBrain.java
@@ -10,7 +10,7 @@
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.Step;
 import saffronferry.lab.policy.Brain;
 import saffronferry.scale.Meter.Account;
@@ -54,15 +54,15 @@
     }
 
     @Override
-    public List<Step> report(long now, News news) {
-        if (news instanceof News.Resolved resolved) {
+    public List<Step> report(long now, BalancerEvent news) {
+        if (news instanceof BalancerEvent.Resolved resolved) {
             return listed(now, resolved);
         }
-        if (news instanceof News.PeerSaid said) {
+        if (news instanceof BalancerEvent.PeerSaid said) {
             meter.said(account, Kind.DATAGRAM_IN, said.bytes().length, now);
             return decide(Event.DATAGRAM, now, () -> module.report(now, news));
         }
-        if (news instanceof News.Probed probed && probed.outcome() == Outcome.OK) {
+        if (news instanceof BalancerEvent.Probed probed && probed.outcome() == Outcome.OK) {
             meter.said(
                     account,
                     Kind.PROBE_IN,
@@ -77,7 +77,7 @@
     }
 
     /** The copy that a start is given comes from a file: it is read like another list, but nobody sent it. */
-    private List<Step> listed(long now, News.Resolved resolved) {
+    private List<Step> listed(long now, BalancerEvent.Resolved resolved) {
         byte[] line = meter.lines.line(resolved.entries(), resolved.kind());
         if (resolved.kind() != ListKind.WARM_COPY) {
             meter.listed(account, resolved.kind() == ListKind.WHOLE, line.length, now);
@@ -88,7 +88,7 @@
                 update.entries().stream().map(ListUpdate.Entry::info).toList();
         meter.read(account, meter.clock.since(begun), now);
         keep(update);
-        return decide(Event.LIST, now, () -> module.report(now, new News.Resolved(resolved.kind(), entries)));
+        return decide(Event.LIST, now, () -> module.report(now, new BalancerEvent.Resolved(resolved.kind(), entries)));
     }
 
     private void keep(ListUpdate update) {
--- a/src/main/java/saffronferry/state/Ledger.java
+++ b/src/main/java/saffronferry/state/Ledger.java
@@ -17,7 +17,7 @@
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.Step;
 import saffronferry.ops.Bans;
 import saffronferry.ops.Figures;
@@ -97,7 +97,7 @@
         Rpc<M> rpc = open.get(id);
         if (rpc != null && !rpc.answered()) {
             answer(rpc, null, channel -> {});
-            report(new News.ClientGone(id));
+            report(new BalancerEvent.ClientGone(id));
         }
     }
 
@@ -151,7 +151,7 @@
     public void resolved(ListUpdate update, boolean warmCopy) {
         List<WorkerInfo> shown = resolved.take(update);
         ListKind kind = warmCopy ? ListKind.WARM_COPY : update.complete() ? ListKind.WHOLE : ListKind.CHANGES;
-        report(new News.Resolved(kind, shown));
+        report(new BalancerEvent.Resolved(kind, shown));
         // guards the rule on drains against a connection's time: the first byte would go out that much later
         giveUpUnbegun(subchannel -> !resolved.inService(subchannel));
     }
@@ -167,7 +167,7 @@
         }
     }
 
-    public void report(News news) {
+    public void report(BalancerEvent news) {
         run(() -> balancer.report(clock.now(), news));
     }
 
@@ -178,7 +178,7 @@
         Bans before = resolved.bans();
         List<WorkerInfo> changed = resolved.ban(next, clock.now());
         if (!changed.isEmpty()) {
-            report(new News.Resolved(ListKind.CHANGES, changed));
+            report(new BalancerEvent.Resolved(ListKind.CHANGES, changed));
         }
         // guards against what the balancer cannot recall: an attempt whose connection is yet to come up
         giveUpUnbegun(subchannel -> next.has(subchannel) && !before.has(subchannel));
@@ -214,7 +214,7 @@
 
     @Override
     public void moved(CallAttempt a, boolean started) {
-        report(new News.AttemptMoved(a.rpc, a.number, started));
+        report(new BalancerEvent.AttemptMoved(a.rpc, a.number, started));
     }
 
     @Override
@@ -229,7 +229,7 @@
         }
         boolean answered = rpc.answered();
         forgetIfDone(rpc);
-        report(new News.AttemptEnded(a.rpc, a.number, outcome, clock.now() - a.sentAt, answered, load));
+        report(new BalancerEvent.AttemptEnded(a.rpc, a.number, outcome, clock.now() - a.sentAt, answered, load));
     }
 
     private void giveUp(CallAttempt a, Outcome outcome) {
@@ -329,7 +329,7 @@
     private void probe(String subchannel) {
         String address = resolved.bans().has(subchannel) ? null : resolved.address(subchannel);
         if (address == null) {
-            report(new News.Probed(subchannel, Outcome.CONNECT_FAILED, null));
+            report(new BalancerEvent.Probed(subchannel, Outcome.CONNECT_FAILED, null));
         } else {
             ports.probe(subchannel, address);
         }
--- a/src/main/java/saffronferry/wire/Wire.java
+++ b/src/main/java/saffronferry/wire/Wire.java
@@ -10,7 +10,7 @@
 import java.util.function.BiConsumer;
 import saffronferry.Balancer;
 import saffronferry.Contract.JobClass;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.agree.Gossip;
 import saffronferry.limit.AttemptRoom;
 import saffronferry.limit.Descriptors;
@@ -67,7 +67,7 @@
         peerListen = o.peerListen();
         pushed = o.pushed();
         ledger = new Ledger<>(balancer, new Clock(), this, figures);
-        AttemptRoom room = new AttemptRoom(descriptors, open -> ledger.report(new News.Room(open)));
+        AttemptRoom room = new AttemptRoom(descriptors, open -> ledger.report(new BalancerEvent.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
         subchannels =
                 new SubchannelClient(vertx, o.connectTimeout(), new LoadParser(o.freeSlots()), descriptors, room, log);
@@ -76,7 +76,7 @@
                 o.discovery(),
                 o.lists(),
                 u -> ledger.resolved(u, false),
-                how -> ledger.report(new News.WatchLost(how)),
+                how -> ledger.report(new BalancerEvent.WatchLost(how)),
                 descriptors,
                 log);
         peers = new PeerSocket(vertx, o.peers(), (peer, bytes) -> heard(peer, bytes), transport.control(), log);
@@ -158,7 +158,7 @@
         if (settings != null && Gossip.speaksOfSettings(bytes)) {
             settings.accept(peer, bytes);
         } else {
-            ledger.report(new News.PeerSaid(peer, bytes));
+            ledger.report(new BalancerEvent.PeerSaid(peer, bytes));
         }
     }
 
@@ -185,7 +185,7 @@
         subchannels.probe(
                 address,
                 () -> !ledger.bans().has(subchannel),
-                (outcome, load) -> ledger.report(new News.Probed(subchannel, outcome, load)));
+                (outcome, load) -> ledger.report(new BalancerEvent.Probed(subchannel, outcome, load)));
     }
 
     @Override
--- a/src/test/java/saffronferry/AllowancesTest.java
+++ b/src/test/java/saffronferry/AllowancesTest.java
@@ -38,13 +38,13 @@
     void theModuleDecidesByTheNewList() {
         Balancer balancer = new Balancer(new Rig.Plan().settings());
         long now = 10 * Rig.S;
-        balancer.report(now, new News.Resolved(Contract.ListKind.WHOLE, List.of(Rig.worker("a"))));
-        balancer.report(now, new News.AllowancesChanged(List.of(new Tenant("big", 1), new Tenant("small", 100))));
+        balancer.report(now, new BalancerEvent.Resolved(Contract.ListKind.WHOLE, List.of(Rig.worker("a"))));
+        balancer.report(now, new BalancerEvent.AllowancesChanged(List.of(new Tenant("big", 1), new Tenant("small", 100))));
         for (long id = 1; id <= 5; id++) {
             balancer.pick(now, new Contract.Request(id, 0, 0, now + 5 * Rig.S, 1, false));
         }
         balancer.pick(now, new Contract.Request(6, 0, 1, now + 5 * Rig.S, 1, false));
-        List<Step> steps = balancer.report(now, new News.AttemptEnded(1, 0, Contract.Outcome.OK, 0, true, null));
+        List<Step> steps = balancer.report(now, new BalancerEvent.AttemptEnded(1, 0, Contract.Outcome.OK, 0, true, null));
         assertTrue(steps.contains(new Step.StartAttempt(6, "a")), steps.toString());
     }
 }
--- a/src/test/java/saffronferry/BesideTest.java
+++ b/src/test/java/saffronferry/BesideTest.java
@@ -28,7 +28,7 @@
         Balancer b = new Balancer(new SettingsReader(7, config.getJSONObject("settings")).settings);
         b.report(
                 S,
-                new News.Resolved(
+                new BalancerEvent.Resolved(
                         ListKind.WARM_COPY, List.of(new WorkerInfo("w", WorkerState.IN_SERVICE, 0, 0, 0, 1))));
         return b;
     }
@@ -50,7 +50,7 @@
     private static Balancer taught() throws Exception {
         Balancer b = balancer();
         for (int i = 1; i <= 10; i++) {
-            b.report(S + i, new News.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 6)));
+            b.report(S + i, new BalancerEvent.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 6)));
         }
         return b;
     }
@@ -62,19 +62,19 @@
         Balancer next = balancer();
         next.report(
                 2 * S,
-                new News.RunsBeside(new Beside(Map.of(), taught().beside().learned())));
+                new BalancerEvent.RunsBeside(new Beside(Map.of(), taught().beside().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
     @Test
     void slotsThatTheOtherFillsAreTakenUntilItSaysOtherwise() throws Exception {
         Balancer b = taught();
-        b.report(2 * S, new News.RunsBeside(new Beside(Map.of("w", 4, "unknown", 3), new double[0])));
+        b.report(2 * S, new BalancerEvent.RunsBeside(new Beside(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
         assertEquals(Map.of("w", 2), b.beside().jobs());
-        News three = new News.RunsBeside(new Beside(Map.of("w", 3), new double[0]));
+        BalancerEvent three = new BalancerEvent.RunsBeside(new Beside(Map.of("w", 3), new double[0]));
         assertEquals(1, sent(b.report(2 * S + 10_000, three)));
-        assertEquals(3, sent(b.report(2 * S + 20_000, new News.RunsBeside(Beside.NOBODY))));
+        assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.RunsBeside(Beside.NOBODY))));
     }
 
     /** The fault of the upgrade days: with its jobs uncounted, each report seemed to come from a smaller worker. */
@@ -82,13 +82,13 @@
     void reportsAreNotFalsifiedByTheOthersJobs() throws Exception {
         Balancer b = balancer();
         long now = 2 * S;
-        b.report(now, new News.RunsBeside(new Beside(Map.of("w", 4), new double[0])));
+        b.report(now, new BalancerEvent.RunsBeside(new Beside(Map.of("w", 4), new double[0])));
         for (int i = 0; i < 40; i++) {
             now += S;
             b.tick(now, 1);
-            b.report(now, new News.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 2)));
+            b.report(now, new BalancerEvent.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 2)));
         }
-        b.report(now, new News.RunsBeside(Beside.NOBODY));
+        b.report(now, new BalancerEvent.RunsBeside(Beside.NOBODY));
         assertEquals(6, fill(b, now, 9));
     }
 
@@ -101,12 +101,12 @@
         negative[1] = -1;
         for (double[] learned : new double[][] {{}, {1, 2, 3}, infinite, negative}) {
             Balancer b = balancer();
-            b.report(2 * S, new News.RunsBeside(new Beside(new HashMap<>(), learned)));
+            b.report(2 * S, new BalancerEvent.RunsBeside(new Beside(new HashMap<>(), learned)));
             assertArrayEquals(before, b.beside().learned());
         }
         Balancer knows = taught();
         double[] own = knows.beside().learned();
-        knows.report(2 * S, new News.RunsBeside(new Beside(Map.of(), before)));
+        knows.report(2 * S, new BalancerEvent.RunsBeside(new Beside(Map.of(), before)));
         assertArrayEquals(own, knows.beside().learned(), "it has learned something itself");
         assertTrue(own[0] > 5);
     }
@@ -115,7 +115,7 @@
     private static int sentCold(Balancer b) {
         b.report(
                 2 * S,
-                new News.Resolved(
+                new BalancerEvent.Resolved(
                         ListKind.WHOLE, List.of(new WorkerInfo("cold", WorkerState.IN_SERVICE, 0, 0, 2 * S, 1))));
         int n = 0;
         for (int i = 1; i <= 100; i++) {
@@ -123,7 +123,7 @@
             for (Step step : b.pick(now, new Request(i, 0, 0, now + 6 * S, 1, false))) {
                 if (step instanceof Step.StartAttempt a) {
                     n++;
-                    b.report(now, new News.AttemptEnded(a.rpc(), 0, Outcome.OK, 500_000, true, null));
+                    b.report(now, new BalancerEvent.AttemptEnded(a.rpc(), 0, Outcome.OK, 500_000, true, null));
                 }
             }
             b.tick(now, 1);
@@ -136,7 +136,7 @@
     void theBudgetOfColdWorkersIsForBothTogether() throws Exception {
         int alone = sentCold(taught());
         Balancer one = taught();
-        one.report(2 * S, new News.RunsBeside(new Beside(Map.of(), new double[] {1})));
+        one.report(2 * S, new BalancerEvent.RunsBeside(new Beside(Map.of(), new double[] {1})));
         int ofTwo = sentCold(one);
         assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " beside another, " + alone + " alone");
     }
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -18,7 +18,7 @@
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.Step;
 import saffronferry.lab.check.RuleChecker.Broken;
 import saffronferry.lab.policy.Brain;
@@ -130,8 +130,8 @@
         }
 
         @Override
-        public List<Step> report(long now, News news) {
-            if (news instanceof News.Resolved r) {
+        public List<Step> report(long now, BalancerEvent news) {
+            if (news instanceof BalancerEvent.Resolved r) {
                 told.addAll(r.entries());
             }
             return spoil(now, brain.report(now, news));
--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -15,7 +15,7 @@
 import saffronferry.Contract.Tenant;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.fleet.WatchEnd;
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.ops.Figures;
@@ -369,7 +369,7 @@
             at(
                     now + 1_000,
                     () -> ledger.report(
-                            new News.Probed(worker, Outcome.OK, new Report(Double.NaN, 0, 1 + dice.nextInt(4)))));
+                            new BalancerEvent.Probed(worker, Outcome.OK, new Report(Double.NaN, 0, 1 + dice.nextInt(4)))));
         }
 
         @Override
@@ -377,7 +377,7 @@
             if (dice.nextInt(20) > 0) {
                 at(now + 1_000 + dice.nextLong(30_000), () -> {
                     if (fronts.containsKey(peer)) {
-                        fronts.get(peer).ledger.report(new News.PeerSaid(number, bytes));
+                        fronts.get(peer).ledger.report(new BalancerEvent.PeerSaid(number, bytes));
                     }
                 });
             }
@@ -386,7 +386,7 @@
         @Override
         public void watch(long from) {
             if (dice.nextInt(4) == 0) {
-                at(now + 300_000, () -> ledger.report(new News.WatchLost(WatchEnd.ENDED)));
+                at(now + 300_000, () -> ledger.report(new BalancerEvent.WatchLost(WatchEnd.ENDED)));
             }
         }
 
--- a/src/test/java/saffronferry/scale/ScaleTest.java
+++ b/src/test/java/saffronferry/scale/ScaleTest.java
@@ -22,7 +22,7 @@
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.Step;
 import saffronferry.lab.policy.Brain;
 import saffronferry.lab.policy.Policy;
@@ -89,7 +89,7 @@
 
     /** Takes down what a module is told; says one datagram for each thing it is told. */
     private static final class Scribe implements Brain {
-        final List<News> news = new ArrayList<>();
+        final List<BalancerEvent> news = new ArrayList<>();
 
         @Override
         public List<Step> pick(long now, Request rpc) {
@@ -97,7 +97,7 @@
         }
 
         @Override
-        public List<Step> report(long now, News what) {
+        public List<Step> report(long now, BalancerEvent what) {
             news.add(what);
             return List.of(new Step.TellPeer(1, new byte[40]), new Step.Probe("10.0.0.1:9100"));
         }
@@ -115,14 +115,14 @@
         Brain hollow = meter.wrap(scribe, 0);
         List<WorkerInfo> told = workers();
         long now = World.DAY_STARTS + 1_500_000;
-        hollow.report(now, new News.Resolved(ListKind.CHANGES, told));
+        hollow.report(now, new BalancerEvent.Resolved(ListKind.CHANGES, told));
         byte[] datagram = {1, 2, 3};
-        hollow.report(now, new News.PeerSaid(4, datagram));
-        hollow.report(now, new News.Resolved(ListKind.WARM_COPY, told));
-        List<WorkerInfo> seen = ((News.Resolved) scribe.news.get(0)).entries();
+        hollow.report(now, new BalancerEvent.PeerSaid(4, datagram));
+        hollow.report(now, new BalancerEvent.Resolved(ListKind.WARM_COPY, told));
+        List<WorkerInfo> seen = ((BalancerEvent.Resolved) scribe.news.get(0)).entries();
         assertEquals(told, seen);
         assertNotSame(told.get(0), seen.get(0));
-        assertArrayEquals(datagram, ((News.PeerSaid) scribe.news.get(1)).bytes());
+        assertArrayEquals(datagram, ((BalancerEvent.PeerSaid) scribe.news.get(1)).bytes());
         Meter.Account account = meter.accounts.get(0);
         assertEquals(
                 meter.lines.line(told, ListKind.CHANGES).length,
@@ -146,7 +146,7 @@
         for (int time = 0; time < 2; time++) {
             assertEquals(0, account.bytes[Meter.Kind.LIST_IN.ordinal()]);
             hollow = time == 0 ? hollow : meter.wrap(new Scribe(), 0); // a restart
-            hollow.report(World.DAY_STARTS + 1, new News.Resolved(ListKind.WHOLE, workers()));
+            hollow.report(World.DAY_STARTS + 1, new BalancerEvent.Resolved(ListKind.WHOLE, workers()));
         }
         assertEquals(whole, account.bytes[Meter.Kind.LIST_IN.ordinal()]);
         assertEquals(whole, account.wholeListBytes);
@@ -161,8 +161,8 @@
     void onlyTheDayCounts() throws Exception {
         Meter meter = new Meter(small(""), now -> {});
         Brain hollow = meter.wrap(new Scribe(), 0);
-        hollow.report(World.DAY_STARTS - 1, new News.PeerSaid(1, new byte[10]));
-        hollow.report(World.DAY_STARTS + 3_000_000, new News.PeerSaid(1, new byte[10]));
+        hollow.report(World.DAY_STARTS - 1, new BalancerEvent.PeerSaid(1, new byte[10]));
+        hollow.report(World.DAY_STARTS + 3_000_000, new BalancerEvent.PeerSaid(1, new byte[10]));
         Meter.Account account = meter.accounts.get(0);
         assertEquals(0, account.controlBytes());
         assertTrue(account.startBytes > 10, "told apart: " + account.startBytes);
--- a/src/test/java/saffronferry/state/LedgerTest.java
+++ b/src/test/java/saffronferry/state/LedgerTest.java
@@ -13,7 +13,7 @@
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.ops.Figures;
 import saffronferry.settings.SettingsReader;
 
@@ -141,7 +141,7 @@
         assertEquals("tried at the next worker or told, never left", 0, started.size());
         error = null;
         ledger.open(new RpcInfo("v", 0, 0, 3_000_000, 1, false), "m", channel);
-        ledger.report(new News.Room(true));
+        ledger.report(new BalancerEvent.Room(true));
         timers.values().stream().toList().forEach(Runnable::run);
         assertEquals("each has its one answer", 2, answers.size());
     }
@@ -150,11 +150,11 @@
     @Test
     public void withoutRoomNothingIsSentUntilThereIsSome() throws Exception {
         begin();
-        ledger.report(new News.Room(false));
+        ledger.report(new BalancerEvent.Room(false));
         open();
         assertEquals(0, started.size());
         assertEquals(List.of(), answers);
-        ledger.report(new News.Room(true));
+        ledger.report(new BalancerEvent.Room(true));
         assertEquals(1, started.size());
         started.get(0).served("r", null);
         assertEquals(List.of("r"), answers);
