--- a/src/main/java/saffronferry/Balancer.java
+++ b/src/main/java/saffronferry/Balancer.java
@@ -19,13 +19,13 @@
     }
 
     /** Picks what to do with a new RPC, which from now on awaits exactly one final answer. */
-    public List<Step> pick(long now, Contract.Request rpc) {
+    public List<BalancerAction> pick(long now, Contract.Request rpc) {
         module.request(now, rpc);
         return steps.take();
     }
 
     /** Handles an event and returns the actions that follow. Events about unknown RPCs have no effect. */
-    public List<Step> report(long now, BalancerEvent news) {
+    public List<BalancerAction> report(long now, BalancerEvent news) {
         if (news instanceof BalancerEvent.AttemptEnded e) {
             module.attemptEnded(now, e.rpc(), e.attempt(), e.outcome(), e.took(), e.answered(), e.load());
         } else if (news instanceof BalancerEvent.AttemptMoved m) {
@@ -50,8 +50,8 @@
         return steps.take();
     }
 
-    /** To be called when a {@link Step.WakeAfter} falls due. */
-    public List<Step> tick(long now, long token) {
+    /** To be called when a {@link BalancerAction.WakeAfter} falls due. */
+    public List<BalancerAction> tick(long now, long token) {
         module.timer(now, token);
         return steps.take();
     }
@@ -73,52 +73,52 @@
 
     /** Gathers the module's actions. */
     private static final class Steps implements Contract.Actions {
-        private List<Step> list = new ArrayList<>();
+        private List<BalancerAction> list = new ArrayList<>();
 
-        List<Step> take() {
-            List<Step> taken = list;
+        List<BalancerAction> take() {
+            List<BalancerAction> taken = list;
             list = new ArrayList<>();
             return taken;
         }
 
         @Override
         public void send(long id, String worker) {
-            list.add(new Step.StartAttempt(id, worker));
+            list.add(new BalancerAction.StartAttempt(id, worker));
         }
 
         @Override
         public void cancel(long id, int attempt) {
-            list.add(new Step.CancelAttempt(id, attempt));
+            list.add(new BalancerAction.CancelAttempt(id, attempt));
         }
 
         @Override
         public void refuse(long id, long retryAfter) {
-            list.add(new Step.Refuse(id, retryAfter));
+            list.add(new BalancerAction.Refuse(id, retryAfter));
         }
 
         @Override
         public void fail(long id) {
-            list.add(new Step.Fail(id));
+            list.add(new BalancerAction.Fail(id));
         }
 
         @Override
         public void timer(long token, long delay) {
-            list.add(new Step.WakeAfter(token, delay));
+            list.add(new BalancerAction.WakeAfter(token, delay));
         }
 
         @Override
         public void probe(String worker) {
-            list.add(new Step.Probe(worker));
+            list.add(new BalancerAction.Probe(worker));
         }
 
         @Override
         public void tell(int peer, byte[] bytes) {
-            list.add(new Step.TellPeer(peer, bytes));
+            list.add(new BalancerAction.TellPeer(peer, bytes));
         }
 
         @Override
         public void subscribe() {
-            list.add(new Step.Watch());
+            list.add(new BalancerAction.Watch());
         }
     }
 }
--- a/src/main/java/saffronferry/lab/policy/Brain.java
+++ b/src/main/java/saffronferry/lab/policy/Brain.java
@@ -5,35 +5,35 @@
 import saffronferry.Contract.Request;
 import saffronferry.Contract.Settings;
 import saffronferry.BalancerEvent;
-import saffronferry.Step;
+import saffronferry.BalancerAction;
 
 /** The facade's shape: whoever decides in an emulated dispatcher. Clock in microseconds, never backwards. */
 public interface Brain {
     /** Picks what to do with a new RPC, which awaits exactly one final answer. */
-    List<Step> pick(long now, Request rpc);
+    List<BalancerAction> pick(long now, Request rpc);
 
     /** Takes news in. */
-    List<Step> report(long now, BalancerEvent news);
+    List<BalancerAction> report(long now, BalancerEvent news);
 
-    /** A {@link Step.WakeAfter} has fallen due. */
-    List<Step> tick(long now, long token);
+    /** A {@link BalancerAction.WakeAfter} has fallen due. */
+    List<BalancerAction> tick(long now, long token);
 
     /** The program's own decisions, through the facade that {@code serve} uses. */
     static Brain networkedQueues(Settings settings) {
         Balancer balancer = new Balancer(settings);
         return new Brain() {
             @Override
-            public List<Step> pick(long now, Request rpc) {
+            public List<BalancerAction> pick(long now, Request rpc) {
                 return balancer.pick(now, rpc);
             }
 
             @Override
-            public List<Step> report(long now, BalancerEvent news) {
+            public List<BalancerAction> report(long now, BalancerEvent news) {
                 return balancer.report(now, news);
             }
 
             @Override
-            public List<Step> tick(long now, long token) {
+            public List<BalancerAction> tick(long now, long token) {
                 return balancer.tick(now, token);
             }
         };
--- a/src/main/java/saffronferry/lab/policy/TextbookBrain.java
+++ b/src/main/java/saffronferry/lab/policy/TextbookBrain.java
@@ -16,7 +16,7 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.BalancerEvent;
-import saffronferry.Step;
+import saffronferry.BalancerAction;
 
 /**
  * A policy from the textbooks: it sends each request at once to the worker that its chooser names, and again
@@ -82,15 +82,15 @@
     }
 
     @Override
-    public List<Step> pick(long now, Request rpc) {
+    public List<BalancerAction> pick(long now, Request rpc) {
         Open o = new Open(rpc);
         open.put(rpc.id(), o);
-        List<Step> steps = new ArrayList<>();
+        List<BalancerAction> steps = new ArrayList<>();
         send(now, o, steps);
         return steps;
     }
 
-    private void send(long now, Open o, List<Step> steps) {
+    private void send(long now, Open o, List<BalancerAction> steps) {
         Known worker =
                 o.attempts.size() < settings.maxAttempts() && now < o.request.validUntil() ? choose(now, o) : null;
         if (worker == null) {
@@ -100,7 +100,7 @@
         worker.outstanding++;
         o.out++;
         o.attempts.add(new Attempt(worker, now));
-        steps.add(new Step.StartAttempt(o.request.id(), worker.address));
+        steps.add(new BalancerAction.StartAttempt(o.request.id(), worker.address));
     }
 
     private Known choose(long now, Open o) {
@@ -130,35 +130,35 @@
         return null;
     }
 
-    private void end(Open o, List<Step> steps) {
+    private void end(Open o, List<BalancerAction> steps) {
         open.remove(o.request.id());
         JobClass spec = settings.classes().get(o.request.jobClass());
         boolean harmless = o.doubt == null
                 || spec.effect() == Effect.SAFE
                 || spec.effect() == Effect.KEYED && spec.group() == Group.ALL;
-        steps.add(harmless ? new Step.Refuse(o.request.id(), 0) : new Step.Fail(o.request.id()));
+        steps.add(harmless ? new BalancerAction.Refuse(o.request.id(), 0) : new BalancerAction.Fail(o.request.id()));
     }
 
     @Override
-    public List<Step> report(long now, BalancerEvent news) {
-        List<Step> steps = new ArrayList<>();
+    public List<BalancerAction> report(long now, BalancerEvent news) {
+        List<BalancerAction> steps = new ArrayList<>();
         if (news instanceof BalancerEvent.AttemptEnded e) {
             ended(now, e, steps);
         } else if (news instanceof BalancerEvent.Resolved r) {
             resolved(r);
             if (!begun) {
                 begun = true;
-                steps.add(new Step.Watch());
+                steps.add(new BalancerAction.Watch());
             }
         } else if (news instanceof BalancerEvent.WatchLost) {
-            steps.add(new Step.WakeAfter(WATCH, AGAIN));
+            steps.add(new BalancerAction.WakeAfter(WATCH, AGAIN));
         } else if (news instanceof BalancerEvent.ClientGone g) {
             open.remove(g.rpc());
         }
         return steps;
     }
 
-    private void ended(long now, BalancerEvent.AttemptEnded e, List<Step> steps) {
+    private void ended(long now, BalancerEvent.AttemptEnded e, List<BalancerAction> steps) {
         Open o = open.get(e.rpc());
         if (o == null) {
             return;
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public List<Step> tick(long now, long token) {
-        return List.of(new Step.Watch());
+    public List<BalancerAction> tick(long now, long token) {
+        return List.of(new BalancerAction.Watch());
     }
 }
--- a/src/main/java/saffronferry/lab/world/Node.java
+++ b/src/main/java/saffronferry/lab/world/Node.java
@@ -13,7 +13,7 @@
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.BalancerEvent;
-import saffronferry.Step;
+import saffronferry.BalancerAction;
 import saffronferry.fleet.WatchEnd;
 import saffronferry.lab.check.RuleChecker;
 import saffronferry.lab.policy.Brain;
@@ -251,7 +251,7 @@
     // ---- what the brain says ----
 
     private interface Decision {
-        List<Step> of(Brain brain);
+        List<BalancerAction> of(Brain brain);
     }
 
     /** News that steps make waits its turn, so that the brain is never entered twice. */
@@ -276,32 +276,32 @@
     private void run(Decision decision) {
         // danger: on a machine with other work, real time counts what others had of the core
         long begun = THREADS.getCurrentThreadCpuTime();
-        List<Step> steps = decision.of(brain);
+        List<BalancerAction> steps = decision.of(brain);
         busy += THREADS.getCurrentThreadCpuTime() - begun;
         world.tally.decisions++;
         steps.forEach(this::perform);
     }
 
-    private void perform(Step step) {
-        if (step instanceof Step.StartAttempt s) {
+    private void perform(BalancerAction step) {
+        if (step instanceof BalancerAction.StartAttempt s) {
             send(s);
-        } else if (step instanceof Step.CancelAttempt c) {
+        } else if (step instanceof BalancerAction.CancelAttempt c) {
             Rpc rpc = open.get(c.rpc());
             if (rpc != null && c.attempt() < rpc.attempts.size() && !rpc.attempts.get(c.attempt()).over) {
                 letGo(rpc.attempts.get(c.attempt()));
                 ended(c.rpc(), c.attempt(), Outcome.CANCELLED);
             }
-        } else if (step instanceof Step.Refuse r) {
+        } else if (step instanceof BalancerAction.Refuse r) {
             finish(r.rpc(), "refused", true, r.retryAfter());
-        } else if (step instanceof Step.Fail f) {
+        } else if (step instanceof BalancerAction.Fail f) {
             finish(f.rpc(), "failed", false, 0);
-        } else if (step instanceof Step.Probe p) {
+        } else if (step instanceof BalancerAction.Probe p) {
             probe(p.subchannel());
-        } else if (step instanceof Step.TellPeer t) {
+        } else if (step instanceof BalancerAction.TellPeer t) {
             world.tell(this, t.peer(), t.bytes());
-        } else if (step instanceof Step.Watch) {
+        } else if (step instanceof BalancerAction.Watch) {
             world.registry.watch(this, ++watch);
-        } else if (step instanceof Step.WakeAfter w) {
+        } else if (step instanceof BalancerAction.WakeAfter w) {
             int mine = life;
             sim.after(w.delay(), () -> {
                 if (up && mine == life) {
@@ -332,7 +332,7 @@
         }
     }
 
-    private void send(Step.StartAttempt s) {
+    private void send(BalancerAction.StartAttempt s) {
         Rpc rpc = open.get(s.rpc());
         Worker worker = world.worker(s.subchannel());
         checker.sent(
--- a/src/main/java/saffronferry/scale/HollowBrain.java
+++ b/src/main/java/saffronferry/scale/HollowBrain.java
@@ -11,7 +11,7 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.BalancerEvent;
-import saffronferry.Step;
+import saffronferry.BalancerAction;
 import saffronferry.lab.policy.Brain;
 import saffronferry.scale.Meter.Account;
 import saffronferry.scale.Meter.Event;
@@ -43,18 +43,18 @@
     }
 
     @Override
-    public List<Step> pick(long now, Request rpc) {
+    public List<BalancerAction> pick(long now, Request rpc) {
         return decide(Event.PICK, now, () -> module.pick(now, rpc));
     }
 
     @Override
-    public List<Step> tick(long now, long token) {
+    public List<BalancerAction> tick(long now, long token) {
         meter.reached(now);
         return decide(Event.TICK, now, () -> module.tick(now, token));
     }
 
     @Override
-    public List<Step> report(long now, BalancerEvent news) {
+    public List<BalancerAction> report(long now, BalancerEvent news) {
         if (news instanceof BalancerEvent.Resolved resolved) {
             return listed(now, resolved);
         }
@@ -77,7 +77,7 @@
     }
 
     /** The copy that a start is given comes from a file: it is read like another list, but nobody sent it. */
-    private List<Step> listed(long now, BalancerEvent.Resolved resolved) {
+    private List<BalancerAction> listed(long now, BalancerEvent.Resolved resolved) {
         byte[] line = meter.lines.line(resolved.entries(), resolved.kind());
         if (resolved.kind() != ListKind.WARM_COPY) {
             meter.listed(account, resolved.kind() == ListKind.WHOLE, line.length, now);
@@ -107,16 +107,16 @@
         }
     }
 
-    private List<Step> decide(Event event, long now, Supplier<List<Step>> decision) {
+    private List<BalancerAction> decide(Event event, long now, Supplier<List<BalancerAction>> decision) {
         long begun = meter.clock.now();
-        List<Step> steps = decision.get();
+        List<BalancerAction> steps = decision.get();
         meter.took(account, event, meter.clock.since(begun), now);
-        for (Step step : steps) {
-            if (step instanceof Step.TellPeer told) {
+        for (BalancerAction step : steps) {
+            if (step instanceof BalancerAction.TellPeer told) {
                 meter.said(account, Kind.DATAGRAM_OUT, told.bytes().length, now);
-            } else if (step instanceof Step.Probe) {
+            } else if (step instanceof BalancerAction.Probe) {
                 meter.said(account, Kind.PROBE_OUT, PROBE_BYTES, now);
-            } else if (step instanceof Step.Watch) {
+            } else if (step instanceof BalancerAction.Watch) {
                 meter.said(account, Kind.LIST_OUT, WATCH_BYTES, now);
             }
         }
--- a/src/main/java/saffronferry/state/Ledger.java
+++ b/src/main/java/saffronferry/state/Ledger.java
@@ -18,7 +18,7 @@
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.BalancerEvent;
-import saffronferry.Step;
+import saffronferry.BalancerAction;
 import saffronferry.ops.Bans;
 import saffronferry.ops.Figures;
 import saffronferry.ops.Figures.Result;
@@ -40,7 +40,7 @@
     private final ResolverResult resolved = new ResolverResult();
     private final Map<Long, Rpc<M>> open = new HashMap<>();
     private final Set<String> names = new HashSet<>();
-    private final ArrayDeque<Supplier<List<Step>>> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Supplier<List<BalancerAction>>> waiting = new ArrayDeque<>();
     private boolean running;
     private long lastId;
     private long lastDeadline = Long.MAX_VALUE;
@@ -242,14 +242,14 @@
     // ---- what the balancer asks for ----
 
     /** Carries steps out; news that they make waits its turn, so that the balancer is never entered twice. */
-    private void run(Supplier<List<Step>> work) {
+    private void run(Supplier<List<BalancerAction>> work) {
         waiting.add(work);
         if (running) {
             return;
         }
         running = true;
-        for (Supplier<List<Step>> next = waiting.poll(); next != null; next = waiting.poll()) {
-            Supplier<List<Step>> current = next;
+        for (Supplier<List<BalancerAction>> next = waiting.poll(); next != null; next = waiting.poll()) {
+            Supplier<List<BalancerAction>> current = next;
             guarded(() -> current.get().forEach(step -> guarded(() -> perform(step))));
         }
         running = false;
@@ -268,30 +268,30 @@
         }
     }
 
-    private void perform(Step step) {
-        if (step instanceof Step.StartAttempt s) {
+    private void perform(BalancerAction step) {
+        if (step instanceof BalancerAction.StartAttempt s) {
             start(s);
-        } else if (step instanceof Step.CancelAttempt c) {
+        } else if (step instanceof BalancerAction.CancelAttempt c) {
             Rpc<M> rpc = open.get(c.rpc());
             if (rpc != null) {
                 giveUp(rpc.attempts.get(c.attempt()), Outcome.CANCELLED);
             }
-        } else if (step instanceof Step.Refuse r) {
+        } else if (step instanceof BalancerAction.Refuse r) {
             finish(r.rpc(), Result.SHED, channel -> channel.refused(r.retryAfter()));
-        } else if (step instanceof Step.Fail f) {
+        } else if (step instanceof BalancerAction.Fail f) {
             finish(f.rpc(), Result.ERRORS, Channel::failed);
-        } else if (step instanceof Step.Probe p) {
+        } else if (step instanceof BalancerAction.Probe p) {
             probe(p.subchannel());
-        } else if (step instanceof Step.TellPeer t) {
+        } else if (step instanceof BalancerAction.TellPeer t) {
             ports.tell(t.peer(), t.bytes());
-        } else if (step instanceof Step.Watch) {
+        } else if (step instanceof BalancerAction.Watch) {
             ports.watch(resolved.revision());
-        } else if (step instanceof Step.WakeAfter w) {
+        } else if (step instanceof BalancerAction.WakeAfter w) {
             ports.wake(w.delay(), () -> tick(w.token()));
         }
     }
 
-    private void start(Step.StartAttempt s) {
+    private void start(BalancerAction.StartAttempt s) {
         Rpc<M> rpc = open.get(s.rpc());
         if (rpc == null) {
             throw new IllegalStateException("an attempt for an RPC that is over");
--- a/src/test/java/saffronferry/AllowancesTest.java
+++ b/src/test/java/saffronferry/AllowancesTest.java
@@ -44,7 +44,7 @@
             balancer.pick(now, new Contract.Request(id, 0, 0, now + 5 * Rig.S, 1, false));
         }
         balancer.pick(now, new Contract.Request(6, 0, 1, now + 5 * Rig.S, 1, false));
-        List<Step> steps = balancer.report(now, new BalancerEvent.AttemptEnded(1, 0, Contract.Outcome.OK, 0, true, null));
-        assertTrue(steps.contains(new Step.StartAttempt(6, "a")), steps.toString());
+        List<BalancerAction> steps = balancer.report(now, new BalancerEvent.AttemptEnded(1, 0, Contract.Outcome.OK, 0, true, null));
+        assertTrue(steps.contains(new BalancerAction.StartAttempt(6, "a")), steps.toString());
     }
 }
--- a/src/test/java/saffronferry/BesideTest.java
+++ b/src/test/java/saffronferry/BesideTest.java
@@ -33,8 +33,8 @@
         return b;
     }
 
-    private static int sent(List<Step> steps) {
-        return (int) steps.stream().filter(Step.StartAttempt.class::isInstance).count();
+    private static int sent(List<BalancerAction> steps) {
+        return (int) steps.stream().filter(BalancerAction.StartAttempt.class::isInstance).count();
     }
 
     /** Asks for so many jobs at once and says how many of them are sent. */
@@ -120,8 +120,8 @@
         int n = 0;
         for (int i = 1; i <= 100; i++) {
             long now = 2 * S + i * 50_000L;
-            for (Step step : b.pick(now, new Request(i, 0, 0, now + 6 * S, 1, false))) {
-                if (step instanceof Step.StartAttempt a) {
+            for (BalancerAction step : b.pick(now, new Request(i, 0, 0, now + 6 * S, 1, false))) {
+                if (step instanceof BalancerAction.StartAttempt a) {
                     n++;
                     b.report(now, new BalancerEvent.AttemptEnded(a.rpc(), 0, Outcome.OK, 500_000, true, null));
                 }
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -19,7 +19,7 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.BalancerEvent;
-import saffronferry.Step;
+import saffronferry.BalancerAction;
 import saffronferry.lab.check.RuleChecker.Broken;
 import saffronferry.lab.policy.Brain;
 import saffronferry.lab.policy.Policy;
@@ -118,19 +118,19 @@
             this.brain = brain;
         }
 
-        abstract List<Step> spoil(long now, List<Step> steps);
+        abstract List<BalancerAction> spoil(long now, List<BalancerAction> steps);
 
-        List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
+        List<BalancerAction> spoilPick(long now, Request rpc, List<BalancerAction> steps) {
             return spoil(now, steps);
         }
 
         @Override
-        public List<Step> pick(long now, Request rpc) {
+        public List<BalancerAction> pick(long now, Request rpc) {
             return spoilPick(now, rpc, brain.pick(now, rpc));
         }
 
         @Override
-        public List<Step> report(long now, BalancerEvent news) {
+        public List<BalancerAction> report(long now, BalancerEvent news) {
             if (news instanceof BalancerEvent.Resolved r) {
                 told.addAll(r.entries());
             }
@@ -138,7 +138,7 @@
         }
 
         @Override
-        public List<Step> tick(long now, long token) {
+        public List<BalancerAction> tick(long now, long token) {
             return spoil(now, brain.tick(now, token));
         }
     }
@@ -160,9 +160,9 @@
         caught(
                 broken("alumni-overload", brain -> new Saboteur(brain) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
+                    List<BalancerAction> spoil(long now, List<BalancerAction> steps) {
                         return steps.stream()
-                                .filter(s -> !(s instanceof Step.Refuse))
+                                .filter(s -> !(s instanceof BalancerAction.Refuse))
                                 .toList();
                     }
                 }),
@@ -175,9 +175,9 @@
         caught(
                 broken("alumni-overload", brain -> new Saboteur(brain) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
-                        List<Step> all = new ArrayList<>(steps);
-                        steps.stream().filter(Step.Refuse.class::isInstance).forEach(all::add);
+                    List<BalancerAction> spoil(long now, List<BalancerAction> steps) {
+                        List<BalancerAction> all = new ArrayList<>(steps);
+                        steps.stream().filter(BalancerAction.Refuse.class::isInstance).forEach(all::add);
                         return all;
                     }
                 }),
@@ -190,17 +190,17 @@
         caught(
                 broken("alumni-hosting", brain -> new Saboteur(brain) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
-                        List<Step> all = new ArrayList<>(steps);
+                    List<BalancerAction> spoil(long now, List<BalancerAction> steps) {
+                        List<BalancerAction> all = new ArrayList<>(steps);
                         steps.stream()
-                                .filter(Step.StartAttempt.class::isInstance)
-                                .map(Step.StartAttempt.class::cast)
+                                .filter(BalancerAction.StartAttempt.class::isInstance)
+                                .map(BalancerAction.StartAttempt.class::cast)
                                 .forEach(s -> told.stream()
                                         .map(WorkerInfo::address)
                                         .filter(a -> !a.equals(s.subchannel()))
                                         .sorted()
                                         .limit(4)
-                                        .forEach(a -> all.add(new Step.StartAttempt(s.rpc(), a))));
+                                        .forEach(a -> all.add(new BalancerAction.StartAttempt(s.rpc(), a))));
                         return all;
                     }
                 }),
@@ -213,18 +213,18 @@
         caught(
                 broken("alumni-deploy", brain -> new Saboteur(brain) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
+                    List<BalancerAction> spoil(long now, List<BalancerAction> steps) {
                         return steps;
                     }
 
                     @Override
-                    List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
+                    List<BalancerAction> spoilPick(long now, Request rpc, List<BalancerAction> steps) {
                         return told.stream()
                                 .filter(w -> w.state() == WorkerState.DRAINING)
                                 .map(WorkerInfo::address)
                                 .sorted()
                                 .findFirst()
-                                .<List<Step>>map(a -> List.of(new Step.StartAttempt(rpc.id(), a)))
+                                .<List<BalancerAction>>map(a -> List.of(new BalancerAction.StartAttempt(rpc.id(), a)))
                                 .orElse(steps);
                     }
                 }),
@@ -237,12 +237,12 @@
         caught(
                 broken("alumni-deploy", brain -> new Saboteur(brain) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
+                    List<BalancerAction> spoil(long now, List<BalancerAction> steps) {
                         return steps;
                     }
 
                     @Override
-                    List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
+                    List<BalancerAction> spoilPick(long now, Request rpc, List<BalancerAction> steps) {
                         return told.stream()
                                 .filter(w -> w.startedAt() > 0
                                         && w.state() == WorkerState.IN_SERVICE
@@ -250,7 +250,7 @@
                                 .map(WorkerInfo::address)
                                 .sorted()
                                 .findFirst()
-                                .<List<Step>>map(a -> List.of(new Step.StartAttempt(rpc.id(), a)))
+                                .<List<BalancerAction>>map(a -> List.of(new BalancerAction.StartAttempt(rpc.id(), a)))
                                 .orElse(steps);
                     }
                 }),
--- a/src/test/java/saffronferry/scale/ScaleTest.java
+++ b/src/test/java/saffronferry/scale/ScaleTest.java
@@ -23,7 +23,7 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.BalancerEvent;
-import saffronferry.Step;
+import saffronferry.BalancerAction;
 import saffronferry.lab.policy.Brain;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Limits;
@@ -92,18 +92,18 @@
         final List<BalancerEvent> news = new ArrayList<>();
 
         @Override
-        public List<Step> pick(long now, Request rpc) {
+        public List<BalancerAction> pick(long now, Request rpc) {
             return List.of();
         }
 
         @Override
-        public List<Step> report(long now, BalancerEvent what) {
+        public List<BalancerAction> report(long now, BalancerEvent what) {
             news.add(what);
-            return List.of(new Step.TellPeer(1, new byte[40]), new Step.Probe("10.0.0.1:9100"));
+            return List.of(new BalancerAction.TellPeer(1, new byte[40]), new BalancerAction.Probe("10.0.0.1:9100"));
         }
 
         @Override
-        public List<Step> tick(long now, long token) {
+        public List<BalancerAction> tick(long now, long token) {
             return List.of();
         }
     }
