--- a/src/main/java/saffronferry/Balancer.java
+++ b/src/main/java/saffronferry/Balancer.java
@@ -57,7 +57,7 @@
     }
 
     /** What another process of the same dispatcher should know while it runs beside this one. */
-    public Beside beside() {
+    public HandoverState beside() {
         return module.beside();
     }
 
--- a/src/main/java/saffronferry/BalancerEvent.java
+++ b/src/main/java/saffronferry/BalancerEvent.java
@@ -38,8 +38,8 @@
     /** Whether there are descriptors for further call attempts; at the start there are. */
     record Room(boolean open) implements BalancerEvent {}
 
-    /** What another process of the same dispatcher tells; {@link Beside#NOBODY} once it is gone. */
-    record RunsBeside(Beside other) implements BalancerEvent {}
+    /** What another process of the same dispatcher tells; {@link HandoverState#NOBODY} once it is gone. */
+    record RunsBeside(HandoverState other) implements BalancerEvent {}
 
     /** The watch, or the call for one, failed or ended. */
     record WatchLost(WatchEnd how) implements BalancerEvent {}
--- a/src/main/java/saffronferry/Contract.java
+++ b/src/main/java/saffronferry/Contract.java
@@ -148,10 +148,10 @@
         void workersUnavailable(long now, WatchEnd how);
 
         /** What another process of the same dispatcher should know while it runs beside this one. */
-        Beside beside();
+        HandoverState beside();
 
-        /** What such a process tells; {@link Beside#NOBODY} when it is gone. */
-        void beside(long now, Beside other);
+        /** What such a process tells; {@link HandoverState#NOBODY} when it is gone. */
+        void beside(long now, HandoverState other);
 
         /** What tenants may ask for from now on: who was there keeps the index, and who is new is behind. */
         void allowances(long now, List<Tenant> tenants);
--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -1161,15 +1161,15 @@
 
     // ---- another process of this dispatcher, to replace or to be replaced by ----
     @Override
-    public Beside beside() {
-        return new Beside(fleet.jobs(), known.told());
+    public HandoverState beside() {
+        return new HandoverState(fleet.jobs(), known.told());
     }
 
     @Override
-    public void beside(long clock, Beside other) {
+    public void beside(long clock, HandoverState other) {
         now = clock;
         known.take(other.learned());
-        processes = other.equals(Beside.NOBODY) ? 1 : 2;
+        processes = other.equals(HandoverState.NOBODY) ? 1 : 2;
         repeats.share(processes);
         for (Worker w : fleet.all()) {
             twin.hold(w, other.jobs().getOrDefault(w.address, 0), now);
--- a/src/main/java/saffronferry/lifecycle/Company.java
+++ b/src/main/java/saffronferry/lifecycle/Company.java
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx;
 import java.io.IOException;
 import java.util.function.Supplier;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
@@ -27,7 +27,7 @@
     /** Who hears of it. For the event loop. */
     interface Listener {
         /** What the others tell has changed. */
-        void told(Beside beside);
+        void told(HandoverState beside);
 
         /** Others have changed the bans. */
         void banned(Bans bans);
@@ -42,7 +42,7 @@
     private final Descriptors descriptors;
     private final BoundedLog log;
     private Succession.Company last;
-    private Supplier<Beside> own;
+    private Supplier<HandoverState> own;
     private Listener listener;
     private boolean announced;
     private boolean replaced;
@@ -56,16 +56,16 @@
         this.log = log;
         try {
             succession.started();
-            last = succession.exchange(Beside.NOBODY);
+            last = succession.exchange(HandoverState.NOBODY);
         } catch (IOException e) {
             log.line("not announced", String.valueOf(e));
-            last = new Succession.Company(0, Beside.NOBODY);
+            last = new Succession.Company(0, HandoverState.NOBODY);
         }
         descriptors.share(1 + last.others());
     }
 
     /** From now on others are told what {@code own} says, and what comes of them is handed on. */
-    void keep(Supplier<Beside> own, Listener listener) {
+    void keep(Supplier<HandoverState> own, Listener listener) {
         this.own = own;
         this.listener = listener;
         listener.told(last.told());
@@ -78,7 +78,7 @@
 
     /** The next look is set when this one has ended: looks must not pile up behind a slow folder. */
     private void look() {
-        Beside said = last.others() > 0 ? own.get() : Beside.NOBODY;
+        HandoverState said = last.others() > 0 ? own.get() : HandoverState.NOBODY;
         vertx.executeBlocking(() -> {
                     Succession.Company others = succession.exchange(said);
                     return new Found(others, changedBans(), others.others() > 0 && succession.replaced());
--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 import saffronferry.Balancer;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 import saffronferry.Contract.JobClass;
 import saffronferry.BalancerEvent;
 import saffronferry.limit.AcceptGate;
@@ -210,7 +210,7 @@
         if (company != null) {
             company.keep(wire.ledger()::beside, new Company.Listener() {
                 @Override
-                public void told(Beside beside) {
+                public void told(HandoverState beside) {
                     wire.ledger().report(new BalancerEvent.RunsBeside(beside));
                 }
 
--- a/src/main/java/saffronferry/lifecycle/Succession.java
+++ b/src/main/java/saffronferry/lifecycle/Succession.java
@@ -13,7 +13,7 @@
 import org.json.JSONArray;
 import org.json.JSONException;
 import org.json.JSONObject;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 
 /**
  * Which processes of this dispatcher there are, told by marks in the folder that they share: one for each
@@ -103,13 +103,13 @@
     }
 
     /** How many others live, and what they tell. */
-    record Company(int others, Beside told) {}
+    record Company(int others, HandoverState told) {}
 
     /** Tells the others, where there are any, what this process has to say, and hears them. */
-    Company exchange(Beside own) throws IOException {
+    Company exchange(HandoverState own) throws IOException {
         List<Long> others = others();
         if (others.isEmpty()) {
-            return new Company(0, Beside.NOBODY);
+            return new Company(0, HandoverState.NOBODY);
         }
         JSONObject json =
                 new JSONObject().put("jobs", new JSONObject(own.jobs())).put("learned", new JSONArray(own.learned()));
@@ -117,15 +117,15 @@
         Map<String, Integer> jobs = new HashMap<>();
         double[] learned = {};
         for (long other : others) {
-            Beside b = read(told(other));
+            HandoverState b = read(told(other));
             b.jobs().forEach((worker, slots) -> jobs.merge(worker, slots, Integer::sum));
             learned = b.learned().length > 0 ? b.learned() : learned;
         }
-        return new Company(others.size(), new Beside(jobs, learned));
+        return new Company(others.size(), new HandoverState(jobs, learned));
     }
 
     /** A process that has not spoken yet, or whose version speaks otherwise, says nothing. */
-    private static Beside read(Path file) {
+    private static HandoverState read(Path file) {
         try {
             JSONObject json = new JSONObject(Files.readString(file));
             Map<String, Integer> jobs = new HashMap<>();
@@ -136,9 +136,9 @@
             for (int i = 0; i < figures.length; i++) {
                 figures[i] = learned.getDouble(i);
             }
-            return new Beside(jobs, figures);
+            return new HandoverState(jobs, figures);
         } catch (IOException | JSONException e) {
-            return Beside.NOBODY;
+            return HandoverState.NOBODY;
         }
     }
 
--- a/src/main/java/saffronferry/state/Ledger.java
+++ b/src/main/java/saffronferry/state/Ledger.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import saffronferry.Balancer;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -185,7 +185,7 @@
     }
 
     /** What another process of this dispatcher should know while it runs beside this one. */
-    public Beside beside() {
+    public HandoverState beside() {
         return balancer.beside();
     }
 
--- a/src/test/java/saffronferry/BesideTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -20,7 +20,7 @@
 import saffronferry.settings.SettingsReader;
 
 /** Two processes of one dispatcher, the one about to replace the other: what each makes of the other's word. */
-class BesideTest {
+class HandoverStateTest {
     private static final long S = 1_000_000;
 
     private static Balancer balancer() throws Exception {
@@ -62,19 +62,19 @@
         Balancer next = balancer();
         next.report(
                 2 * S,
-                new BalancerEvent.RunsBeside(new Beside(Map.of(), taught().beside().learned())));
+                new BalancerEvent.RunsBeside(new HandoverState(Map.of(), taught().beside().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
     @Test
     void slotsThatTheOtherFillsAreTakenUntilItSaysOtherwise() throws Exception {
         Balancer b = taught();
-        b.report(2 * S, new BalancerEvent.RunsBeside(new Beside(Map.of("w", 4, "unknown", 3), new double[0])));
+        b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
         assertEquals(Map.of("w", 2), b.beside().jobs());
-        BalancerEvent three = new BalancerEvent.RunsBeside(new Beside(Map.of("w", 3), new double[0]));
+        BalancerEvent three = new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 3), new double[0]));
         assertEquals(1, sent(b.report(2 * S + 10_000, three)));
-        assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.RunsBeside(Beside.NOBODY))));
+        assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.RunsBeside(HandoverState.NOBODY))));
     }
 
     /** The fault of the upgrade days: with its jobs uncounted, each report seemed to come from a smaller worker. */
@@ -82,13 +82,13 @@
     void reportsAreNotFalsifiedByTheOthersJobs() throws Exception {
         Balancer b = balancer();
         long now = 2 * S;
-        b.report(now, new BalancerEvent.RunsBeside(new Beside(Map.of("w", 4), new double[0])));
+        b.report(now, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4), new double[0])));
         for (int i = 0; i < 40; i++) {
             now += S;
             b.tick(now, 1);
             b.report(now, new BalancerEvent.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 2)));
         }
-        b.report(now, new BalancerEvent.RunsBeside(Beside.NOBODY));
+        b.report(now, new BalancerEvent.RunsBeside(HandoverState.NOBODY));
         assertEquals(6, fill(b, now, 9));
     }
 
@@ -101,12 +101,12 @@
         negative[1] = -1;
         for (double[] learned : new double[][] {{}, {1, 2, 3}, infinite, negative}) {
             Balancer b = balancer();
-            b.report(2 * S, new BalancerEvent.RunsBeside(new Beside(new HashMap<>(), learned)));
+            b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(new HashMap<>(), learned)));
             assertArrayEquals(before, b.beside().learned());
         }
         Balancer knows = taught();
         double[] own = knows.beside().learned();
-        knows.report(2 * S, new BalancerEvent.RunsBeside(new Beside(Map.of(), before)));
+        knows.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), before)));
         assertArrayEquals(own, knows.beside().learned(), "it has learned something itself");
         assertTrue(own[0] > 5);
     }
@@ -136,7 +136,7 @@
     void theBudgetOfColdWorkersIsForBothTogether() throws Exception {
         int alone = sentCold(taught());
         Balancer one = taught();
-        one.report(2 * S, new BalancerEvent.RunsBeside(new Beside(Map.of(), new double[] {1})));
+        one.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), new double[] {1})));
         int ofTwo = sentCold(one);
         assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " beside another, " + alone + " alone");
     }
--- a/src/test/java/saffronferry/lifecycle/CompanyTest.java
+++ b/src/test/java/saffronferry/lifecycle/CompanyTest.java
@@ -13,7 +13,7 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
@@ -37,7 +37,7 @@
                     vertx,
                     new Succession(at, "d") {
                         @Override
-                        Company exchange(Beside own) throws IOException {
+                        Company exchange(HandoverState own) throws IOException {
                             looks.incrementAndGet();
                             return super.exchange(own);
                         }
@@ -46,9 +46,9 @@
                     new Descriptors(1024, 32),
                     new BoundedLog());
             looks.set(0);
-            vertx.runOnContext(v -> company.keep(() -> Beside.NOBODY, new Company.Listener() {
+            vertx.runOnContext(v -> company.keep(() -> HandoverState.NOBODY, new Company.Listener() {
                 @Override
-                public void told(Beside beside) {}
+                public void told(HandoverState beside) {}
 
                 @Override
                 public void banned(Bans bans) {
--- a/src/test/java/saffronferry/lifecycle/SuccessionTest.java
+++ b/src/test/java/saffronferry/lifecycle/SuccessionTest.java
@@ -16,7 +16,7 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 
 /** The marks by which processes of one dispatcher know of each other; a sleeping process plays the other. */
 public class SuccessionTest {
@@ -89,25 +89,25 @@
 
     @Test
     public void onlyProcessesThatLiveAreCompany() throws Exception {
-        assertEquals(0, self.exchange(Beside.NOBODY).others());
+        assertEquals(0, self.exchange(HandoverState.NOBODY).others());
         assertFalse(
                 "nobody is there to read",
                 Files.exists(file("d.told-" + ProcessHandle.current().pid())));
         Files.writeString(file("d.process-" + other.pid()), "");
         Files.writeString(file("d.process-rubbish"), "");
-        assertEquals(new Succession.Company(1, Beside.NOBODY), self.exchange(Beside.NOBODY));
+        assertEquals(new Succession.Company(1, HandoverState.NOBODY), self.exchange(HandoverState.NOBODY));
         Files.writeString(file("d.told-" + other.pid()), "{\"jobs\":{\"w\":3,\"x\":-2},\"learned\":[1,2.5]}");
-        Beside heard =
-                self.exchange(new Beside(Map.of("y", 1), new double[] {7})).told();
-        assertEquals(new Beside(Map.of("w", 3, "x", 0), new double[] {1, 2.5}), heard);
+        HandoverState heard =
+                self.exchange(new HandoverState(Map.of("y", 1), new double[] {7})).told();
+        assertEquals(new HandoverState(Map.of("w", 3, "x", 0), new double[] {1, 2.5}), heard);
         String told = Files.readString(file("d.told-" + ProcessHandle.current().pid()));
         assertTrue(told, new JSONObject("{\"jobs\":{\"y\":1},\"learned\":[7]}").similar(new JSONObject(told)));
         for (String damaged : List.of("", "{\"jobs\":{\"w\":3", "{\"jobs\":{\"w\":\"many\"},\"learned\":[]}")) {
             Files.writeString(file("d.told-" + other.pid()), damaged);
-            assertEquals(damaged, Beside.NOBODY, self.exchange(Beside.NOBODY).told());
+            assertEquals(damaged, HandoverState.NOBODY, self.exchange(HandoverState.NOBODY).told());
         }
         other.destroyForcibly().waitFor();
-        assertEquals(0, self.exchange(Beside.NOBODY).others());
+        assertEquals(0, self.exchange(HandoverState.NOBODY).others());
         assertFalse("its marks are cleared away", Files.exists(file("d.told-" + other.pid())));
     }
 }
