--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -74,7 +74,7 @@
     private final PriorityQueue<Job> leaving = new PriorityQueue<>(Job.BY_DEADLINE);
     private final Peer[] peers;
     private final long[] heardIn; // when a dispatcher of the zone was heard last; 0 = never
-    private final Lessons known; // learned slots of workers and running times
+    private final LearnedEstimates known; // learned slots of workers and running times
     private final Peer twin = new Peer(-1); // the process that we replace, or that replaces us
     private final Allowances allowances; // what tenants may ask for changes while we run
     private final boolean[] blocked; // classes for which a drain has found no slot
@@ -115,7 +115,7 @@
         repeats = new RepeatBudget(settings.peers());
         calls = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
         talk = new TalkBudget(settings.peerPrice(), Message.MOST_BYTES, MIN_PERIOD, MAX_PERIOD);
-        known = new Lessons(settings.kinds(), settings.classes(), FIRST_MEAN);
+        known = new LearnedEstimates(settings.kinds(), settings.classes(), FIRST_MEAN);
         blocked = new boolean[queues.length];
         allowances = new Allowances(settings.tenants());
         trafficShare = 1.0 / settings.peers();
--- a/src/main/java/saffronferry/Fleet.java
+++ b/src/main/java/saffronferry/Fleet.java
@@ -364,7 +364,7 @@
      * @param anew whether any worker may change hands
      * @return whose place may have changed, in the order of the ring
      */
-    List<Worker> arrange(Homes homes, boolean anew, Lessons known) {
+    List<Worker> arrange(Homes homes, boolean anew, LearnedEstimates known) {
         boolean all = anew || allTouched;
         boolean seats = all;
         // danger: slots that were learned meanwhile open or close all workers of a kind, also those at rest
--- a/src/main/java/saffronferry/Lessons.java
+++ b/src/main/java/saffronferry/LearnedEstimates.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What the module has learned of running times and slots. Data only: {@link Dispatcher} decides. */
-final class Lessons {
+final class LearnedEstimates {
     private static final double MEAN_RATE = 0.02; // weight of a new running time, once there are many
     private static final double MOST_SLOTS = 4096; // no worker has more: a report that says so is none
     private static final double UNKNOWN_SLOTS = 2; // a worker of which nothing is known at all
@@ -31,7 +31,7 @@
     final double[] base;
     final int[] ended;
 
-    Lessons(int kinds, List<Contract.JobClass> classes, double firstMean) {
+    LearnedEstimates(int kinds, List<Contract.JobClass> classes, double firstMean) {
         slots = new double[kinds + 1];
         weight = new double[kinds + 1];
         idle = new double[kinds + 1];
--- a/src/main/java/saffronferry/Silence.java
+++ b/src/main/java/saffronferry/Silence.java
@@ -12,7 +12,7 @@
     private Silence() {}
 
     /** What the running times of their classes make of all our jobs there staying unanswered, in nats. */
-    static double nats(Worker w, long now, Lessons known, Contract.Settings s) {
+    static double nats(Worker w, long now, LearnedEstimates known, Contract.Settings s) {
         double nats = 0;
         long quietFrom = Math.max(w.lastSign, w.busySince);
         for (Attempt a : w.attempts) {
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -103,7 +103,7 @@
     @Test
     void runningTimesStayNumbersHoweverManyJobsEnded() throws Exception {
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"));
-        Lessons known = (Lessons) get(rig.module, "known");
+        LearnedEstimates known = (LearnedEstimates) get(rig.module, "known");
         known.ended[0] = Integer.MAX_VALUE - 3;
         for (long id = 1; id <= 10; id++) {
             rig.ask(id);
--- a/src/test/java/saffronferry/FleetTest.java
+++ b/src/test/java/saffronferry/FleetTest.java
@@ -72,8 +72,8 @@
         assertTrue(s.guarded() == 0 || s.part() == 1 / 3.0, "one is elsewhere: " + s);
     }
 
-    private static final Lessons KNOWN =
-            new Lessons(2, List.of(Rig.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
+    private static final LearnedEstimates KNOWN =
+            new LearnedEstimates(2, List.of(Rig.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
 
     /** One dispatcher; zones keep their workers. */
     private static Homes alone(int zones, int zone) {
--- a/src/test/java/saffronferry/LessonsTest.java
+++ b/src/test/java/saffronferry/LearnedEstimatesTest.java
@@ -9,8 +9,8 @@
 import saffronferry.Contract.Group;
 
 /** What is learned of workers that others fill too. */
-class LessonsTest {
-    private final Lessons known = new Lessons(2, List.of(Rig.jobClass(Effect.SAFE, Group.ALL)), 500_000);
+class LearnedEstimatesTest {
+    private final LearnedEstimates known = new LearnedEstimates(2, List.of(Rig.jobClass(Effect.SAFE, Group.ALL)), 500_000);
 
     @Test
     void slotsLeftToUsAreNotAllSlots() {
