--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -682,7 +682,7 @@
             if (w.suspect && w.attempts.isEmpty() && now >= w.trialAt) {
                 clear(w, w.failedTrials);
             }
-            if (!w.suspect && Silence.nats(w, now, known, s) > SUSPECT_NATS) {
+            if (!w.suspect && SuspicionLevel.nats(w, now, known, s) > SUSPECT_NATS) {
                 suspect(w);
             }
         }
--- a/src/main/java/saffronferry/Silence.java
+++ b/src/main/java/saffronferry/SuspicionLevel.java
@@ -4,12 +4,12 @@
 import saffronferry.Book.Worker;
 
 /** How improbable a worker's silence is, if it is well. {@link Dispatcher} decides what follows from it. */
-final class Silence {
+final class SuspicionLevel {
     private static final long START_NOTICE = 400_000; // where starts are told: silent too long
     private static final double NOTICE_NATS = 2; // how strong: the slot may not have been free
     private static final double NO_PROGRESS_NATS = 8; // nothing told in three times the time between notes
 
-    private Silence() {}
+    private SuspicionLevel() {}
 
     /** What the running times of their classes make of all our jobs there staying unanswered, in nats. */
     static double nats(Worker w, long now, LearnedEstimates known, Contract.Settings s) {
