--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -79,7 +79,7 @@
     private final Allowances allowances; // what tenants may ask for changes while we run
     private final boolean[] blocked; // classes for which a drain has found no slot
     private double p = 1, r = 1, zoneSlots, share = 1, trafficShare, rate, probeCredit;
-    private final RepeatBudget repeats;
+    private final RetryBudget repeats;
     private final TalkBudget talk;
     private final CallPace calls;
     private final ColdShares shares;
@@ -112,7 +112,7 @@
         shares = new ColdShares(settings.self(), settings.peers());
         homes = new Homes(settings.zones(), settings.zone(), shares);
         coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
-        repeats = new RepeatBudget(settings.peers());
+        repeats = new RetryBudget(settings.peers());
         calls = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
         talk = new TalkBudget(settings.peerPrice(), Message.MOST_BYTES, MIN_PERIOD, MAX_PERIOD);
         known = new LearnedEstimates(settings.kinds(), settings.classes(), FIRST_MEAN);
--- a/src/main/java/saffronferry/RepeatBudget.java
+++ b/src/main/java/saffronferry/RetryBudget.java
@@ -6,7 +6,7 @@
  * what the whole fleet may repeat: an even one, whoever hears whom, so that the sum does not grow with the
  * fleet. Data: {@link Dispatcher} decides. Worked out in docs/design/fleet-faults.md.
  */
-final class RepeatBudget {
+final class RetryBudget {
     private static final double PART = 0.2;
     /** All together, a second and at once, beside the fifth. */
     private static final double FLEET_PER_S = 20;
@@ -25,7 +25,7 @@
     private int processes = 1;
 
     /** For one of so many dispatchers. */
-    RepeatBudget(int dispatchers) {
+    RetryBudget(int dispatchers) {
         perS = Math.max(LEAST_PER_S, Math.min(ALONE_PER_S, FLEET_PER_S / dispatchers));
         most = Math.max(LEAST_MOST, Math.min(ALONE_MOST, FLEET_MOST / dispatchers));
         left = most;
--- a/src/test/java/saffronferry/FleetTest.java
+++ b/src/test/java/saffronferry/FleetTest.java
@@ -33,10 +33,10 @@
     @Test
     void repeatsOfAFleetAreBounded() {
         for (int n : new int[] {1, 2, 4, 16, 100}) {
-            RepeatBudget[] all = new RepeatBudget[n];
+            RetryBudget[] all = new RetryBudget[n];
             int taken = 0;
             for (int i = 0; i < n; i++) {
-                all[i] = new RepeatBudget(n);
+                all[i] = new RetryBudget(n);
                 all[i].share(i % 2 + 1); // while two processes live each has half
                 all[i].share(1);
                 for (int t = 0; t < 100; t++) {
