--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -76,7 +76,7 @@
     private final long[] heardIn; // when a dispatcher of the zone was heard last; 0 = never
     private final LearnedEstimates known; // learned slots of workers and running times
     private final Peer twin = new Peer(-1); // the process that we replace, or that replaces us
-    private final Allowances allowances; // what tenants may ask for changes while we run
+    private final TenantTokenBuckets allowances; // what tenants may ask for changes while we run
     private final boolean[] blocked; // classes for which a drain has found no slot
     private double p = 1, r = 1, zoneSlots, share = 1, trafficShare, rate, probeCredit;
     private final RetryBudget repeats;
@@ -117,7 +117,7 @@
         talk = new TalkBudget(settings.peerPrice(), Message.MOST_BYTES, MIN_PERIOD, MAX_PERIOD);
         known = new LearnedEstimates(settings.kinds(), settings.classes(), FIRST_MEAN);
         blocked = new boolean[queues.length];
-        allowances = new Allowances(settings.tenants());
+        allowances = new TenantTokenBuckets(settings.tenants());
         trafficShare = 1.0 / settings.peers();
         probing = settings.reports() && settings.mayProbe();
     }
--- a/src/main/java/saffronferry/Allowances.java
+++ b/src/main/java/saffronferry/TenantTokenBuckets.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** What tenants may ask for within their shares: a token bucket each. Data: {@link Dispatcher} decides. */
-final class Allowances {
+final class TenantTokenBuckets {
     private static final double LEAST_BURST = 2; // requests: of a small share not each one lies beyond it
 
     private List<Contract.Tenant> tenants;
     private double[] tokens;
 
-    Allowances(List<Contract.Tenant> tenants) {
+    TenantTokenBuckets(List<Contract.Tenant> tenants) {
         this.tenants = tenants;
         tokens = new double[tenants.size()];
         Arrays.fill(tokens, 1);
--- a/src/test/java/saffronferry/AllowancesTest.java
+++ b/src/test/java/saffronferry/TenantTokenBucketsTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 import saffronferry.Contract.Tenant;
 
-class AllowancesTest {
-    private static int within(Allowances allowances, int tenant, int requests) {
+class TenantTokenBucketsTest {
+    private static int within(TenantTokenBuckets allowances, int tenant, int requests) {
         int within = 0;
         for (int i = 0; i < requests; i++) {
             within += allowances.beyond(tenant) ? 0 : 1;
@@ -19,7 +19,7 @@
     /** What is changed, added or removed while running holds from the next request on. */
     @Test
     void aNewListIsFollowed() {
-        Allowances allowances = new Allowances(List.of(new Tenant("a", 5), new Tenant("b", 5)));
+        TenantTokenBuckets allowances = new TenantTokenBuckets(List.of(new Tenant("a", 5), new Tenant("b", 5)));
         allowances.fill(1, 1);
         assertTrue(within(allowances, 0, 100) <= 6);
         assertTrue(allowances.beyond(0));
