--- a/src/main/java/saffronferry/Book.java
+++ b/src/main/java/saffronferry/Book.java
@@ -229,7 +229,7 @@
             this.number = number;
         }
 
-        void hear(Message m, long now, long firstGap) {
+        void hear(PeerMessage m, long now, long firstGap) {
             zone = m.zone;
             p = m.p;
             r = m.r;
@@ -244,8 +244,8 @@
         }
 
         /** Tells whom of our zone we hear, ourselves included: only those we shall not forget for a lease. */
-        static void word(Peer[] peers, ColdShares shares, int zone, Message m) {
-            if (m.type != Message.Type.OFFERS) {
+        static void word(Peer[] peers, ColdShares shares, int zone, PeerMessage m) {
+            if (m.type != PeerMessage.Type.OFFERS) {
                 return;
             }
             m.hears = new BitSet();
@@ -259,10 +259,10 @@
         }
 
         /** Tells one that may have just started who is of other zones; others know. */
-        static Message welcome(ColdShares shares, Message m) {
+        static PeerMessage welcome(ColdShares shares, PeerMessage m) {
             BitSet others = shares.elsewhere();
             // guards against a message that is too long: it is as full as it may be already
-            boolean fits = m.word != null && m.size() + 1 + (others.length() + 7) / 8 <= Message.MOST_BYTES;
+            boolean fits = m.word != null && m.size() + 1 + (others.length() + 7) / 8 <= PeerMessage.MOST_BYTES;
             m.elsewhere = others.isEmpty() || !fits ? null : others;
             return m;
         }
@@ -280,7 +280,7 @@
          * Puts all that our jobs take on its workers into a message, for as long as there are any and once
          * more: whoever has not heard of a job's end would count its slot as taken.
          */
-        Message holds(long now, Iterable<Worker> workers, Message m) {
+        PeerMessage holds(long now, Iterable<Worker> workers, PeerMessage m) {
             for (Worker w : workers) {
                 if (w.lender == number && !w.ours && w.mine > 0) {
                     m.add(w.hash, w.mine);
@@ -323,7 +323,7 @@
          * Takes what it offers. A lent part counts once and for a while, from when it was lent on: told
          * twice, late, or to a process of ours that is gone, it is nothing.
          */
-        void offers(Worker[] named, Message m, long now, long bornAt, long life) {
+        void offers(Worker[] named, PeerMessage m, long now, long bornAt, long life) {
             boolean counts = m.word != null && borrowed.counts(m.at, now, bornAt, life);
             offers = named;
             offered = new int[named.length];
@@ -337,18 +337,18 @@
                 if (lent[i] && counts) {
                     borrowed.taken(m.at);
                     lentAt = m.at;
-                    borrowedInAll += (long) (offered[i] * Message.LENT_UNIT);
+                    borrowedInAll += (long) (offered[i] * PeerMessage.LENT_UNIT);
                 }
             }
         }
 
         /** Whether a message to it may lend parts: it asks, tells times, and was lent nothing just now. */
-        boolean mayLend(Message m, long now, int ourZone) {
+        boolean mayLend(PeerMessage m, long now, int ourZone) {
             return m.word != null && zone == ourZone && now > lentTo;
         }
 
         /** Lends it a part of a worker's budget: spent here before it is told, and so never spent twice. */
-        void lend(Worker w, double part, Message m, long now) {
+        void lend(Worker w, double part, PeerMessage m, long now) {
             w.cold.spend(part);
             out.lent(w.hash, m.at, part);
             lentInAll += (long) part;
@@ -370,7 +370,7 @@
         }
 
         /** Gives back what is left of what it lent us: ours no more before it is told. */
-        Message giveBack(Message m) {
+        PeerMessage giveBack(PeerMessage m) {
             m.at = lentAt;
             for (int i = 0; i < offers.length; i++) {
                 if (lent[i] && offered[i] > 0) {
@@ -382,10 +382,10 @@
         }
 
         /** What it has given back of what we lent it; those not on our list are null. */
-        void takeBack(Worker[] named, Message m, long now) {
+        void takeBack(Worker[] named, PeerMessage m, long now) {
             for (int i = 0; i < named.length; i++) {
                 if (named[i] != null) {
-                    double back = out.back(m.hash[i], m.at, m.amount(i) * Message.LENT_UNIT, now);
+                    double back = out.back(m.hash[i], m.at, m.amount(i) * PeerMessage.LENT_UNIT, now);
                     named[i].cold.back(back);
                     backInAll += (long) back;
                 }
@@ -394,7 +394,7 @@
 
         /** So much work, rounded up to what a message can say. */
         static double whole(double work) {
-            return units(work) * Message.LENT_UNIT;
+            return units(work) * PeerMessage.LENT_UNIT;
         }
 
         /** Whether an offer is enough for a job of so many slots and that much work. */
@@ -408,7 +408,7 @@
         }
 
         static int units(double work) {
-            return (int) Math.ceil(work / Message.LENT_UNIT);
+            return (int) Math.ceil(work / PeerMessage.LENT_UNIT);
         }
 
         /** Our part of the traffic of our zone, and of all: of those whom we hear, ourselves included. */
--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -114,7 +114,7 @@
         coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
         repeats = new RetryBudget(settings.peers());
         calls = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
-        talk = new TalkBudget(settings.peerPrice(), Message.MOST_BYTES, MIN_PERIOD, MAX_PERIOD);
+        talk = new TalkBudget(settings.peerPrice(), PeerMessage.MOST_BYTES, MIN_PERIOD, MAX_PERIOD);
         known = new LearnedEstimates(settings.kinds(), settings.classes(), FIRST_MEAN);
         blocked = new boolean[queues.length];
         allowances = new TenantTokenBuckets(settings.tenants());
@@ -485,8 +485,8 @@
     }
 
     // ---- gossip ----
-    private Message message(Message.Type type) {
-        Message m = new Message(type, s.zone(), p, r, rate, period);
+    private PeerMessage message(PeerMessage.Type type) {
+        PeerMessage m = new PeerMessage(type, s.zone(), p, r, rate, period);
         m.at = now;
         m.cold = coldHere;
         if (coldHere || now < wordUntil) {
@@ -498,13 +498,13 @@
     /** Tells neighbours (P, R) and what they need of our slots; the period stretches with what that costs. */
     private void exchange() {
         r = 1 - (1 - p) * notAccepting();
-        Message offer = offers();
+        PeerMessage offer = offers();
         tellZone(talk.fan(peers.length, offer.size(), rate), offer);
         tellNeighbours();
         period = talk.period(rate);
     }
 
-    private void tell(int peer, Message m) {
+    private void tell(int peer, PeerMessage m) {
         if (!s.mayTell() || peer == s.self()) {
             return;
         }
@@ -513,7 +513,7 @@
     }
 
     /** The next so many peers of our zone, before others those that have cold workers' budgets to lend. */
-    private void tellZone(int most, Message m) {
+    private void tellZone(int most, PeerMessage m) {
         int[] first = fleet.guardians(shares, coldHere ? Math.max(most - 1, LEAST_FAN) : 0, ticks);
         for (int guardian : first) {
             tell(guardian, m);
@@ -548,8 +548,8 @@
     }
 
     /** Some free slots of workers that we fill first, for others to take; none while jobs wait here. */
-    private Message offers() {
-        Message m = message(Message.Type.OFFERS);
+    private PeerMessage offers() {
+        PeerMessage m = message(PeerMessage.Type.OFFERS);
         Worker last = null;
         for (int k = 0; k < fleet.groups() && heldSlots == 0; k++) {
             for (int i = 0; i < Math.min(fleet.openIn(k), 3); i++) {
@@ -564,7 +564,7 @@
     }
 
     /** Parts of what cold workers of ours can take, for one that asks; spent before they are told. */
-    private Message lend(Peer y, Message m) {
+    private PeerMessage lend(Peer y, PeerMessage m) {
         double part = Peer.whole(known.longest());
         for (Worker w : y.mayLend(m, now, s.zone()) ? fleet.coldOurs() : List.<Worker>of()) {
             if (w.openAt >= 0 && coldCovers(w, part, true)) {
@@ -579,7 +579,7 @@
         if (!y.lentInVain(wanted, now, OFFER_LIFE)) {
             return;
         }
-        tell(y.number, y.giveBack(message(Message.Type.RETURNS)));
+        tell(y.number, y.giveBack(message(PeerMessage.Type.RETURNS)));
     }
 
     /** A job on a slot that another dispatcher fills: it must hear of it at once, and of its end. */
@@ -587,7 +587,7 @@
         if (w.ours || w.lender < 0) {
             return;
         }
-        Message m = message(Message.Type.BORROWS);
+        PeerMessage m = message(PeerMessage.Type.BORROWS);
         m.add(w.hash, w.mine);
         tell(w.lender, m);
         peers[w.lender].toldOfHold(now);
@@ -596,7 +596,7 @@
     @Override
     public void peerMessage(long clock, int peer, byte[] bytes) {
         now = clock;
-        Message m = Message.read(bytes, now);
+        PeerMessage m = PeerMessage.read(bytes, now);
         if (m == null || peer < 0 || peer >= peers.length || peer == s.self() || m.zone >= s.zones()) {
             return;
         }
@@ -613,20 +613,20 @@
         shares.says(peer, m.zone != s.zone(), m.word, m.hears, m.elsewhere, m.at, now);
         heardIn[m.zone] = now;
         // a message that offers nothing while P is below one asks: who has a free slot answers with an offer
-        boolean asks = m.type == Message.Type.OFFERS && m.entries == 0 && m.p < 1 && heldSlots == 0;
+        boolean asks = m.type == PeerMessage.Type.OFFERS && m.entries == 0 && m.p < 1 && heldSlots == 0;
         // a stranger may just have started: let it know us too
         if (stranger || asks && fleet.anyOpen()) {
-            Message answer = asks ? lend(y, offers()) : offers();
+            PeerMessage answer = asks ? lend(y, offers()) : offers();
             tell(peer, stranger ? Peer.welcome(shares, answer) : answer);
         }
-        Worker[] named = fleet.find(m.type == Message.Type.OFFERS ? y.zone : s.zone(), m); // whose workers
-        if (m.type == Message.Type.OFFERS) {
+        Worker[] named = fleet.find(m.type == PeerMessage.Type.OFFERS ? y.zone : s.zone(), m); // whose workers
+        if (m.type == PeerMessage.Type.OFFERS) {
             giveBack(y, false); // what it lent before makes room for what it offers now
             y.offers(named, m, now, bornAt, OFFER_LIFE);
             offersUntil = y.zone == s.zone() && m.entries > 0 ? now + OFFER_LIFE : offersUntil;
-        } else if (m.type == Message.Type.RETURNS) {
+        } else if (m.type == PeerMessage.Type.RETURNS) {
             y.takeBack(named, m, now);
-        } else if (m.type == Message.Type.HOLDS) {
+        } else if (m.type == PeerMessage.Type.HOLDS) {
             y.holdsOnly(named, m.count, now, this::refresh);
         } else {
             y.holds(named, m.count, now, this::refresh);
@@ -634,7 +634,7 @@
         r = 1 - (1 - p) * notAccepting();
         drain();
         giveBack(y, heldSlots > 0);
-        if (isNeighbour(y) && m.type == Message.Type.OFFERS && m.entries > 0) {
+        if (isNeighbour(y) && m.type == PeerMessage.Type.OFFERS && m.entries > 0) {
             spillHeld();
         }
     }
@@ -1104,7 +1104,7 @@
         // a random phase: timers of a fleet that starts together must not run in step
         nextExchange = now + random.nextLong(MIN_PERIOD);
         for (Peer y : peers) {
-            tell(y.number, message(Message.Type.OFFERS));
+            tell(y.number, message(PeerMessage.Type.OFFERS));
         }
         out.timer(TICK_TOKEN, 1 + random.nextLong(TICK));
         probeCredit = Math.min(12, fleet.owned());
@@ -1212,7 +1212,7 @@
             if (!y.holdsDue(now)) {
                 continue;
             }
-            tell(y.number, y.holds(now, fleet.borrowed(), message(Message.Type.HOLDS)));
+            tell(y.number, y.holds(now, fleet.borrowed(), message(PeerMessage.Type.HOLDS)));
         }
         placeBound();
         retryHeld();
--- a/src/main/java/saffronferry/Fleet.java
+++ b/src/main/java/saffronferry/Fleet.java
@@ -224,7 +224,7 @@
     }
 
     /** The workers of a zone that a message names; null for those not on our list. */
-    Worker[] find(int zone, Message m) {
+    Worker[] find(int zone, PeerMessage m) {
         Worker[] named = new Worker[m.entries];
         for (int i = 0; i < named.length; i++) {
             named[i] = find(zone, m.hash[i]);
--- a/src/main/java/saffronferry/Message.java
+++ b/src/main/java/saffronferry/PeerMessage.java
@@ -4,7 +4,7 @@
 import java.util.BitSet;
 
 /** The bytes that dispatchers exchange. Form only: Dispatcher decides what is sent and what it means. */
-final class Message {
+final class PeerMessage {
     /** Largest message. */
     static final int MOST_BYTES = 256;
 
@@ -66,7 +66,7 @@
     /** Whether its sender knows a cold worker of its zone. */
     boolean cold;
 
-    Message(Type type, int zone, double p, double r, double rate, long period) {
+    PeerMessage(Type type, int zone, double p, double r, double rate, long period) {
         this.type = type;
         this.zone = zone;
         this.p = p;
@@ -113,7 +113,7 @@
     }
 
     /** Without stamp and words: of no use to another zone. */
-    Message undated() {
+    PeerMessage undated() {
         word = null;
         return this;
     }
@@ -189,7 +189,7 @@
     }
 
     /** The message in these bytes, read about now by the one clock, or null if they are none. */
-    static Message read(byte[] b, long now) {
+    static PeerMessage read(byte[] b, long now) {
         if (b.length < HEADER || (b[6] & ~FLAGS) < 0 || (b[6] & ~FLAGS) >= Type.values().length) {
             return null;
         }
@@ -203,7 +203,7 @@
         if (b.length < from || word > MOST_WORD || (b.length - from) % ENTRY != 0) {
             return null;
         }
-        Message m = new Message(
+        PeerMessage m = new PeerMessage(
                 Type.values()[b[6] & ~FLAGS],
                 b[0] & 0xFF,
                 (b[1] & 0xFF) / 255.0,
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -319,7 +319,7 @@
     void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndItsOwnerHears() {
         plan.peers = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d"));
-        Message hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
+        PeerMessage hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
         rig.module.peerMessage(rig.now, 1, hello.bytes());
         rig.run(60 * Rig.MS);
         for (long id = 1; id <= 20; id++) {
@@ -331,12 +331,12 @@
                 .filter(w -> rig.sentTo(w) == 0)
                 .findFirst()
                 .orElseThrow();
-        Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
         offer.add(new Book.Worker(foreign, 0).hash, 1);
         rig.told.clear();
         rig.module.peerMessage(rig.now, 1, offer.bytes());
         assertEquals(1, rig.sentTo(foreign));
-        assertTrue(rig.told.stream().map(b -> Message.read(b, 0)).anyMatch(m -> m.type == Message.Type.BORROWS));
+        assertTrue(rig.told.stream().map(b -> PeerMessage.read(b, 0)).anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
     }
 
     /** Who does not fill a worker took it for cold for good, and never used a slot lent there again. */
@@ -346,7 +346,7 @@
         plan.zones = 2;
         Rig rig = new Rig(plan.settings());
         rig.list(Rig.worker("a"), Rig.worker("far", 1, WorkerState.IN_SERVICE, rig.now));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
         offer.add(new Book.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // heard often enough not to be taken for gone
             rig.run((after == 1 ? 1 : 5) * Rig.S);
@@ -363,7 +363,7 @@
         plan.peers = 2;
         plan.zones = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
         offer.add(new Book.Worker("far", 0).hash, 3);
         rig.module.peerMessage(rig.now, 1, offer.bytes());
         for (long id = 1; id <= 60; id++) {
@@ -374,8 +374,8 @@
         // who lent the slots must hear of it, or it fills them too
         int last = rig.toldTo.lastIndexOf(1);
         assertTrue(rig.told.stream()
-                .map(b -> Message.read(b, 0))
-                .anyMatch(m -> m.type == Message.Type.BORROWS && m.count[0] == 3));
+                .map(b -> PeerMessage.read(b, 0))
+                .anyMatch(m -> m.type == PeerMessage.Type.BORROWS && m.count[0] == 3));
         assertEquals(1, rig.toldTo.get(last));
     }
 
@@ -385,14 +385,14 @@
         plan.peers = 2;
         plan.zones = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        rig.module.peerMessage(rig.now, 1, new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS).bytes());
+        rig.module.peerMessage(rig.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS).bytes());
         rig.run(Rig.S);
         for (long id = 1; id <= 8; id++) {
             rig.ask(id);
         }
         assertEquals(0, rig.sends.size());
         for (int i = 0; i < 5; i++) {
-            Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+            PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
             offer.add(new Book.Worker("far", 0).hash, 4);
             rig.module.peerMessage(rig.now, 1, offer.bytes());
         }
@@ -405,17 +405,17 @@
         plan.peers = 2;
         for (boolean toldAgain : new boolean[] {true, false}) {
             Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d"));
-            rig.module.peerMessage(rig.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
+            rig.module.peerMessage(rig.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
             rig.run(60 * Rig.MS);
             for (String own : List.of("a", "b", "c", "d")) {
-                Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * Rig.MS);
+                PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * Rig.MS);
                 borrows.add(new Book.Worker(own, 0).hash, 2);
                 rig.module.peerMessage(rig.now, 1, borrows.bytes());
             }
             rig.ask(1);
             assertEquals(0, rig.sends.size(), "all their slots are taken by the other's jobs");
             if (toldAgain) {
-                rig.module.peerMessage(rig.now, 1, new Message(Message.Type.HOLDS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
+                rig.module.peerMessage(rig.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
             } else {
                 rig.run(1_900 * Rig.MS);
             }
@@ -429,7 +429,7 @@
         plan.peers = 2;
         plan.zones = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
         offer.add(new Book.Worker("far", 0).hash, 4);
         rig.module.peerMessage(rig.now, 1, offer.bytes());
         for (long id = 1; id <= 30; id++) {
@@ -441,8 +441,8 @@
         rig.sends.forEach(s -> rig.answer(s.id(), 0, Outcome.OK));
         rig.run(1_600 * Rig.MS);
         List<String> told = rig.told.stream()
-                .map(b -> Message.read(b, 0))
-                .filter(m -> m.type == Message.Type.HOLDS)
+                .map(b -> PeerMessage.read(b, 0))
+                .filter(m -> m.type == PeerMessage.Type.HOLDS)
                 .map(m -> m.entries == 0 ? "none" : Integer.toString(m.count[0]))
                 .toList();
         assertEquals(List.of(Integer.toString(held), Integer.toString(held), "none"), told);
@@ -467,8 +467,8 @@
 
     private static List<String> borrows(Rig rig) {
         return rig.told.stream()
-                .map(b -> Message.read(b, 0))
-                .filter(m -> m.type == Message.Type.BORROWS)
+                .map(b -> PeerMessage.read(b, 0))
+                .filter(m -> m.type == PeerMessage.Type.BORROWS)
                 .map(m -> m.hash[0] + " " + m.count[0])
                 .toList();
     }
@@ -481,7 +481,7 @@
         for (long id = 1; id <= 4; id++) {
             rig.ask(id); // alone it fills both
         }
-        byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes();
+        byte[] here = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes();
         rig.module.peerMessage(rig.now, 1, here);
         rig.run(40 * Rig.MS);
         int a = new Book.Worker("a", 0).hash;
@@ -514,8 +514,8 @@
                 .findFirst()
                 .orElseThrow();
         Rig rig = new Rig(plan.settings()).list(all);
-        byte[] here = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes();
-        Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * Rig.MS);
+        byte[] here = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes();
+        PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * Rig.MS);
         borrows.add(hashes[moving], 2);
         rig.module.peerMessage(rig.now, 2, borrows.bytes());
         rig.run(40 * Rig.MS);
@@ -544,12 +544,12 @@
         plan.zones = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
-            rig.module.peerMessage(rig.now, peer, new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS).bytes());
+            rig.module.peerMessage(rig.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS).bytes());
         }
         for (long id = 1; id <= 8; id++) {
             rig.ask(id);
         }
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * Rig.MS);
         offer.add(new Book.Worker("far", 0).hash, 4);
         for (int i = 0; i < 5; i++) {
             rig.module.peerMessage(rig.now, 1, offer.bytes());
@@ -561,18 +561,18 @@
     void whoHoldsJobsAsksByItsExchangeAndWhoHasSlotsOffersAtOnce() {
         plan.peers = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d"));
-        rig.module.peerMessage(rig.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
+        rig.module.peerMessage(rig.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
         rig.run(60 * Rig.MS);
         rig.told.clear();
-        Message asking = new Message(Message.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * Rig.MS);
+        PeerMessage asking = new PeerMessage(PeerMessage.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * Rig.MS);
         rig.module.peerMessage(rig.now, 1, asking.bytes());
         assertEquals(1, rig.told.size());
-        assertTrue(Message.read(rig.told.get(0), 0).entries > 0);
+        assertTrue(PeerMessage.read(rig.told.get(0), 0).entries > 0);
         for (long id = 1; id <= 20; id++) {
             rig.ask(id);
         }
         rig.run(500 * Rig.MS);
-        Message asked = Message.read(rig.told.get(rig.told.size() - 1), 0);
+        PeerMessage asked = PeerMessage.read(rig.told.get(rig.told.size() - 1), 0);
         assertTrue(asked.entries == 0 && asked.p < 1);
     }
 
@@ -632,7 +632,7 @@
                 })) {
             rig.module.peerMessage(rig.now, 1, bytes);
         }
-        rig.module.peerMessage(rig.now, 99, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
+        rig.module.peerMessage(rig.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
         rig.ask(1);
         assertFalse(rig.sends.isEmpty());
     }
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -41,7 +41,7 @@
     }
 
     private static byte[] hello(double p, double rate) {
-        return new Message(Message.Type.OFFERS, 0, p, p, rate, 50 * Rig.MS).bytes();
+        return new PeerMessage(PeerMessage.Type.OFFERS, 0, p, p, rate, 50 * Rig.MS).bytes();
     }
 
     // ---- counters ----
@@ -153,7 +153,7 @@
             for (double r : edges) {
                 double w = Dispatcher.drawWeight(p, r);
                 assertTrue(w >= 0 && w <= 1, p + ", " + r + ": " + w);
-                Message m = Message.read(new Message(Message.Type.OFFERS, 0, p, r, 0, 0).bytes(), 0);
+                PeerMessage m = PeerMessage.read(new PeerMessage(PeerMessage.Type.OFFERS, 0, p, r, 0, 0).bytes(), 0);
                 assertTrue(Math.abs(m.p - p) <= 1 / 255.0 && Math.abs(m.r - r) <= 1 / 510.0 + 1e-9, p + ", " + r);
             }
         }
@@ -165,9 +165,9 @@
     @Test
     void aPJustBelowOneStillSaysThatJobsWait() {
         for (double p : new double[] {0.99, 0.999, 1 - 1e-9}) {
-            assertTrue(Message.read(hello(p, 1), 0).p < 1, "P " + p);
+            assertTrue(PeerMessage.read(hello(p, 1), 0).p < 1, "P " + p);
         }
-        assertEquals(1, Message.read(hello(1, 1), 0).p);
+        assertEquals(1, PeerMessage.read(hello(1, 1), 0).p);
     }
 
     private void traffic(Rig rig, int perSecond, long span) {
@@ -287,7 +287,7 @@
     }
 
     private static void borrow(Rig rig, int slots) {
-        Message m = new Message(Message.Type.BORROWS, 0, 1, 1, 5, 50 * Rig.MS);
+        PeerMessage m = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 5, 50 * Rig.MS);
         IntStream.range(0, 8).forEach(i -> m.add(new Book.Worker("w" + i, 0).hash, slots));
         rig.module.peerMessage(rig.now, 1, m.bytes());
     }
@@ -348,7 +348,7 @@
         plan.peers = 2;
         plan.zones = 2;
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        byte[] hello = new Message(Message.Type.OFFERS, 1, 1, 1, 5, 50 * Rig.MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 5, 50 * Rig.MS).bytes();
         for (int i = 0; i < 6; i++) {
             rig.module.peerMessage(rig.now, 1, hello);
             rig.run(500 * Rig.MS);
--- a/src/test/java/saffronferry/FleetTest.java
+++ b/src/test/java/saffronferry/FleetTest.java
@@ -64,7 +64,7 @@
         assertEquals(0.25, rig.module.sharing().part());
         for (int peer : new int[] {1, 2}) {
             rig.module.peerMessage(
-                    rig.now, peer, new Message(Message.Type.OFFERS, peer - 1, 1, 1, 1, 50 * Rig.MS).bytes());
+                    rig.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, peer - 1, 1, 1, 1, 50 * Rig.MS).bytes());
         }
         Sharing s = rig.module.sharing();
         assertEquals(Sharing.Fallback.PARTS, s.fallback());
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -85,7 +85,7 @@
             module.peerMessage(
                     now,
                     peer,
-                    new Message(Message.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * Rig.MS).bytes());
+                    new PeerMessage(PeerMessage.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * Rig.MS).bytes());
         }
     }
 
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -44,7 +44,7 @@
         plan.tellsStart = true;
         plan.classes = List.of(Rig.jobClass(Effect.SAFE, Group.ALL));
         Rig rig = new Rig(plan.settings()).list(Rig.worker("a"), Rig.worker("b"), Rig.worker("c"), Rig.worker("d"));
-        rig.module.peerMessage(rig.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
+        rig.module.peerMessage(rig.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS).bytes());
         rig.run(60 * Rig.MS);
         for (long id = 1; id <= 20; id++) {
             rig.ask(id);
@@ -53,7 +53,7 @@
                 .filter(w -> rig.sentTo(w) == 0)
                 .findFirst()
                 .orElseThrow();
-        Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
         offer.add(new Book.Worker(foreign, 0).hash, 1);
         rig.module.peerMessage(rig.now, 1, offer.bytes());
         Rig.Send lent = rig.sends.stream()
--- a/src/test/java/saffronferry/MessageProbe.java
+++ b/src/test/java/saffronferry/PeerMessageProbe.java
@@ -1,10 +1,10 @@
 package saffronferry;
 
 /** What a dispatcher that knows only of jobs makes of a datagram. */
-public final class MessageProbe {
-    private MessageProbe() {}
+public final class PeerMessageProbe {
+    private PeerMessageProbe() {}
 
     public static Object read(byte[] bytes) {
-        return Message.read(bytes, 0);
+        return PeerMessage.read(bytes, 0);
     }
 }
--- a/src/test/java/saffronferry/MessageTest.java
+++ b/src/test/java/saffronferry/PeerMessageTest.java
@@ -11,13 +11,13 @@
 import saffronferry.fleet.Lent;
 
 /** What dispatchers tell each other of cold workers: read back, bounded, and harmless when doubled or late. */
-class MessageTest {
+class PeerMessageTest {
     private static final long NOW = 1_796_162_281_788_301L;
 
-    private static Message lending(long at, int peers) {
+    private static PeerMessage lending(long at, int peers) {
         BitSet word = new BitSet();
         word.set(0, peers);
-        Message m = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
+        PeerMessage m = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
         m.at = at;
         m.cold = true;
         m.word = word;
@@ -31,8 +31,8 @@
         for (long late : new long[] {0, 3_000, 400_000, 100_000_000, -90_000}) {
             for (int peers : new int[] {1, 9, 100, 800}) {
                 byte[] bytes = lending(NOW - late, peers).bytes();
-                Message m = Message.read(bytes, NOW);
-                assertTrue(bytes.length <= Message.MOST_BYTES && Math.abs(m.at - (NOW - late)) < 4_100, "late " + late);
+                PeerMessage m = PeerMessage.read(bytes, NOW);
+                assertTrue(bytes.length <= PeerMessage.MOST_BYTES && Math.abs(m.at - (NOW - late)) < 4_100, "late " + late);
                 assertEquals(peers, m.word.cardinality());
                 assertTrue(m.cold && m.entries == 1 && m.lent(0));
                 assertEquals(18, m.amount(0));
@@ -40,26 +40,26 @@
         }
         byte[] bytes = lending(NOW, 100).bytes();
         for (int cut = 0; cut < bytes.length; cut++) {
-            Message.read(Arrays.copyOf(bytes, cut), NOW); // torn ones are no messages, or shorter ones
+            PeerMessage.read(Arrays.copyOf(bytes, cut), NOW); // torn ones are no messages, or shorter ones
         }
         bytes[9] = (byte) 0x7F;
-        assertNull(Message.read(bytes, NOW), "a word longer than the message");
+        assertNull(PeerMessage.read(bytes, NOW), "a word longer than the message");
     }
 
     /** Who is of another zone follows the words, whether these are one or two. */
     @Test
     void whoIsElsewhereIsReadAsWritten() {
         for (int hears : new int[] {5, 90}) {
-            Message m = lending(NOW, 3);
+            PeerMessage m = lending(NOW, 3);
             m.hears.set(hears);
             m.elsewhere = BitSet.valueOf(new long[] {1L << 40, 7});
-            Message read = Message.read(m.bytes(), NOW);
+            PeerMessage read = PeerMessage.read(m.bytes(), NOW);
             assertEquals(m.elsewhere, read.elsewhere);
             assertEquals(m.hears, read.hears);
             assertEquals(m.word, read.word);
             assertEquals(m.entries, read.entries);
             for (int cut = 0; cut < m.bytes().length; cut++) {
-                Message.read(Arrays.copyOf(m.bytes(), cut), NOW);
+                PeerMessage.read(Arrays.copyOf(m.bytes(), cut), NOW);
             }
         }
     }
@@ -75,7 +75,7 @@
                     "doubled",
                     NOW - 1_000,
                     0,
-                    Message.read(lending(NOW - 1_000, 2).bytes(), NOW).at,
+                    PeerMessage.read(lending(NOW - 1_000, 2).bytes(), NOW).at,
                     false),
             new Case("overtaken", NOW - 9_000, 0, NOW - 1_000, false),
             new Case("too late", NOW - 500_000, 0, 0, false),
@@ -84,7 +84,7 @@
         }) {
             Book.Peer y = new Book.Peer(1);
             y.borrowed.taken(c.lentBefore);
-            Message m = Message.read(lending(c.at, 2).bytes(), NOW);
+            PeerMessage m = PeerMessage.read(lending(c.at, 2).bytes(), NOW);
             y.offers(new Book.Worker[] {new Book.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
             assertEquals(c.counts, y.enough(0, 1, 600_000), c.name);
             if (c.counts) {
@@ -99,15 +99,15 @@
     void aPartComesBackOnceToTheProcessThatLentIt() {
         Book.Worker w = new Book.Worker("cold", 0);
         Book.Peer lender = new Book.Peer(0);
-        Message offer = lending(NOW, 2);
-        lender.offers(new Book.Worker[] {null}, Message.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
+        PeerMessage offer = lending(NOW, 2);
+        lender.offers(new Book.Worker[] {null}, PeerMessage.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
         assertTrue(!lender.lentInVain(true, NOW + 399_000, 400_000) && lender.lentInVain(true, NOW + 400_000, 400_000));
         assertTrue(lender.lentInVain(false, NOW, 400_000), "nobody waits");
-        byte[] bytes = lender.giveBack(new Message(Message.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
+        byte[] bytes = lender.giveBack(new PeerMessage(PeerMessage.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
                 .bytes();
         assertTrue(!lender.lentInVain(false, NOW, 400_000) && !lender.enough(0, 1, 1), "ours no more once it is told");
         for (int cut = 0; cut < bytes.length; cut++) {
-            Message.read(Arrays.copyOf(bytes, cut), NOW);
+            PeerMessage.read(Arrays.copyOf(bytes, cut), NOW);
         }
         record Case(String name, long lentAt, int lent, long backAt, double back) {}
 
@@ -120,11 +120,11 @@
         }) {
             Lent out = new Lent();
             if (c.lent > 0) {
-                out.lent(w.hash, c.lentAt, c.lent * Message.LENT_UNIT);
+                out.lent(w.hash, c.lentAt, c.lent * PeerMessage.LENT_UNIT);
             }
-            Message m = Message.read(bytes, c.backAt);
-            assertEquals(c.back, out.back(m.hash[0], m.at, m.amount(0) * Message.LENT_UNIT, c.backAt), c.name);
-            assertEquals(0, out.back(m.hash[0], m.at, m.amount(0) * Message.LENT_UNIT, c.backAt), c.name + ", doubled");
+            PeerMessage m = PeerMessage.read(bytes, c.backAt);
+            assertEquals(c.back, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name);
+            assertEquals(0, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name + ", doubled");
         }
         assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
         w.cold.spend(900_000);
@@ -141,12 +141,12 @@
         Book.Worker w = new Book.Worker("cold", 0);
         Book.Peer y = new Book.Peer(1);
         y.zone = 0;
-        Message m = lending(NOW, 2);
+        PeerMessage m = lending(NOW, 2);
         assertTrue(y.mayLend(m, NOW, 0));
         assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
         y.lend(w, Book.Peer.whole(600_000), m, NOW);
         assertEquals(false, w.cold.covers(250_000, NOW, 1, 8, 0.5), "it owes what is lent");
         assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two parts must differ in time");
-        assertNotNull(Message.read(m.bytes(), NOW));
+        assertNotNull(PeerMessage.read(m.bytes(), NOW));
     }
 }
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -112,8 +112,8 @@
             } else if (what < 90) {
                 rig.change(put("w" + dice.nextInt(14), WorkerState.IN_SERVICE, rig.now - dice.nextLong(500_000)));
             } else if (what < 93) {
-                Message m = new Message(
-                        Message.Type.values()[dice.nextInt(2)],
+                PeerMessage m = new PeerMessage(
+                        PeerMessage.Type.values()[dice.nextInt(2)],
                         dice.nextInt(plan.zones),
                         dice.nextDouble(),
                         dice.nextDouble(),
--- a/src/test/java/saffronferry/agree/LwwMapTest.java
+++ b/src/test/java/saffronferry/agree/LwwMapTest.java
@@ -123,7 +123,7 @@
         Seal seal = new Seal(HollowFleet.SECRET);
         byte[] bytes = f.bytes(seal);
         assertEquals(f.size(), bytes.length);
-        assertNull(saffronferry.MessageProbe.read(bytes), "what knows only jobs drops it");
+        assertNull(saffronferry.PeerMessageProbe.read(bytes), "what knows only jobs drops it");
         Frame read = Frame.read(bytes);
         assertEquals(true, read.sealed(seal));
         List<Change> got = new ArrayList<>();
