--- a/src/main/java/saffronferry/Balancer.java
+++ b/src/main/java/saffronferry/Balancer.java
@@ -5,74 +5,74 @@
 import saffronferry.fleet.Sharing;
 
 /**
- * The decisions in blocking style: each call does its work and returns what is to be done.
+ * Facade of the decision module: each call handles one event and returns the actions to perform.
  *
- * <p>The module reports through a callback interface; behind this facade it never shows. Like the module this
- * class is for one thread, and its clock, in microseconds, must never run backwards.
+ * <p>It hides the module's callback interface. Like the module, this class is not thread-safe, and the clock passed
+ * in, in microseconds, must not run backwards.
  */
 public final class Balancer {
-    private final Steps steps = new Steps();
+    private final ActionCollector actions = new ActionCollector();
     private final Contract.Events module;
 
     public Balancer(Contract.Settings settings) {
-        module = new Dispatcher(settings, steps);
+        module = new Dispatcher(settings, actions);
     }
 
-    /** Picks what to do with a new RPC, which from now on awaits exactly one final answer. */
+    /** Handles a new RPC, which from now on is owed exactly one final answer. */
     public List<BalancerAction> pick(long now, Contract.Request rpc) {
         module.request(now, rpc);
-        return steps.take();
+        return actions.take();
     }
 
     /** Handles an event and returns the actions that follow. Events about unknown RPCs have no effect. */
-    public List<BalancerAction> report(long now, BalancerEvent news) {
-        if (news instanceof BalancerEvent.AttemptEnded e) {
-            module.attemptEnded(now, e.rpc(), e.attempt(), e.outcome(), e.took(), e.answered(), e.load());
-        } else if (news instanceof BalancerEvent.AttemptMoved m) {
-            module.note(now, m.rpc(), m.attempt(), m.started());
-        } else if (news instanceof BalancerEvent.ClientGone g) {
-            module.clientGone(now, g.rpc());
-        } else if (news instanceof BalancerEvent.Probed p) {
-            module.probed(now, p.subchannel(), p.outcome(), p.load());
-        } else if (news instanceof BalancerEvent.PeerSaid s) {
-            module.peerMessage(now, s.peer(), s.bytes());
-        } else if (news instanceof BalancerEvent.Resolved r) {
-            module.workers(now, r.kind(), r.entries());
-        } else if (news instanceof BalancerEvent.RunsBeside b) {
-            module.beside(now, b.other());
-        } else if (news instanceof BalancerEvent.AllowancesChanged a) {
-            module.allowances(now, a.tenants());
-        } else if (news instanceof BalancerEvent.Room r) {
-            module.room(now, r.open());
+    public List<BalancerAction> report(long now, BalancerEvent event) {
+        if (event instanceof BalancerEvent.AttemptEnded ended) {
+            module.attemptEnded(now, ended.rpc(), ended.attempt(), ended.outcome(), ended.took(), ended.answered(), ended.load());
+        } else if (event instanceof BalancerEvent.AttemptMoved progressed) {
+            module.note(now, progressed.rpc(), progressed.attempt(), progressed.started());
+        } else if (event instanceof BalancerEvent.ClientGone gone) {
+            module.clientGone(now, gone.rpc());
+        } else if (event instanceof BalancerEvent.Probed probed) {
+            module.probed(now, probed.subchannel(), probed.outcome(), probed.load());
+        } else if (event instanceof BalancerEvent.PeerSaid received) {
+            module.peerMessage(now, received.peer(), received.bytes());
+        } else if (event instanceof BalancerEvent.Resolved resolved) {
+            module.workers(now, resolved.kind(), resolved.entries());
+        } else if (event instanceof BalancerEvent.RunsBeside other) {
+            module.beside(now, other.other());
+        } else if (event instanceof BalancerEvent.AllowancesChanged changed) {
+            module.allowances(now, changed.tenants());
+        } else if (event instanceof BalancerEvent.Room capacity) {
+            module.room(now, capacity.open());
         } else {
-            module.workersUnavailable(now, ((BalancerEvent.WatchLost) news).how());
+            module.workersUnavailable(now, ((BalancerEvent.WatchLost) event).how());
         }
-        return steps.take();
+        return actions.take();
     }
 
-    /** To be called when a {@link BalancerAction.WakeAfter} falls due. */
+    /** Handles the expiry of a timer that was requested by {@link BalancerAction.WakeAfter}. */
     public List<BalancerAction> tick(long now, long token) {
         module.timer(now, token);
-        return steps.take();
+        return actions.take();
     }
 
-    /** What another process of the same dispatcher should know while it runs beside this one. */
+    /** State for another process of this dispatcher while one replaces the other. */
     public HandoverState beside() {
         return module.beside();
     }
 
-    /** How many subchannels in service it avoids by its own choice. */
+    /** Number of subchannels in service that get no jobs at present, except for a trial. */
     public int avoided() {
         return module.avoided();
     }
 
-    /** What it shares with other dispatchers now. */
+    /** Current sharing of cold workers with other dispatchers. */
     public Sharing sharing() {
         return module.sharing();
     }
 
-    /** Gathers the module's actions. */
-    private static final class Steps implements Contract.Actions {
+    /** Collects the module's actions. */
+    private static final class ActionCollector implements Contract.Actions {
         private List<BalancerAction> list = new ArrayList<>();
 
         List<BalancerAction> take() {
--- a/src/main/java/saffronferry/BalancerAction.java
+++ b/src/main/java/saffronferry/BalancerAction.java
@@ -1,17 +1,17 @@
 package saffronferry;
 
-/** One thing that {@link Balancer} asks its caller to do; a list of them is carried out in order. */
+/** An action that the {@link Balancer} asks its caller to perform; lists of actions are performed in order. */
 public sealed interface BalancerAction {
-    /** Start the RPC's next call attempt (they count 0, 1, 2) at a subchannel. */
+    /** Start the RPC's next call attempt at a subchannel; attempts are numbered 0, 1, 2. */
     record StartAttempt(long rpc, String subchannel) implements BalancerAction {}
 
-    /** Stop waiting for one call attempt. */
+    /** Cancel one call attempt. */
     record CancelAttempt(long rpc, int attempt) implements BalancerAction {}
 
-    /** Final answer: refused; a retry does no harm, best after so many microseconds (0: no advice). */
+    /** Final answer: refused, safe to retry, preferably after that many microseconds; 0 gives no advice. */
     record Refuse(long rpc, long retryAfter) implements BalancerAction {}
 
-    /** Final answer: failed, and nothing is promised. */
+    /** Final answer: failed; a retry may not be safe. */
     record Fail(long rpc) implements BalancerAction {}
 
     /** Ask a subchannel for its load. */
@@ -20,9 +20,9 @@
     /** Send at most 256 bytes to one peer. */
     record TellPeer(int peer, byte[] bytes) implements BalancerAction {}
 
-    /** Have discovery tell the list, and its changes from then on. */
+    /** Request the worker list from discovery and, from then on, its changes. */
     record Watch() implements BalancerAction {}
 
-    /** Call {@link Balancer#tick} with the token after so many microseconds. */
+    /** Call {@link Balancer#tick} with the token after that many microseconds. */
     record WakeAfter(long token, long delay) implements BalancerAction {}
 }
--- a/src/main/java/saffronferry/BalancerEvent.java
+++ b/src/main/java/saffronferry/BalancerEvent.java
@@ -8,39 +8,39 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.fleet.WatchEnd;
 
-/** What a caller tells {@link Balancer} of what has happened since. Times are microseconds. */
+/** An event that a caller reports to the {@link Balancer}. Times are in microseconds. */
 public sealed interface BalancerEvent {
-    /** A call attempt ended; {@code answered}: the RPC has its final answer, from this attempt or before. */
+    /** A call attempt ended; {@code answered} if the RPC has its final answer, from this attempt or an earlier one. */
     record AttemptEnded(long rpc, int attempt, Outcome outcome, long took, boolean answered, Report load)
             implements BalancerEvent {}
 
-    /** A subchannel says that the attempt's job has started, or else that some of it is done. */
+    /** A subchannel reports that the attempt's job has started, or that it has made progress. */
     record AttemptMoved(long rpc, int attempt, boolean started) implements BalancerEvent {}
 
-    /** The client has gone away: no answer is owed any more. */
+    /** The client disconnected; no answer is owed any more. */
     record ClientGone(long rpc) implements BalancerEvent {}
 
     /** A probe ended; the load may be null. */
     record Probed(String subchannel, Outcome outcome, Report load) implements BalancerEvent {}
 
     /**
-     * The tenants from now on: who was there keeps the index, and who is new is behind. One that is gone
-     * stays, with no limit known.
+     * The tenants' new allowances. Known tenants keep their index and new ones are appended; a removed tenant stays in
+     * the list, without a known limit.
      */
     record AllowancesChanged(List<Tenant> tenants) implements BalancerEvent {}
 
-    /** A datagram of a peer, by its number. */
+    /** A datagram from the peer with that number. */
     record PeerSaid(int peer, byte[] bytes) implements BalancerEvent {}
 
-    /** A resolver result: the whole list, changes to it, or the copy that a start is given. */
+    /** A resolver result: the complete list, changes to it, or the saved copy that a start begins with. */
     record Resolved(ListKind kind, List<WorkerInfo> entries) implements BalancerEvent {}
 
-    /** Whether there are descriptors for further call attempts; at the start there are. */
+    /** Whether file descriptors are available for further call attempts; initially they are. */
     record Room(boolean open) implements BalancerEvent {}
 
-    /** What another process of the same dispatcher tells; {@link HandoverState#NOBODY} once it is gone. */
+    /** State of another process of the same dispatcher; {@link HandoverState#NOBODY} once that has ended. */
     record RunsBeside(HandoverState other) implements BalancerEvent {}
 
-    /** The watch, or the call for one, failed or ended. */
+    /** The watch on the worker list, or the request for one, failed or ended. */
     record WatchLost(WatchEnd how) implements BalancerEvent {}
 }
--- a/src/main/java/saffronferry/Contract.java
+++ b/src/main/java/saffronferry/Contract.java
@@ -5,45 +5,45 @@
 import saffronferry.fleet.WatchEnd;
 
 /**
- * What reaches the module ({@link Events}), what it answers ({@link Actions}) and the types of both.
+ * The interface of the decision module: its input ({@link Events}), its output ({@link Actions}) and their types.
  *
- * <p>One {@link Dispatcher} is one dispatcher. It is not thread-safe: one caller hands it events in order,
- * with one non-decreasing clock. All times are microseconds. It keeps no other clock and no other random
- * source than its seed, so equal events give equal actions. Indices (class, tenant, kind, zone) point into
- * the lists of {@link Settings}; -1 stands for none or unknown. Unknown request ids, attempts, workers and
- * peers in events are ignored: they may be finished or forgotten. The caller must deliver exactly one
- * {@link Events#attemptEnded} for every {@link Actions#send}, and a {@link Events#timer} for every timer.
+ * <p>One {@link Dispatcher} makes the decisions of one dispatcher. It is not thread-safe: a single caller delivers
+ * events in order, with a non-decreasing clock. All times are in microseconds. The module has no clock of its own and
+ * no source of randomness but its seed, so equal events give equal actions. Indices (class, tenant, kind, zone) refer
+ * to the lists in {@link Settings}; -1 means none or unknown. Events about unknown requests, attempts, workers or
+ * peers are ignored, since these may have finished or been removed. The caller must deliver exactly one
+ * {@link Events#attemptEnded} for every {@link Actions#send} and one {@link Events#timer} for every timer.
  */
 public interface Contract {
-    /** Whether a request may be repeated once it may have run. */
+    /** Whether a request may be attempted again after an earlier attempt may have run. */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Among which workers repeats of a keyed request are discarded. */
+    /** The workers that share deduplication of requests with the same idempotency key. */
     enum Group {
         ALL,
         ZONE,
         CELL
     }
 
-    /** State of a worker in the list. */
+    /** State of a worker in the worker list. */
     enum WorkerState {
         IN_SERVICE,
         DRAINING,
         GONE
     }
 
-    /** What a list event carries: changes, the whole list, or the whole list as it was before a restart. */
+    /** Content of a worker list event: changes, the complete list, or a complete list saved before a restart. */
     enum ListKind {
         CHANGES,
         WHOLE,
         WARM_COPY
     }
 
-    /** How an attempt or a probe ended; {@code neverRan} is proof that the job did not run. */
+    /** How an attempt or a probe ended; {@code neverRan} means that the job certainly did not run. */
     enum Outcome {
         OK(false),
         ERROR(false),
@@ -62,8 +62,14 @@
     }
 
     /**
-     * A class of request. Wanted within {@code aim} plus {@code stretch} times the job's running time. {@code
-     * keyTtl}: so long after an attempt another one may be decided on, within the group.
+     * A class of requests, to be answered within {@code latencyTarget} plus {@code targetStretch} times the job's
+     * running time.
+     *
+     * @param deadline longest time that a client waits for the answer
+     * @param value value of an answer in time
+     * @param lateValue value of a late answer
+     * @param keyTtl time after an attempt during which another one may be started within {@code dedupScope}
+     * @param kind kind of worker that the class needs, or -1 for any
      */
     record JobClass(
             String name,
@@ -77,12 +83,28 @@
             long keyTtl,
             int kind) {}
 
-    /** A tenant and the requests a second, over all dispatchers, within its share; 0 = no limit known. */
+    /** A tenant and its allowed requests per second over all dispatchers; 0 means that no limit is known. */
     record Tenant(String name, double allowancePerS) {}
 
     /**
-     * Settings of one dispatcher; {@code maxRetryAfter} 0: clients are not told when to come back. {@code
-     * mostUnasked}: so long may one go without asking for the list once a call has failed.
+     * Settings of one dispatcher.
+     *
+     * @param self this dispatcher's number in the fleet
+     * @param dispatcherCount dispatchers in the fleet, this one included
+     * @param kindCount number of worker kinds
+     * @param parallelAttempts whether several attempts of a request may run at the same time
+     * @param loadReports whether workers report their load
+     * @param peerMessages whether dispatchers may exchange messages
+     * @param listOnDemand whether the worker list has to be requested from discovery
+     * @param reportsJobStart whether workers report the start of a job
+     * @param progressInterval time between progress reports of a running job; 0 if there are none
+     * @param coldPeriod time until a started worker is warm
+     * @param coldCapacity part of its full capacity that a worker has when it starts
+     * @param overloadMultiple load, as a multiple of a worker's capacity, at which the worker fails
+     * @param maxRetryAfter longest retry delay that is advised to clients; 0 if none is advised
+     * @param peerPrice cost of one peer message of maximum size for each request
+     * @param probePrice cost of one probe for each request
+     * @param maxResubscribeDelay longest time between a failed call to discovery and the next one
      */
     record Settings(
             long seed,
@@ -123,61 +145,61 @@
             tenants = List.copyOf(tenants);
         }
 
-        private static void require(boolean legal, String what, Object value) {
-            if (!legal) {
-                throw new IllegalArgumentException("illegal setting " + what + ": " + value);
+        private static void require(boolean valid, String name, Object value) {
+            if (!valid) {
+                throw new IllegalArgumentException("illegal setting " + name + ": " + value);
             }
         }
     }
 
-    /** One line of the worker list. {@code startedAt} 0 = long ago. */
+    /** One entry of the worker list; a {@code startedAt} of 0 means that the worker started long ago. */
     record WorkerInfo(String address, WorkerState state, int kind, int zone, long startedAt, int cell) {}
 
-    /** A client's request. */
+    /** A client's request; {@code clientRetry} if the client has sent it before. */
     record Request(long id, int jobClass, int tenant, long validUntil, int slots, boolean repeat) {}
 
-    /** A worker's own report; NaN for what it does not tell. {@code held}: requests waiting or running. */
+    /** A worker's load report; NaN for unreported values. {@code held} counts queued and running requests. */
     record Report(double held, double queued, double freeSlots) {}
 
-    /** Everything the module is told. */
+    /** Input of the module. */
     interface Events {
-        /** The worker list, or changes to it. A worker missing from a whole list is gone. */
+        /** The worker list, or changes to it. A worker that is missing from a complete list is gone. */
         void workers(long now, ListKind kind, List<WorkerInfo> entries);
 
-        /** Asking for the list failed or the subscription broke; the old list stays in force. */
-        void workersUnavailable(long now, WatchEnd how);
+        /** The request for the list failed or the subscription ended; the old list stays in force. */
+        void workersUnavailable(long now, WatchEnd reason);
 
-        /** What another process of the same dispatcher should know while it runs beside this one. */
+        /** State for another process of this dispatcher while one replaces the other. */
         HandoverState beside();
 
-        /** What such a process tells; {@link HandoverState#NOBODY} when it is gone. */
-        void beside(long now, HandoverState other);
+        /** State of the other process of this dispatcher; {@link HandoverState#NOBODY} when it has ended. */
+        void beside(long now, HandoverState state);
 
-        /** What tenants may ask for from now on: who was there keeps the index, and who is new is behind. */
+        /** Replaces the tenants' allowances. Known tenants keep their index, new ones are appended. */
         void allowances(long now, List<Tenant> tenants);
 
-        /** How many workers in service are given no jobs for now, but for a trial. */
+        /** Number of workers in service that get no jobs at present, except for a trial. */
         int avoided();
 
-        /** What it shares with other dispatchers now. */
+        /** Current sharing of cold workers with other dispatchers. */
         Sharing sharing();
 
-        /** Whether attempts can be sent at all: while there is no descriptor or port for them, none is. */
-        void room(long now, boolean open);
+        /** Whether attempts can be started; none is while no file descriptor or port is available. */
+        void room(long now, boolean available);
 
-        /** A request that now awaits exactly one final answer. */
+        /** A new request, which is owed exactly one final answer. */
         void request(long now, Request request);
 
-        /** The answer of a streamed class has begun: the client owns the attempt from here on. */
+        /** A streamed answer has begun; from now on the request stays with this attempt. */
         void streamStarted(long now, long id, int attempt);
 
-        /** The worker says that the job has started, or else that some of it is done. */
+        /** The worker reports that the job has started, or that it has made progress. */
         void note(long now, long id, int attempt, boolean started);
 
-        /** An attempt ended. {@code over}: the request has its final answer. {@code report} may be null. */
-        void attemptEnded(long now, long id, int attempt, Outcome outcome, long took, boolean over, Report report);
+        /** An attempt ended; {@code answered} if the request has its final answer. The report may be null. */
+        void attemptEnded(long now, long id, int attempt, Outcome outcome, long took, boolean answered, Report report);
 
-        /** The client left; nothing more is owed. */
+        /** The client disconnected; no answer is owed any more. */
         void clientGone(long now, long id);
 
         void probed(long now, String worker, Outcome outcome, Report report);
@@ -187,27 +209,27 @@
         void timer(long now, long token);
     }
 
-    /** Everything the module may do; called only while it handles an event. */
+    /** Output of the module; called only while it handles an event. */
     interface Actions {
-        /** Attempts are numbered 0, 1, 2 by these calls; each may go on until the client leaves. */
+        /** Starts an attempt. Attempts are numbered 0, 1, 2 in the order of these calls. */
         void send(long id, String worker);
 
         void cancel(long id, int attempt);
 
-        /** Final: refused, a retry does no harm, best after {@code retryAfter}; 0 gives no advice. */
+        /** Final answer: refused, safe to retry, preferably after {@code retryAfter}; 0 gives no advice. */
         void refuse(long id, long retryAfter);
 
-        /** Final: failed, nothing promised. */
+        /** Final answer: failed; a retry may not be safe. */
         void fail(long id);
 
         void timer(long token, long delay);
 
         void probe(String worker);
 
-        /** At most 256 bytes to one peer. */
+        /** Sends at most 256 bytes to one peer. */
         void tell(int peer, byte[] bytes);
 
-        /** Ask for the list, and for its changes from then on. */
+        /** Requests the worker list and, from then on, its changes. */
         void subscribe();
     }
 }
--- a/src/main/java/saffronferry/HandoverState.java
+++ b/src/main/java/saffronferry/HandoverState.java
@@ -4,16 +4,18 @@
 import java.util.Map;
 
 /**
- * What one process of a dispatcher tells another that runs beside it, as long as one replaces the other: the
- * slots that its jobs take, by subchannel, and what it has learned, in a form of the module's own.
+ * What one process of a dispatcher passes to another while one replaces the other and both run.
+ *
+ * @param busySlots slots that the process's jobs occupy, by subchannel
+ * @param learned learned estimates, in the module's own format
  */
 public record HandoverState(Map<String, Integer> jobs, double[] learned) {
-    /** Of no other process. */
+    /** State when there is no other process. */
     public static final HandoverState NOBODY = new HandoverState(Map.of(), new double[0]);
 
     @Override
-    public boolean equals(Object o) {
-        return o instanceof HandoverState b && jobs.equals(b.jobs) && Arrays.equals(learned, b.learned);
+    public boolean equals(Object other) {
+        return other instanceof HandoverState state && jobs.equals(state.jobs) && Arrays.equals(learned, state.learned);
     }
 
     @Override
--- a/src/main/java/saffronferry/LearnedEstimates.java
+++ b/src/main/java/saffronferry/LearnedEstimates.java
@@ -3,32 +3,42 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What the module has learned of running times and slots. Data only: {@link Dispatcher} decides. */
+/** Estimates of running times and worker slots, learned from served jobs and load reports. */
 final class LearnedEstimates {
-    private static final double MEAN_RATE = 0.02; // weight of a new running time, once there are many
-    private static final double MOST_SLOTS = 4096; // no worker has more: a report that says so is none
-    private static final double UNKNOWN_SLOTS = 2; // a worker of which nothing is known at all
-    private static final double MOST_PACE = 4; // one hung job says little of its kind
-    private static final double IDLE_UP = 0.3;
-    private static final double IDLE_DOWN = 0.001;
-    private static final double SLOT_SAMPLES = 10; // reports that the learned slots rest on
-
-    /**
-     * Learned slots of a worker, by kind, the last one for unknown kinds, and on how many reports each rests.
-     */
+    /** Least weight of a new running time in the moving average. */
+    private static final double MIN_MEAN_RATE = 0.02;
+    /** Upper bound of plausible slot counts; reports beyond it are ignored. */
+    private static final double MAX_SLOTS = 4096;
+    /** Slots assumed for a worker kind without any report. */
+    private static final double DEFAULT_SLOTS = 2;
+    /** Limits how much a single hung job raises the slowdown of its worker kind. */
+    private static final double MAX_SLOWDOWN = 4;
+
+    /** Weight of an increase of the mean running time in the best running time. */
+    private static final double BEST_TIME_RISE_RATE = 0.0005;
+    /** Weight of a report above, and of one below, the maximum of free slots. */
+    private static final double FREE_SLOTS_RISE_RATE = 0.3;
+    private static final double FREE_SLOTS_FALL_RATE = 0.001;
+    /** Upper bound of plausible values in a snapshot. */
+    private static final double MAX_RESTORED_VALUE = 1e12;
+    /** Number of reports that a slot estimate averages over. */
+    private static final double MAX_SLOT_SAMPLES = 10;
+
+    /** Learned slots of a worker by kind; the last element is for unknown kinds. */
     final double[] slots;
-
+    /** Number of reports behind each element of {@link #slots}, up to a maximum. */
     final double[] weight;
-    /** How often the usable slots of a kind have changed: workers at rest may be open by other ones still. */
+    /** Counts changes of usable slots, after which the index of workers with free slots has to be updated. */
     int usableChanges;
-    /** The most free slots that workers of a kind report, by and by: what others have there is not in it. */
+    /** Slowly decaying maximum of the free slots that workers of a kind report. */
     private final double[] idle;
-    /** Running time at a worker of each kind, over the class's mean. */
+    /** Running time at a worker of each kind, relative to the class's mean. */
     final double[] pace;
-    /** Running time by class, lately and at its best, and from how many jobs that is known. */
+    /** Recent mean running time by class. */
     final double[] mean;
-
+    /** Running time by class on lightly loaded workers: follows decreases of the mean quickly, increases slowly. */
     final double[] base;
+    /** Number of served jobs by class. */
     final int[] ended;
 
     LearnedEstimates(int kinds, List<Contract.JobClass> classes, double firstMean) {
@@ -42,61 +52,65 @@
         ended = new int[mean.length];
     }
 
-    /** A job of the class was served in so many microseconds, by a worker of that kind. */
-    void ran(int c, int k, long took) {
-        pace[k] += (Math.min(MOST_PACE, took / mean[c]) - pace[k]) * MEAN_RATE;
-        // danger: a first guess that lingers makes suspects of workers that run long jobs
-        ended[c] = Dispatcher.next(ended[c]);
-        double rate = Math.max(MEAN_RATE, 1 / (ended[c] + 1.0));
-        mean[c] += (took - mean[c]) * rate;
-        base[c] += (mean[c] - base[c]) * (rate > MEAN_RATE ? 1 : mean[c] < base[c] ? rate : 0.0005);
+    /** Records that a worker of the kind ran a job of the class in {@code took} microseconds. */
+    void ran(int jobClass, int kind, long took) {
+        pace[kind] += (Math.min(MAX_SLOWDOWN, took / mean[jobClass]) - pace[kind]) * MIN_MEAN_RATE;
+        // The first jobs weigh more: an initial estimate that is far too low would make workers with long jobs suspect.
+        ended[jobClass] = Dispatcher.next(ended[jobClass]);
+        double rate = Math.max(MIN_MEAN_RATE, 1 / (ended[jobClass] + 1.0));
+        mean[jobClass] += (took - mean[jobClass]) * rate;
+        base[jobClass] += (mean[jobClass] - base[jobClass])
+                * (rate > MIN_MEAN_RATE ? 1 : mean[jobClass] < base[jobClass] ? rate : BEST_TIME_RISE_RATE);
     }
 
-    /** Danger: slots learned too low stay idle on every worker of the kind. The first reports count fully. */
-    void learnSlots(int k, double total) {
-        // danger: one absurd figure would flood or idle all workers of the kind, an infinite one for good
-        if (!(Math.abs(total) <= MOST_SLOTS)) {
+    /**
+     * Records the number of slots that a worker of the kind has for our jobs. The first reports count fully, since an
+     * estimate that is too low leaves slots idle on every worker of the kind.
+     */
+    void learnSlots(int kind, double total) {
+        // One absurd value would overload or idle all workers of the kind, an infinite one permanently.
+        if (!(Math.abs(total) <= MAX_SLOTS)) {
             return;
         }
-        weight[k] = Math.min(weight[k] + 1, SLOT_SAMPLES);
-        double before = usable(k);
-        slots[k] += (total - slots[k]) / weight[k];
-        usableChanges += usable(k) != before ? 1 : 0;
+        weight[kind] = Math.min(weight[kind] + 1, MAX_SLOT_SAMPLES);
+        double before = usable(kind);
+        slots[kind] += (total - slots[kind]) / weight[kind];
+        usableChanges += usable(kind) != before ? 1 : 0;
     }
 
-    /** A worker reports so many free slots. */
-    void learnIdle(int k, double free) {
-        if (Math.abs(free) <= MOST_SLOTS) {
-            idle[k] += (free - idle[k]) * (free > idle[k] ? IDLE_UP : IDLE_DOWN);
+    /** Records the number of free slots that a worker of the kind reports. */
+    void learnIdle(int kind, double free) {
+        if (Math.abs(free) <= MAX_SLOTS) {
+            idle[kind] += (free - idle[kind]) * (free > idle[kind] ? FREE_SLOTS_RISE_RATE : FREE_SLOTS_FALL_RATE);
         }
     }
 
-    /** Slots of a worker that are for our jobs: all of them, or what others whom we do not hear leave us. */
-    double ours(int k) {
-        return slots[k] > 0 ? slots[k] : UNKNOWN_SLOTS;
+    /** Slots of a worker that are available to our jobs: all, less those used by dispatchers without contact to us. */
+    double ours(int kind) {
+        return slots[kind] > 0 ? slots[kind] : DEFAULT_SLOTS;
     }
 
-    /** The same as a number of jobs. */
-    double usable(int k) {
-        return Math.floor(ours(k) + 0.4);
+    /** The available slots, rounded to a whole number of jobs. */
+    double usable(int kind) {
+        return Math.floor(ours(kind) + 0.4);
     }
 
-    /** Slots of a worker whoever fills them: what all together may send to a cold one hangs on these. */
-    double whole(int k) {
-        return Math.max(ours(k), idle[k]);
+    /** All slots of a worker, whichever dispatcher uses them; the basis of the budget for cold workers. */
+    double whole(int kind) {
+        return Math.max(ours(kind), idle[kind]);
     }
 
-    /** Slot time of a job on its own at a worker of the kind, in microseconds. */
-    double cost(Contract.Request job, int k) {
-        return base[job.jobClass()] * pace[k] * job.slots();
+    /** Expected slot time in microseconds of a job that runs alone on a worker of the kind. */
+    double cost(Contract.Request job, int kind) {
+        return base[job.jobClass()] * pace[kind] * job.slots();
     }
 
-    /** The same for the class that takes longest, whatever the kind. */
+    /** Best running time in microseconds of the class with the longest one. */
     double longest() {
         return Arrays.stream(base).max().getAsDouble();
     }
 
-    /** All of it, to be told to another process. */
+    /** All estimates except those by worker kind, for another process of this dispatcher. */
     double[] told() {
         double[] all = new double[2 * slots.length + 3 * mean.length];
         int at = 0;
@@ -111,15 +125,15 @@
     }
 
     /**
-     * Begins with what another process has learned; one that knows something itself, or other sites, keeps
-     * that.
+     * Adopts another process's estimates. Without effect if this process has estimates of its own, or if the array
+     * does not fit this process's kinds and classes.
      */
     void take(double[] all) {
-        boolean knows = Arrays.stream(weight).sum() + Arrays.stream(ended).sum() > 0;
-        // guards against a file of nonsense: one infinite figure would flood or idle all workers of a kind
-        boolean sane = all.length == 2 * slots.length + 3 * mean.length
-                && Arrays.stream(all).allMatch(x -> x >= 0 && x < 1e12);
-        if (knows || !sane) {
+        boolean hasOwn = Arrays.stream(weight).sum() + Arrays.stream(ended).sum() > 0;
+        // The array comes from a file: one infinite value would overload or idle all workers of a kind.
+        boolean valid = all.length == 2 * slots.length + 3 * mean.length
+                && Arrays.stream(all).allMatch(x -> x >= 0 && x < MAX_RESTORED_VALUE);
+        if (hasOwn || !valid) {
             return;
         }
         usableChanges++;
--- a/src/main/java/saffronferry/PeerMessage.java
+++ b/src/main/java/saffronferry/PeerMessage.java
@@ -3,67 +3,78 @@
 import java.util.Arrays;
 import java.util.BitSet;
 
-/** The bytes that dispatchers exchange. Form only: Dispatcher decides what is sent and what it means. */
+/** A datagram between dispatchers, with its encoding. */
 final class PeerMessage {
-    /** Largest message. */
+    /** Maximum size of a message. */
     static final int MOST_BYTES = 256;
 
-    private static final int HEADER = 7;
-    private static final int ENTRY = 4;
-    private static final long PERIOD_UNIT = 10_000;
-    private static final double RATE_UNIT = 16;
-    /** Stands in the type's byte where stamp and word follow the header. */
-    private static final int DATED = 0x40;
-    /** And here whether its sender knows a cold worker: who does not yet gives its word all the same. */
-    private static final int COLD = 0x20;
-    /** And here whether after the words it says who is of another zone than its own. */
-    private static final int ELSEWHERE = 0x10;
-
-    private static final int FLAGS = DATED | COLD | ELSEWHERE;
-    private static final int STAMP = 3; // two bytes of time, one of the word's length
-    private static final int RETURN_STAMP = 2;
-    private static final int MOST_WORD = 112;
-    private static final int BOTH = 0x80; // in the length: after the word as many bytes say who is heard
-    private static final int CLOCK_BITS = 12; // a stamp counts some four milliseconds
-    /** From this count on an offer is a part of a cold worker's budget, not a number of slots. */
-    private static final int LENT = 128;
-    /** What one unit of a lent part is, in microseconds of slot time. */
+    private static final int HEADER_BYTES = 7;
+    private static final int ENTRY_BYTES = 4;
+    private static final long PERIOD_UNIT_US = 10_000;
+    private static final double RATE_UNITS_PER_REQUEST = 16;
+    /** Flag in the type byte: a timestamp and the sender's grant follow the header. */
+    private static final int GRANT_FLAG = 0x40;
+    /** Flag in the type byte: the sender knows a cold worker of its zone. Grants are also sent without it. */
+    private static final int COLD_FLAG = 0x20;
+    /** Flag in the type byte: the set of dispatchers in other zones follows the grant. */
+    private static final int OTHER_ZONES_FLAG = 0x10;
+
+    private static final int FLAGS = GRANT_FLAG | COLD_FLAG | OTHER_ZONES_FLAG;
+    /** Two bytes of timestamp and one for the length of the grant's sets. */
+    private static final int GRANT_HEADER_BYTES = 3;
+
+    private static final int RETURN_STAMP_BYTES = 2;
+    private static final int MAX_SET_BYTES = 112;
+    /** Flag in the length byte: a second set of that length follows, with the dispatchers that the sender hears. */
+    private static final int HEARD_SET_FLAG = 0x80;
+    /** Timestamps are encoded in units of 2^12 microseconds, about four milliseconds. */
+    private static final int STAMP_SHIFT = 12;
+    /** Entry values of an offer from this one on transfer budget of a cold worker; lower ones are free slots. */
+    private static final int TRANSFER_BASE = 128;
+    /** Slot time of one transferred unit of a cold worker's budget. */
     static final double LENT_UNIT = 50_000;
 
-    /**
-     * Free slots at the sender's workers; or slots that its jobs take at some of the receiver's workers; or
-     * parts of cold workers' budgets that the receiver has lent and the sender has no job for, with the stamp
-     * with which they were lent; or all slots that its jobs take at the receiver's workers. Versions before
-     * do not know the last two, and leave them out.
-     */
+    /** What the entries of a message state. Versions without RETURNS and HOLDS ignore messages of these types. */
     enum Type {
+        /** Free slots of workers that the sender fills, or transfers of budget of its cold workers. */
         OFFERS,
+        /** Slots that the sender's jobs occupy at some of the workers that the receiver fills. */
         BORROWS,
+        /** Unused budget that the receiver had transferred, with the timestamp of the transfer. */
         RETURNS,
+        /** All slots that the sender's jobs occupy at workers that the receiver fills. */
         HOLDS
     }
 
     final Type type;
     final int zone;
+    /** Acceptance probability P of the sender. */
     final double p;
+    /** R: the probability that the sender or one of its neighbours accepts. */
     final double r;
+    /** Requests per second at the sender. */
     final double rate;
+    /** Time between the sender's messages to a peer, in microseconds. */
     final long period;
+
     int entries;
     int[] hash = new int[8];
     int[] count = new int[8];
     /**
-     * When it was sent, by the one clock, in microseconds; of use where {@link #word} is not null. In what
-     * is returned: when that was lent.
+     * Time of sending in microseconds, by the clock that all dispatchers share; valid if {@link #word} is not null. In
+     * a return it is the timestamp of the transfer that is returned.
      */
     long at;
-    /** Whom its sender counts, itself included, or null: nothing is cold, and nobody needs to know. */
+    /**
+     * The dispatchers, sender included, among which the sender leaves its share of cold workers to the guardian; null
+     * if there is no cold worker.
+     */
     BitSet word;
-    /** Whom it hears: they are told so, and count it in turn. Null where {@link #word} is. */
+    /** The dispatchers that the sender hears, itself included; null if {@link #word} is. */
     BitSet hears;
-    /** Who is of another zone than its sender, as far as that knows, or null; only beside {@link #word}. */
+    /** The dispatchers known to be in another zone than the sender, or null; only with {@link #word}. */
     BitSet elsewhere;
-    /** Whether its sender knows a cold worker of its zone. */
+    /** Whether the sender knows a cold worker of its zone. */
     boolean cold;
 
     PeerMessage(Type type, int zone, double p, double r, double rate, long period) {
@@ -75,33 +86,33 @@
         this.period = period;
     }
 
-    /** Slots at a worker; what no longer fits is left out. */
+    /** Adds a number of slots at a worker, unless the message is full. */
     void add(int worker, int slots) {
-        put(worker, Math.max(0, Math.min(type == Type.OFFERS ? LENT - 1 : 255, slots)));
+        put(worker, Math.max(0, Math.min(type == Type.OFFERS ? TRANSFER_BASE - 1 : 255, slots)));
     }
 
-    /** A part of a cold worker's budget, in {@link #LENT_UNIT}s. */
+    /** Adds a transfer of a cold worker's budget, in units of {@link #LENT_UNIT}, unless the message is full. */
     void lend(int worker, int units) {
-        put(worker, LENT + Math.max(0, Math.min(255 - LENT, units)));
+        put(worker, TRANSFER_BASE + Math.max(0, Math.min(255 - TRANSFER_BASE, units)));
     }
 
-    /** Units of a part that go back. */
+    /** Adds a return of transferred budget, unless the message is full. */
     void giveBack(int worker, int units) {
         put(worker, units);
     }
 
-    /** Whether an entry is a part of a cold worker's budget. */
+    /** Whether an entry transfers budget of a cold worker. */
     boolean lent(int entry) {
-        return type == Type.OFFERS && count[entry] >= LENT;
+        return type == Type.OFFERS && count[entry] >= TRANSFER_BASE;
     }
 
-    /** The units of a lent part, or the slots of another entry. */
+    /** The units of a transfer, or the slots of another entry. */
     int amount(int entry) {
-        return lent(entry) ? count[entry] - LENT : count[entry];
+        return lent(entry) ? count[entry] - TRANSFER_BASE : count[entry];
     }
 
     private void put(int worker, int value) {
-        if (size() + ENTRY > MOST_BYTES) {
+        if (size() + ENTRY_BYTES > MOST_BYTES) {
             return;
         }
         if (entries == hash.length) {
@@ -112,119 +123,119 @@
         count[entries++] = value;
     }
 
-    /** Without stamp and words: of no use to another zone. */
+    /** Removes timestamp and grant, which are of no use to another zone. */
     PeerMessage undated() {
         word = null;
         return this;
     }
 
     int size() {
-        return HEADER + dated() + ENTRY * entries;
+        return HEADER_BYTES + grantBytes() + ENTRY_BYTES * entries;
     }
 
-    private int dated() {
+    private int grantBytes() {
         if (type == Type.RETURNS) {
-            return RETURN_STAMP;
+            return RETURN_STAMP_BYTES;
         }
-        return word == null ? 0 : STAMP + wordBytes() * (hears.equals(word) ? 1 : 2) + otherBytes();
+        return word == null ? 0 : GRANT_HEADER_BYTES + setBytes() * (hears.equals(word) ? 1 : 2) + otherZoneBytes();
     }
 
-    private int wordBytes() {
+    private int setBytes() {
         return (hears.length() + 7) / 8;
     }
 
-    /** One byte of length, and as many as it says. */
-    private int otherBytes() {
+    /** One byte of length and the set. */
+    private int otherZoneBytes() {
         return elsewhere == null ? 0 : 1 + (elsewhere.length() + 7) / 8;
     }
 
     byte[] bytes() {
-        byte[] b = new byte[size()];
-        int coded = (int) Math.max(0, Math.min(65535, Math.round(rate * RATE_UNIT)));
-        b[0] = (byte) zone;
-        // below one says that jobs wait, and asks: however few they are, that must not be rounded away
-        b[1] = (byte) (p < 1 ? Math.min(254, Math.round(p * 255)) : 255);
-        b[2] = (byte) Math.round(r * 255);
-        b[3] = (byte) (coded >> 8);
-        b[4] = (byte) coded;
-        b[5] = (byte) Math.min(255, period / PERIOD_UNIT);
-        b[6] = (byte) (type.ordinal()
-                | (word == null ? 0 : DATED)
-                | (cold ? COLD : 0)
-                | (word == null || elsewhere == null ? 0 : ELSEWHERE));
-        int at = HEADER;
+        byte[] bytes = new byte[size()];
+        int codedRate = (int) Math.max(0, Math.min(65535, Math.round(rate * RATE_UNITS_PER_REQUEST)));
+        bytes[0] = (byte) zone;
+        // P below one means that jobs are held and asks for offers; rounding must not turn it into one.
+        bytes[1] = (byte) (p < 1 ? Math.min(254, Math.round(p * 255)) : 255);
+        bytes[2] = (byte) Math.round(r * 255);
+        bytes[3] = (byte) (codedRate >> 8);
+        bytes[4] = (byte) codedRate;
+        bytes[5] = (byte) Math.min(255, period / PERIOD_UNIT_US);
+        bytes[6] = (byte) (type.ordinal()
+                | (word == null ? 0 : GRANT_FLAG)
+                | (cold ? COLD_FLAG : 0)
+                | (word == null || elsewhere == null ? 0 : OTHER_ZONES_FLAG));
+        int offset = HEADER_BYTES;
         if (type == Type.RETURNS) {
-            b[at++] = (byte) (this.at >> CLOCK_BITS + 8);
-            b[at++] = (byte) (this.at >> CLOCK_BITS);
+            bytes[offset++] = (byte) (this.at >> STAMP_SHIFT + 8);
+            bytes[offset++] = (byte) (this.at >> STAMP_SHIFT);
         } else if (word != null) {
-            int length = wordBytes();
-            boolean both = !hears.equals(word);
-            b[at] = (byte) (this.at >> CLOCK_BITS + 8);
-            b[at + 1] = (byte) (this.at >> CLOCK_BITS);
-            b[at + 2] = (byte) (length | (both ? BOTH : 0));
-            byte[] bits = word.toByteArray();
-            System.arraycopy(bits, 0, b, at + STAMP, bits.length);
-            if (both) {
-                System.arraycopy(hears.toByteArray(), 0, b, at + STAMP + length, length);
+            int length = setBytes();
+            boolean heardSetFollows = !hears.equals(word);
+            bytes[offset] = (byte) (this.at >> STAMP_SHIFT + 8);
+            bytes[offset + 1] = (byte) (this.at >> STAMP_SHIFT);
+            bytes[offset + 2] = (byte) (length | (heardSetFollows ? HEARD_SET_FLAG : 0));
+            byte[] granteeBits = word.toByteArray();
+            System.arraycopy(granteeBits, 0, bytes, offset + GRANT_HEADER_BYTES, granteeBits.length);
+            if (heardSetFollows) {
+                System.arraycopy(hears.toByteArray(), 0, bytes, offset + GRANT_HEADER_BYTES + length, length);
             }
-            at += dated();
+            offset += grantBytes();
             if (elsewhere != null) {
-                byte[] others = elsewhere.toByteArray();
-                b[at - otherBytes()] = (byte) others.length;
-                System.arraycopy(others, 0, b, at - others.length, others.length);
+                byte[] otherZoneBits = elsewhere.toByteArray();
+                bytes[offset - otherZoneBytes()] = (byte) otherZoneBits.length;
+                System.arraycopy(otherZoneBits, 0, bytes, offset - otherZoneBits.length, otherZoneBits.length);
             }
         }
         for (int i = 0; i < entries; i++) {
-            b[at] = (byte) (hash[i] >> 16);
-            b[at + 1] = (byte) (hash[i] >> 8);
-            b[at + 2] = (byte) hash[i];
-            b[at + 3] = (byte) count[i];
-            at += ENTRY;
+            bytes[offset] = (byte) (hash[i] >> 16);
+            bytes[offset + 1] = (byte) (hash[i] >> 8);
+            bytes[offset + 2] = (byte) hash[i];
+            bytes[offset + 3] = (byte) count[i];
+            offset += ENTRY_BYTES;
         }
-        return b;
+        return bytes;
     }
 
-    private static int worker(byte[] b, int at) {
-        return (b[at] & 0xFF) << 16 | (b[at + 1] & 0xFF) << 8 | b[at + 2] & 0xFF;
+    private static int worker(byte[] bytes, int offset) {
+        return (bytes[offset] & 0xFF) << 16 | (bytes[offset + 1] & 0xFF) << 8 | bytes[offset + 2] & 0xFF;
     }
 
-    /** The message in these bytes, read about now by the one clock, or null if they are none. */
-    static PeerMessage read(byte[] b, long now) {
-        if (b.length < HEADER || (b[6] & ~FLAGS) < 0 || (b[6] & ~FLAGS) >= Type.values().length) {
+    /** Decodes a message that was received at {@code now} by the shared clock; null if it is malformed. */
+    static PeerMessage read(byte[] bytes, long now) {
+        if (bytes.length < HEADER_BYTES || (bytes[6] & ~FLAGS) < 0 || (bytes[6] & ~FLAGS) >= Type.values().length) {
             return null;
         }
-        boolean returns = (b[6] & ~FLAGS) == Type.RETURNS.ordinal();
-        boolean dated = (b[6] & DATED) != 0 && !returns;
-        int word = dated && b.length >= HEADER + STAMP ? b[HEADER + 2] & ~BOTH & 0xFF : 0;
-        int second = dated && b.length >= HEADER + STAMP && (b[HEADER + 2] & BOTH) != 0 ? word : 0;
-        int from = HEADER + (dated ? STAMP + word + second : returns ? RETURN_STAMP : 0);
-        int others = dated && (b[6] & ELSEWHERE) != 0 && b.length > from ? 1 + (b[from] & 0xFF) : 0;
-        from += others;
-        if (b.length < from || word > MOST_WORD || (b.length - from) % ENTRY != 0) {
+        boolean isReturn = (bytes[6] & ~FLAGS) == Type.RETURNS.ordinal();
+        boolean hasGrant = (bytes[6] & GRANT_FLAG) != 0 && !isReturn;
+        int granteeBytes = hasGrant && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES ? bytes[HEADER_BYTES + 2] & ~HEARD_SET_FLAG & 0xFF : 0;
+        int heardBytes = hasGrant && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES && (bytes[HEADER_BYTES + 2] & HEARD_SET_FLAG) != 0 ? granteeBytes : 0;
+        int entriesStart = HEADER_BYTES + (hasGrant ? GRANT_HEADER_BYTES + granteeBytes + heardBytes : isReturn ? RETURN_STAMP_BYTES : 0);
+        int otherZoneBytes = hasGrant && (bytes[6] & OTHER_ZONES_FLAG) != 0 && bytes.length > entriesStart ? 1 + (bytes[entriesStart] & 0xFF) : 0;
+        entriesStart += otherZoneBytes;
+        if (bytes.length < entriesStart || granteeBytes > MAX_SET_BYTES || (bytes.length - entriesStart) % ENTRY_BYTES != 0) {
             return null;
         }
-        PeerMessage m = new PeerMessage(
-                Type.values()[b[6] & ~FLAGS],
-                b[0] & 0xFF,
-                (b[1] & 0xFF) / 255.0,
-                (b[2] & 0xFF) / 255.0,
-                ((b[3] & 0xFF) << 8 | b[4] & 0xFF) / RATE_UNIT,
-                (b[5] & 0xFF) * PERIOD_UNIT);
-        m.cold = (b[6] & COLD) != 0;
-        if (dated) {
-            m.word = BitSet.valueOf(Arrays.copyOfRange(b, HEADER + STAMP, HEADER + STAMP + word));
-            int end = from - others;
-            m.hears = second == 0 ? m.word : BitSet.valueOf(Arrays.copyOfRange(b, end - second, end));
-            m.elsewhere = others == 0 ? null : BitSet.valueOf(Arrays.copyOfRange(b, end + 1, from));
+        PeerMessage message = new PeerMessage(
+                Type.values()[bytes[6] & ~FLAGS],
+                bytes[0] & 0xFF,
+                (bytes[1] & 0xFF) / 255.0,
+                (bytes[2] & 0xFF) / 255.0,
+                ((bytes[3] & 0xFF) << 8 | bytes[4] & 0xFF) / RATE_UNITS_PER_REQUEST,
+                (bytes[5] & 0xFF) * PERIOD_UNIT_US);
+        message.cold = (bytes[6] & COLD_FLAG) != 0;
+        if (hasGrant) {
+            message.word = BitSet.valueOf(Arrays.copyOfRange(bytes, HEADER_BYTES + GRANT_HEADER_BYTES, HEADER_BYTES + GRANT_HEADER_BYTES + granteeBytes));
+            int setsEnd = entriesStart - otherZoneBytes;
+            message.hears = heardBytes == 0 ? message.word : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd - heardBytes, setsEnd));
+            message.elsewhere = otherZoneBytes == 0 ? null : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd + 1, entriesStart));
         }
-        if (dated || returns) {
-            // the nearest time that has this stamp: a datagram is late by less than two minutes
-            int stamp = (b[HEADER] & 0xFF) << 8 | b[HEADER + 1] & 0xFF;
-            m.at = (now >> CLOCK_BITS) - (short) ((now >> CLOCK_BITS) - stamp) << CLOCK_BITS;
+        if (hasGrant || isReturn) {
+            // The time nearest to now with this stamp: datagrams are delayed by less than two minutes.
+            int stamp = (bytes[HEADER_BYTES] & 0xFF) << 8 | bytes[HEADER_BYTES + 1] & 0xFF;
+            message.at = (now >> STAMP_SHIFT) - (short) ((now >> STAMP_SHIFT) - stamp) << STAMP_SHIFT;
         }
-        for (int at = from; at < b.length; at += ENTRY) {
-            m.put(worker(b, at), b[at + 3] & 0xFF);
+        for (int offset = entriesStart; offset < bytes.length; offset += ENTRY_BYTES) {
+            message.put(worker(bytes, offset), bytes[offset + 3] & 0xFF);
         }
-        return m;
+        return message;
     }
 }
--- a/src/main/java/saffronferry/RetryBudget.java
+++ b/src/main/java/saffronferry/RetryBudget.java
@@ -1,55 +1,57 @@
 package saffronferry;
 
 /**
- * How many repeats of what may have run are allowed. Danger: where all fails, each of a client's tries would
- * become as many attempts as the rules allow. So it is a fifth of the requests, and beside that a part of
- * what the whole fleet may repeat: an even one, whoever hears whom, so that the sum does not grow with the
- * fleet. Data: {@link Dispatcher} decides. Worked out in docs/design/fleet-faults.md.
+ * Token bucket for retries of attempts that may have run. Without it, an outage would turn each client request into
+ * the largest allowed number of attempts. It grants a fifth of the requests plus a fixed rate; that rate is an even
+ * share of the fleet's, independent of contact between dispatchers, so that the total does not grow with the fleet.
+ * See docs/design/fleet-faults.md.
  */
 final class RetryBudget {
-    private static final double PART = 0.2;
-    /** All together, a second and at once, beside the fifth. */
+    /** Retries for each request. */
+    private static final double RETRIES_PER_REQUEST = 0.2;
+    /** Fixed rate of the whole fleet, in retries per second. */
     private static final double FLEET_PER_S = 20;
+    /** Burst of the whole fleet, in retries. */
+    private static final double FLEET_BURST = 100;
+    /** Minimum for one dispatcher: enough for one retry of each job of one failed worker. */
+    private static final double MIN_PER_S = 0.5;
 
-    private static final double FLEET_MOST = 100;
-    /** One dispatcher, few as it may have: the jobs of one worker that fails must find a repeat each. */
-    private static final double LEAST_PER_S = 0.5;
-
-    private static final double LEAST_MOST = 5;
-    private static final double ALONE_PER_S = 5;
-    private static final double ALONE_MOST = 25;
+    private static final double MIN_BURST = 5;
+    private static final double MAX_PER_S = 5;
+    private static final double MAX_BURST = 25;
 
     private final double perS;
-    private final double most;
-    private double left;
+    private final double burst;
+    private double tokens;
     private int processes = 1;
 
-    /** For one of so many dispatchers. */
+    /** Creates the budget of one of {@code dispatchers} dispatchers. */
     RetryBudget(int dispatchers) {
-        perS = Math.max(LEAST_PER_S, Math.min(ALONE_PER_S, FLEET_PER_S / dispatchers));
-        most = Math.max(LEAST_MOST, Math.min(ALONE_MOST, FLEET_MOST / dispatchers));
-        left = most;
+        perS = Math.max(MIN_PER_S, Math.min(MAX_PER_S, FLEET_PER_S / dispatchers));
+        burst = Math.max(MIN_BURST, Math.min(MAX_BURST, FLEET_BURST / dispatchers));
+        tokens = burst;
     }
 
-    /** So many processes of this dispatcher share it. */
-    void share(int among) {
-        processes = among;
-        left = Math.min(left, most / processes);
+    /** Divides the budget among the running processes of this dispatcher. */
+    void share(int processCount) {
+        processes = processCount;
+        tokens = Math.min(tokens, burst / processes);
     }
 
-    /** A request has come in. */
+    /** Adds the tokens of one new request. */
     void asked() {
-        left = Math.min(left + PART, most / processes);
+        tokens = Math.min(tokens + RETRIES_PER_REQUEST, burst / processes);
     }
 
+    /** Adds the tokens of the time that has passed. */
     void pass(double seconds) {
-        left = Math.min(left + perS / processes * seconds, most / processes);
+        tokens = Math.min(tokens + perS / processes * seconds, burst / processes);
     }
 
-    /** Takes one repeat out; false where none is left. */
+    /** Takes one token for a retry; false if none is left. */
     boolean take() {
-        boolean may = left >= 1;
-        left -= may ? 1 : 0;
-        return may;
+        boolean allowed = tokens >= 1;
+        tokens -= allowed ? 1 : 0;
+        return allowed;
     }
 }
--- a/src/main/java/saffronferry/SuspicionLevel.java
+++ b/src/main/java/saffronferry/SuspicionLevel.java
@@ -3,29 +3,38 @@
 import saffronferry.Book.Attempt;
 import saffronferry.Book.Worker;
 
-/** How improbable a worker's silence is, if it is well. {@link Dispatcher} decides what follows from it. */
+/** Computes how improbable a worker's silence would be if the worker were healthy. */
 final class SuspicionLevel {
-    private static final long START_NOTICE = 400_000; // where starts are told: silent too long
-    private static final double NOTICE_NATS = 2; // how strong: the slot may not have been free
-    private static final double NO_PROGRESS_NATS = 8; // nothing told in three times the time between notes
+    /** Time without a start report after which it counts as missing, where workers report job starts. */
+    private static final long START_REPORT_TIMEOUT_US = 400_000;
+    /** Evidence of a missing start report; weak, because the slot may not have been free. */
+    private static final double MISSING_START_NATS = 2;
+    /** Evidence of a missing progress report. */
+    private static final double MISSING_PROGRESS_NATS = 8;
+    /** Progress counts as missing after this many report intervals. */
+    private static final int MISSED_PROGRESS_REPORTS = 3;
 
     private SuspicionLevel() {}
 
-    /** What the running times of their classes make of all our jobs there staying unanswered, in nats. */
-    static double nats(Worker w, long now, LearnedEstimates known, Contract.Settings s) {
+    /** Negative log-probability, in nats, that a healthy worker has answered none of our jobs there yet. */
+    static double nats(Worker worker, long now, LearnedEstimates estimates, Contract.Settings settings) {
         double nats = 0;
-        long quietFrom = Math.max(w.lastSign, w.busySince);
-        for (Attempt a : w.attempts) {
-            if (a.cancelled) {
+        long quietFrom = Math.max(worker.lastSign, worker.busySince);
+        for (Attempt attempt : worker.attempts) {
+            if (attempt.cancelled) {
                 continue;
             }
-            long since = Math.max(a.sentAt, quietFrom);
-            double m = known.mean[a.job.request.jobClass()] * Math.max(1, w.speed);
-            nats += s.tellsStart() && a.startedAt == 0 && now - since > START_NOTICE ? NOTICE_NATS : 0;
-            boolean told = s.progressEvery() > 0 && a.lastNote > 0;
-            nats += told && now - a.lastNote > 3 * s.progressEvery() ? NO_PROGRESS_NATS : 0;
-            // a heavy tail is assumed: a long job alone proves little
-            nats += 3 * Math.log((2 * m + now - a.sentAt) / (2 * m + since - a.sentAt));
+            long since = Math.max(attempt.sentAt, quietFrom);
+            double mean = estimates.mean[attempt.job.request.jobClass()] * Math.max(1, worker.speed);
+            boolean startMissing =
+                    settings.tellsStart() && attempt.startedAt == 0 && now - since > START_REPORT_TIMEOUT_US;
+            nats += startMissing ? MISSING_START_NATS : 0;
+            boolean progressMissing = settings.progressEvery() > 0
+                    && attempt.lastNote > 0
+                    && now - attempt.lastNote > MISSED_PROGRESS_REPORTS * settings.progressEvery();
+            nats += progressMissing ? MISSING_PROGRESS_NATS : 0;
+            // A heavy-tailed running time is assumed, so that one long job alone is little evidence.
+            nats += 3 * Math.log((2 * mean + now - attempt.sentAt) / (2 * mean + since - attempt.sentAt));
         }
         return nats;
     }
--- a/src/main/java/saffronferry/TenantTokenBuckets.java
+++ b/src/main/java/saffronferry/TenantTokenBuckets.java
@@ -3,9 +3,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What tenants may ask for within their shares: a token bucket each. Data: {@link Dispatcher} decides. */
+/** One token bucket per tenant, which tells requests within the tenant's allowance from those beyond it. */
 final class TenantTokenBuckets {
-    private static final double LEAST_BURST = 2; // requests: of a small share not each one lies beyond it
+    /** Least capacity of a bucket, so that a tenant with a small allowance can use it at all. */
+    private static final double MIN_BURST_REQUESTS = 2;
 
     private List<Contract.Tenant> tenants;
     private double[] tokens;
@@ -16,28 +17,28 @@
         Arrays.fill(tokens, 1);
     }
 
-    /** From now on these hold; buckets stay, since tokens are what the past has left. */
+    /** Replaces the allowances. Existing buckets keep their tokens, which were earned under the old allowances. */
     void follow(List<Contract.Tenant> next) {
-        int before = tokens.length;
+        int oldLength = tokens.length;
         tenants = List.copyOf(next);
         tokens = Arrays.copyOf(tokens, next.size());
-        Arrays.fill(tokens, Math.min(before, tokens.length), tokens.length, 1);
+        Arrays.fill(tokens, Math.min(oldLength, tokens.length), tokens.length, 1);
     }
 
-    /** Takes a request of a tenant in; whether it lies beyond the tenant's share. */
+    /** Takes a token for a request; true if there is none and the request exceeds the tenant's allowance. */
     boolean beyond(int tenant) {
-        boolean beyond = tenant >= 0 && tenants.get(tenant).allowancePerS() > 0 && tokens[tenant] < 1;
-        if (tenant >= 0 && !beyond) {
+        boolean exceeds = tenant >= 0 && tenants.get(tenant).allowancePerS() > 0 && tokens[tenant] < 1;
+        if (tenant >= 0 && !exceeds) {
             tokens[tenant] -= 1;
         }
-        return beyond;
+        return exceeds;
     }
 
-    /** So much time has passed, in which this dispatcher had such a part of all traffic. */
+    /** Adds the tokens of the time that has passed, for this dispatcher's share of the traffic. */
     void fill(double seconds, double trafficShare) {
         for (int t = 0; t < tokens.length; t++) {
             double perS = tenants.get(t).allowancePerS() * trafficShare;
-            tokens[t] = Math.min(tokens[t] + perS * seconds, Math.max(perS, LEAST_BURST));
+            tokens[t] = Math.min(tokens[t] + perS * seconds, Math.max(perS, MIN_BURST_REQUESTS));
         }
     }
 }
