--- a/src/main/java/saffronferry/fleet/CallPace.java
+++ b/src/main/java/saffronferry/fleet/CallPace.java
@@ -3,44 +3,49 @@
 import java.util.SplittableRandom;
 
 /**
- * When a dispatcher calls discovery, which is one service for the whole fleet and handles calls in turn. A
- * call that has waited too long fails and has cost discovery its work all the same: where more call than it
- * can serve in that time, and each that failed calls again at once, no call is served any more, for good.
- * So the calls of a large fleet are spread, and over more after each call that waited in vain. But a change
- * counts as told 6 s after discovery had it and could be reached, so what has cost discovery nothing is
- * tried again well within that time. A few dispatchers cannot make a line so long, and call at once. Times in
- * microseconds.
+ * Schedules a dispatcher's calls to discovery, a single service that handles the calls of the whole fleet in turn.
+ *
+ * <p>A call that times out in discovery's queue has cost discovery its work all the same. If more dispatchers call than
+ * it can serve within the timeout, and each retries at once, no call is ever served again. So the calls of a large
+ * fleet are spread over time, and over more time after each timeout. A list change must take effect within 6 s after
+ * discovery has it and can be reached, so calls that cost discovery nothing are retried well within that time. A few
+ * dispatchers cannot fill the queue and call at once. Times are in microseconds.
  */
 public final class CallPace {
-    /** An empty line comes each 2 s on a watch; one that says nothing for so long is silent. */
+    /** Discovery sends an empty line every 2 s on a watch; without any line for this long, the watch is silent. */
     public static final long SILENCE = 3_000_000;
-    /** A call may wait 3 s in discovery's line; one that has told no list by then will tell none. */
+    /** A call may wait 3 s in discovery's queue; without a list by this time, there will be none. */
     public static final long FIRST_LIST = 3_300_000;
-    /** So many callers can wait in turn, and the last one is still served in time. */
+    /** With no more callers than this, the last one in the queue is still served in time. */
     private static final int SHORT_LINE = 8;
-    /** The first calls of a fleet that starts together are so far apart; one alone should not wait long. */
+    /** Mean spacing of the first calls of a fleet that starts at the same time; short, for dispatchers that start alone. */
     private static final long EACH_FIRST = 150_000;
-    /** A failure shows that the line is too long already, with calls in it that nobody waits for any more. */
+    /** Mean spacing of retries after a timeout: the queue is too long already and holds abandoned calls. */
     private static final long EACH_AGAIN = 500_000;
 
+    /** Factor by which the spread grows with each consecutive timeout. */
     private static final double GROWTH = 1.5;
-    private static final long AGAIN = 300_000; // half of it at least, before asking again; doubles once
-    /** Of the 6 s after which a change counts as told: the call itself may wait in line for the rest. */
+    /** Base of the pause before a retry, at least half of it; it doubles once. */
+    private static final long AGAIN = 300_000;
+    /** Longest delay that lets a change take effect within 6 s: the call itself may wait in the queue for the rest. */
     private static final long IN_TIME = 4_000_000;
-    /** A watch that fell silent has been so for {@link #SILENCE} by then, and a call may wait 3 s. */
+    /** Longest delay after a silent watch: detection took {@link #SILENCE}, and a call may wait 3 s. */
     private static final long SILENT = 1_500_000;
-    /** While discovery is down: so soon after its return all have called, so far apart if there is time. */
+    /** Longest delay while discovery is down: all dispatchers have called this soon after its return. */
     private static final long DOWN = 4_500_000;
 
+    /** Mean spacing of calls while discovery is down. */
     private static final long EACH_BACK = 250_000;
-    /** So many waits in vain after that are no sign of a line that lasts: all have come back at once. */
+    /** Timeouts after an outage that are not a sign of lasting overload, since all dispatchers return at once. */
     private static final int COMING_BACK = 2;
 
     private static final int MOST_FAILURES = 16;
-    /** Timers run on another clock than ours, and may come up a little before their time. */
+    /** Timers run on another clock and may fire a little early. */
     private static final long EARLY = 50_000;
 
-    private final int line; // callers beyond those that can wait in turn
+    /** Callers beyond {@link #SHORT_LINE}. */
+    private final int line;
+
     private final long longest;
     private int failures;
     private boolean watching;
@@ -48,50 +53,50 @@
     private long dueAt = Long.MAX_VALUE;
 
     /**
-     * A pace among so many callers.
+     * Creates the schedule of one of {@code callers} dispatchers.
      *
-     * @param longest the most that may pass between a failed call and the next one
+     * @param longest longest time between a failed call and the next one
      */
     public CallPace(int callers, long longest) {
         line = Math.max(0, callers - SHORT_LINE);
         this.longest = longest;
     }
 
-    /** How long until the first call: a fleet may have started together, or this one alone. */
+    /** Delay of the first call after a start, alone or at the same time as the whole fleet. */
     public long first(SplittableRandom random) {
         return line == 0 ? 0 : random.nextLong(Math.min(IN_TIME, line * EACH_FIRST));
     }
 
-    /** How long until the next call, one having failed or a watch having ended. */
-    public long again(SplittableRandom random, WatchEnd how) {
+    /** Delay of the next call after a call has failed or a watch has ended. */
+    public long again(SplittableRandom random, WatchEnd reason) {
         long pause = AGAIN << Math.min(failures, 1);
-        boolean late = how == WatchEnd.LATE || how == WatchEnd.ENDED && !watching;
-        boolean lasting = late && comingBack == 0;
-        comingBack = late ? Math.max(0, comingBack - 1) : COMING_BACK;
-        // danger: a watch that ends is no failed call, and does not allow what that allows
-        long most = how == WatchEnd.SILENT ? SILENT : how == WatchEnd.DOWN ? DOWN : lasting ? longest : IN_TIME;
-        double grown = line * (late ? EACH_AGAIN * (lasting ? Math.pow(GROWTH, failures) : 1) : EACH_BACK);
-        failures = lasting ? Math.min(failures + 1, MOST_FAILURES) : Math.max(failures, 1);
+        boolean timedOut = reason == WatchEnd.LATE || reason == WatchEnd.ENDED && !watching;
+        boolean overloaded = timedOut && comingBack == 0;
+        comingBack = timedOut ? Math.max(0, comingBack - 1) : COMING_BACK;
+        // The longest delay is allowed after a timeout only, not when a watch has merely ended.
+        long limit = reason == WatchEnd.SILENT ? SILENT : reason == WatchEnd.DOWN ? DOWN : overloaded ? longest : IN_TIME;
+        double wantedSpread = line * (timedOut ? EACH_AGAIN * (overloaded ? Math.pow(GROWTH, failures) : 1) : EACH_BACK);
+        failures = overloaded ? Math.min(failures + 1, MOST_FAILURES) : Math.max(failures, 1);
         watching = false;
-        long spread = (long) Math.min(most - 2 * pause, grown);
-        // a few need no spread: what they wait is lost of the time in which a change has to be told
+        long spread = (long) Math.min(limit - 2 * pause, wantedSpread);
+        // A few callers need no spread: any delay reduces the time left for a change to take effect.
         return pause / 2 + random.nextLong(line == 0 ? pause / 2 : pause) + (spread > 0 ? random.nextLong(spread) : 0);
     }
 
-    /** A timer is set for the next call; of several the last one counts. */
-    public long after(long wait, long now) {
-        dueAt = now + wait;
-        return wait;
+    /** Notes the time of the next call. Only the most recent one counts. */
+    public long after(long delay, long now) {
+        dueAt = now + delay;
+        return delay;
     }
 
-    /** Whether a timer that has come up is that of the next call: each end has one successor. */
+    /** Whether a timer that has fired is that of the next call; true once for each scheduled call. */
     public boolean isDue(long now) {
         boolean due = dueAt - now <= EARLY;
         dueAt = due ? Long.MAX_VALUE : dueAt;
         return due;
     }
 
-    /** Discovery has told something. */
+    /** Discovery has sent the list or a change. */
     public void served() {
         failures = 0;
         watching = true;
--- a/src/main/java/saffronferry/fleet/ColdBudget.java
+++ b/src/main/java/saffronferry/fleet/ColdBudget.java
@@ -1,40 +1,48 @@
 package saffronferry.fleet;
 
 /**
- * What may be sent to one cold worker now, out of what all together may send: a bucket filled at the part of
- * the whole rate that is ours. A job goes when the bucket owes nothing, and is paid for after. So that many
- * buckets, each with a small part, let no job each go at once, they begin owing evenly spread parts of a
- * job, and what nobody asks for is lost but for a little time's worth; so they stay spread. Worked out in
- * docs/design/fleet-faults.md. Work in microseconds of slot time. Pure: the clock is handed in.
+ * Token bucket for the work that this dispatcher may send to one cold worker, filled at its share of the rate that is
+ * allowed to all dispatchers together.
+ *
+ * <p>A job may be sent while the balance is not negative, and is charged afterwards. Many buckets with small shares
+ * must not all release a job at the same time: they start with a debt of evenly spread parts of a job, and unused
+ * tokens expire after a short time, so that they stay spread. See docs/design/fleet-faults.md. Work is in microseconds
+ * of slot time. The clock is passed in.
  */
 public final class ColdBudget {
-    /** So much time's worth is kept for a job that comes a little later, and a right to send one as long. */
+    /** Time for which unused tokens, and an unused right to send a job, are kept. */
     private static final long KEPT = 200_000;
-    /** Who has all of it knows what was sent. Where many each have a part, their jobs meet by chance. */
+    /** Part of the rate left unused by small shares, since jobs of several dispatchers may coincide. */
     private static final double ROOM = 0.3;
-    /** For so long a part once worked out is taken to stand: well below what leases allow for clocks. */
+    /** Time for which a computed share is reused: well below the clock error that leases allow for. */
     private static final long LOOK = 25_000;
 
     private double left;
-    private double coming; // filled since a job last asked
+    /** Tokens accrued since a job was last requested. */
+    private double coming;
+
     private long at;
-    private long since; // when it last came to owe nothing
+    /** When the balance last stopped being negative. */
+    private long since;
+
     private double part = 1;
-    private double kept; // the most that is kept of what nobody asks for
+    /** Upper bound of the tokens that are kept unused. */
+    private double kept;
+
     private long lookedAt = Long.MIN_VALUE;
     private boolean begun;
-    /** What the worker itself shows of the others' parts. */
+    /** Growth beyond the own share, on evidence from the worker that other shares are unused. */
     public final Growth growth = new Growth();
 
-    /** The worker has started anew. */
+    /** Starts again after a restart of the worker. */
     public void reset() {
         begun = false;
         growth.reset();
     }
 
-    /** Our part of the whole now, at a worker that we guard ({@link ColdShares#part}). */
+    /** This dispatcher's share of the allowed rate at a worker that it guards; see {@link ColdShares#part}. */
     public double part(ColdShares shares, long now, int worker, boolean home) {
-        // guards against a lease that ran out while this process was stopped
+        // Recomputed after a pause of the process, during which leases may have expired.
         if (lookedAt == Long.MIN_VALUE || now - lookedAt >= LOOK || now < lookedAt) {
             part = shares.part(now, worker, home);
             lookedAt = now;
@@ -42,18 +50,18 @@
         return part;
     }
 
-    /** Whether, when last looked at, most of the whole was in other hands. */
+    /** Whether the share, when last computed, was less than half. */
     public boolean small() {
         return part < 0.5;
     }
 
     /**
-     * Whether so much may be spent now.
+     * Whether a job may be sent now.
      *
-     * @param work what is asked; 0 only lets time pass
-     * @param part ours of the whole, 0 to 1
-     * @param rate what all together may send in a microsecond
-     * @param phase of our bucket among the fleet's, 0 to 1 ({@link ColdShares#phase})
+     * @param work slot time of the job; 0 only accrues tokens
+     * @param part this dispatcher's share of the rate, 0 to 1
+     * @param rate slot time that all dispatchers together may send per microsecond
+     * @param phase position of this bucket among the fleet's, 0 to 1; see {@link ColdShares#phase}
      */
     public boolean covers(double work, long now, double part, double rate, double phase) {
         if (!begun && work <= 0) {
@@ -66,37 +74,37 @@
             at = now;
             since = now;
         }
-        double ours = part * rate * (1 - ROOM * (1 - part));
-        kept = ours * KEPT;
-        coming = Math.min(coming + ours * Math.max(0, now - at), kept);
+        double ownRate = part * rate * (1 - ROOM * (1 - part));
+        kept = ownRate * KEPT;
+        coming = Math.min(coming + ownRate * Math.max(0, now - at), kept);
         at = Math.max(at, now);
         if (work <= 0) {
             return false;
         }
-        // guards against rights that many have gathered while other workers had room, used all at once
+        // An unused right to send expires: otherwise many dispatchers could use theirs at once.
         if (left >= 0 && now - since > KEPT) {
             left -= (1 - part) * work;
             since = now;
         }
-        boolean owed = left < 0;
+        boolean inDebt = left < 0;
         left = Math.min(left + coming, Math.max(left, kept));
         coming = 0;
-        since = owed && left >= 0 ? now : since;
+        since = inDebt && left >= 0 ? now : since;
         return left >= 0;
     }
 
-    /** Some that was lent comes back unspent; what could not have been kept meanwhile is lost. */
+    /** Credits transferred budget that is returned unused, up to what would have been kept. */
     public void back(double work) {
         left = Math.min(left + work, Math.max(left, kept));
     }
 
-    /** A job of ours is sent at that time; 0 where nobody will tell of its start. */
+    /** Charges a job that is sent now; {@code now} is 0 if its start will not be reported. */
     public void send(double work, long now) {
         spend(work);
         growth.sent(now);
     }
 
-    /** Some of it is sent, or lent: whoever it is lent to may spend it, or lose it, and we do not. */
+    /** Charges work that is sent, or budget that is transferred to another dispatcher. */
     public void spend(double work) {
         left -= work;
     }
--- a/src/main/java/saffronferry/fleet/ColdShares.java
+++ b/src/main/java/saffronferry/fleet/ColdShares.java
@@ -4,28 +4,32 @@
 import java.util.BitSet;
 
 /**
- * Who of a fleet may spend what a cold worker can take, so that all together never spend much more than the
- * whole, whatever they hear of each other. Each dispatcher of the fleet, heard or not, has an even part; so
- * who hears nobody has its own part and nothing more. Whoever hears others leaves its part at a worker to
- * the guardian among them: it tells whom it hears, and that word counts for a lease. Worked out in
- * docs/design/fleet-faults.md.
- * Pure; times in microseconds.
+ * Divides the budget of cold workers among the dispatchers of a fleet, so that all together never spend much more than
+ * the whole, even without contact to each other.
+ *
+ * <p>Each dispatcher of the fleet, heard or not, has an even share; one that hears no other has its own share only. A
+ * dispatcher that hears others delegates its share of a worker to that worker's guardian among them: it sends a grant
+ * that names these dispatchers and is valid for a lease. Times are in microseconds. See docs/design/fleet-faults.md.
  */
 public final class ColdShares {
-    /** How long a word counts. Who has said it must go on hearing whom it named for as long. */
+    /** Time for which a grant is valid. Its sender must not forget the dispatchers that it names for as long. */
     public static final long LEASE = 1_000_000;
-    /** How far two machines' readings of the one clock may lie apart. */
+    /** Largest difference between two machines' clocks. */
     public static final long CLOCK_ERROR = 100_000;
 
     private final int self;
     private final BitSet[] words;
     private final long[] saidAt;
-    private final BitSet elsewhere = new BitSet(); // of other zones, as far as known; that never changes
-    private final boolean[] hearsUs; // by its last word; true where it has said none
-    private final long[] namedAt; // when our word last named it
+    /** Dispatchers known to be in other zones; a dispatcher never changes its zone. */
+    private final BitSet elsewhere = new BitSet();
+    /** Whether each dispatcher's last grant says that it hears this one; true without a grant. */
+    private final boolean[] hearsUs;
+    /** When this dispatcher's grant last named each dispatcher. */
+    private final long[] namedAt;
+
     private BitSet near = new BitSet();
 
-    /** For one of so many dispatchers. */
+    /** Creates the shares of dispatcher {@code self} in a fleet of {@code dispatchers}. */
     public ColdShares(int self, int dispatchers) {
         this.self = self;
         words = new BitSet[dispatchers];
@@ -36,86 +40,87 @@
         near.set(self);
     }
 
-    /** Whom of our zone we hear, ourselves included: they share its workers with us. */
+    /** Sets the dispatchers of this zone that this one hears, itself included. They share the zone's workers. */
     public void near(int[] members) {
         near = new BitSet();
-        for (int m : members) {
-            near.set(m);
+        for (int member : members) {
+            near.set(member);
         }
     }
 
-    /** Whether this is our own number. */
+    /** Whether that is this dispatcher's own number. */
     public boolean isSelf(int dispatcher) {
         return dispatcher == self;
     }
 
     /**
-     * Whether one that we hear can be left our part. One whose own word does not name us hears nothing of
-     * us, and would leave it unused; but what we have told stands for a lease.
+     * Whether this dispatcher's share may be delegated to another one that it hears. One whose last grant shows that it
+     * does not hear this dispatcher would leave the share unused; but a grant that was sent is valid for a lease.
      */
     public boolean counts(int dispatcher, long now) {
         return hearsUs[dispatcher] || now - saidAt[dispatcher] > LEASE || now - namedAt[dispatcher] <= LEASE;
     }
 
-    /** Who is known to be of another zone: who has just started learns it from its neighbours at once. */
+    /** The dispatchers known to be in other zones, to be sent to a peer that has just started. */
     public BitSet elsewhere() {
         return (BitSet) elsewhere.clone();
     }
 
     /**
-     * What we are about to tell: to whom we leave our part, out of those we hear; it stands for a lease.
-     * Left out is who has said that it hears nothing of us, and whom we do not count.
+     * The grant to send now, valid for a lease: the dispatchers among which each worker's guardian gets this
+     * dispatcher's share. It omits dispatchers that do not hear this one and those that are not zone members.
      *
-     * @param hears whom we hear, ourselves included, and shall not forget for a lease
+     * @param heard the dispatchers that this one hears, itself included, and will not forget for a lease
      */
-    public BitSet word(BitSet hears, long now) {
-        BitSet word = new BitSet();
-        for (int k = hears.nextSetBit(0); k >= 0; k = hears.nextSetBit(k + 1)) {
+    public BitSet word(BitSet heard, long now) {
+        BitSet grantees = new BitSet();
+        for (int k = heard.nextSetBit(0); k >= 0; k = heard.nextSetBit(k + 1)) {
             if (k != self && near.get(k) && hearsUs[k]) {
                 namedAt[k] = now;
-                word.set(k);
+                grantees.set(k);
             }
         }
-        word.set(self);
-        return word;
+        grantees.set(self);
+        return grantees;
     }
 
     /**
-     * A dispatcher speaks. {@code word}: to whom it leaves its part, itself included, or null where it does
-     * not say. Older words than the last one, and words from the future, change nothing.
+     * Handles the grant in a peer's message. Grants that are older than the last one or from the future are ignored.
      *
-     * @param hears whom it hears, those included whom it does not count yet
-     * @param other whether it is of another zone, and so sends nothing to workers of ours
-     * @param elsewhere who it says is of another zone than its own, or null
-     * @param at when it has said so, by the one clock
+     * @param inOtherZone whether the peer is in another zone, and so sends nothing to workers of this one
+     * @param grantees the dispatchers among which the peer delegates its share, itself included, or null
+     * @param heard the dispatchers that the peer hears, including those that it does not delegate to yet
+     * @param inOtherZones the dispatchers that the peer knows to be in other zones than its own, or null
+     * @param at when the message was sent, by the shared clock
      */
-    public void says(int dispatcher, boolean other, BitSet word, BitSet hears, BitSet elsewhere, long at, long now) {
-        if (elsewhere != null && !other) {
-            this.elsewhere.or(elsewhere);
-            this.elsewhere.clear(words.length, Math.max(words.length, this.elsewhere.length()));
-            this.elsewhere.clear(self);
+    public void says(
+            int dispatcher, boolean inOtherZone, BitSet grantees, BitSet heard, BitSet inOtherZones, long at, long now) {
+        if (inOtherZones != null && !inOtherZone) {
+            elsewhere.or(inOtherZones);
+            elsewhere.clear(words.length, Math.max(words.length, elsewhere.length()));
+            elsewhere.clear(self);
         }
-        this.elsewhere.set(dispatcher, other);
-        if (word != null && at >= saidAt[dispatcher] && at <= now + CLOCK_ERROR) {
-            words[dispatcher] = word;
-            hearsUs[dispatcher] = hears.get(self);
+        elsewhere.set(dispatcher, inOtherZone);
+        if (grantees != null && at >= saidAt[dispatcher] && at <= now + CLOCK_ERROR) {
+            words[dispatcher] = grantees;
+            hearsUs[dispatcher] = heard.get(self);
             saidAt[dispatcher] = at;
         }
     }
 
-    /** Who of ourselves and those we hear fills a worker as long as it is cold. */
+    /** The guardian of a worker: the one of this dispatcher and the zone members heard that fills it while it is cold. */
     public int guardian(int worker) {
         return guardian(worker, near);
     }
 
-    /** By rendezvous hashing, plain: who wins does not hang on which other workers a list names already. */
+    /** The guardian by plain rendezvous hashing, so that it does not depend on the other workers of the list. */
     public static int guardian(int worker, BitSet among) {
         int best = -1;
         long bestScore = 0;
-        for (int m = among.nextSetBit(0); m >= 0; m = among.nextSetBit(m + 1)) {
-            long score = Owners.score(worker, m);
+        for (int member = among.nextSetBit(0); member >= 0; member = among.nextSetBit(member + 1)) {
+            long score = Owners.score(worker, member);
             if (best < 0 || score > bestScore) {
-                best = m;
+                best = member;
                 bestScore = score;
             }
         }
@@ -123,53 +128,55 @@
     }
 
     /**
-     * The part of what all together may send to a worker that we guard which is ours: our own, and those left
-     * to us. To be asked anew while time passes: a dispatcher that was stopped finds its leases run out.
-     * Who is known to be of another zone has no part in workers of ours. For all others one is set aside: who
-     * knows less takes less, and all together never more than the whole.
+     * This dispatcher's share of the budget of a worker that it guards: its own and those delegated to it. It has to be
+     * computed again as time passes: leases may have expired while the process was stopped.
+     *
+     * <p>Dispatchers known to be in other zones have no share of this zone's workers. All others count, so that one
+     * that knows less takes less and all together never more than the whole.
      *
-     * @param home whether the worker is of our zone. One adopted from a zone without dispatchers may have
-     *     some there after all, whom we do not hear, and they share all of it: we have none until it is warm
+     * @param inOwnZone whether the worker is in this zone. If not, it was adopted from a zone that seems to have no
+     *     dispatchers; it may have some that this one does not hear, and they share the whole. The share is then 0
      * @return 0 to 1
      */
-    public double part(long now, int worker, boolean home) {
-        if (!home) {
+    public double part(long now, int worker, boolean inOwnZone) {
+        if (!inOwnZone) {
             return 0;
         }
-        int held = 1;
-        BitSet before = null;
-        boolean leftToUs = false;
+        int heldShares = 1;
+        BitSet previous = null;
+        boolean delegated = false;
         for (int k = 0; k < words.length; k++) {
-            BitSet word = words[k];
+            BitSet grantees = words[k];
             if (k == self || elsewhere.get(k) || !stands(k, now)) {
                 continue;
             }
-            if (!word.equals(before)) { // as most are
-                leftToUs = word.get(k) && guardian(worker, word) == self;
-                before = word;
+            // Most grants name the same dispatchers, so the guardian is computed only if they differ.
+            if (!grantees.equals(previous)) {
+                delegated = grantees.get(k) && guardian(worker, grantees) == self;
+                previous = grantees;
             }
-            held += leftToUs && word.get(k) ? 1 : 0;
+            heldShares += delegated && grantees.get(k) ? 1 : 0;
         }
-        return (double) held / (words.length - elsewhere.cardinality());
+        return (double) heldShares / (words.length - elsewhere.cardinality());
     }
 
-    private boolean stands(int k, long now) {
-        return words[k] != null && now - saidAt[k] < LEASE - CLOCK_ERROR;
+    private boolean stands(int dispatcher, long now) {
+        return words[dispatcher] != null && now - saidAt[dispatcher] < LEASE - CLOCK_ERROR;
     }
 
-    /** Whether another's part at a worker is left to us now; {@link #part} sums these up. */
-    public boolean leftToUs(int k, long now, int worker) {
-        return k != self
-                && !elsewhere.get(k)
-                && stands(k, now)
-                && words[k].get(k)
-                && guardian(worker, words[k]) == self;
+    /** Whether a dispatcher's share of a worker is delegated to this one now; {@link #part} counts these. */
+    public boolean leftToUs(int dispatcher, long now, int worker) {
+        return dispatcher != self
+                && !elsewhere.get(dispatcher)
+                && stands(dispatcher, now)
+                && words[dispatcher].get(dispatcher)
+                && guardian(worker, words[dispatcher]) == self;
     }
 
-    /** The same, to be tried further from here. */
+    /** An independent copy, for the state-space explorer. */
     public ColdShares copy() {
         ColdShares other = new ColdShares(self, words.length);
-        System.arraycopy(words, 0, other.words, 0, words.length); // words never change
+        System.arraycopy(words, 0, other.words, 0, words.length); // the sets are never modified
         System.arraycopy(saidAt, 0, other.saidAt, 0, saidAt.length);
         System.arraycopy(hearsUs, 0, other.hearsUs, 0, hearsUs.length);
         System.arraycopy(namedAt, 0, other.namedAt, 0, namedAt.length);
@@ -178,7 +185,7 @@
         return other;
     }
 
-    /** All that decides what it does from a time on: equal for two that will always do the same. */
+    /** Canonical form of the state at a time: equal for two objects that will always behave the same. */
     public String state(long now) {
         StringBuilder all = new StringBuilder().append(near);
         for (int k = 0; k < words.length; k++) {
@@ -190,7 +197,7 @@
         return all.append(elsewhere).toString();
     }
 
-    /** Where our bucket at a worker stands among the fleet's: evenly spread over 0 to 1, another at each. */
+    /** Position of this dispatcher's bucket for a worker among the fleet's buckets, evenly spread over 0 to 1. */
     public double phase(int worker) {
         return (Math.floorMod(self + (long) worker, (long) words.length) + 0.5) / words.length;
     }
--- a/src/main/java/saffronferry/fleet/Growth.java
+++ b/src/main/java/saffronferry/fleet/Growth.java
@@ -1,37 +1,40 @@
 package saffronferry.fleet;
 
 /**
- * How far a dispatcher may go beyond the part of a cold worker's budget that is its own, or left to it, on
- * evidence from the worker alone: whether jobs start there at once. As long as they do it has free slots,
- * so that all together send less than it can do, and the part doubles each {@link #PACE}; a job that has to
- * wait, or is turned away, ends it at once. So the dead ones' parts are not idle until the worker is warm.
- * Pure; times in microseconds. Worked out in docs/design/fleet-faults.md.
+ * Lets a dispatcher exceed its share of a cold worker's budget while jobs start on the worker without delay.
+ *
+ * <p>Prompt starts show that the worker has free slots, hence that all dispatchers together send less than it can
+ * handle; the share then doubles every {@link #PACE}. A job that has to wait or is rejected resets it. In this way the
+ * shares of failed dispatchers do not stay unused until the worker is warm. Times are in microseconds. See
+ * docs/design/fleet-faults.md.
  */
 public final class Growth {
-    /** A part grows by its own size in that time at most, if a job has started at once meanwhile. */
+    /** Least time between doublings, each of which needs a job that started promptly meanwhile. */
     public static final long PACE = 500_000;
-    /** While nothing is sent there it is halved in that time: a small part allows a job only so often. */
+    /** Time between halvings without jobs; long, since a small share allows a job only now and then. */
     public static final long FADE = 8 * PACE;
-    /** A job that has not started by then waits: more than a connection and two ways take. */
+    /** Longest time to a prompt start: more than connection setup and a round trip take. */
     public static final long AT_ONCE = 150_000;
-    /** After a job that had to wait nothing grows for so long. */
+    /** Time without growth after a job had to wait. */
     private static final long REST = 2 * PACE;
 
     private static final double MOST = 1 << 10;
-    /** Of what all together may send: two thirds of what the rule allows, where that is half of it. */
+    /** Limit of a grown share, relative to {@link ColdRate}: two thirds of the load at which a worker fails. */
     private static final double BEYOND = 4.0 / 3;
 
     private double factor = 1;
-    private long since; // of the last step
-    private long oldest; // when the oldest job was sent of which no start is told; 0: none
+    private long since;
+    /** When the oldest job without a reported start was sent; 0 if there is none. */
+    private long oldest;
+
     private boolean startedOne;
 
-    /** A job is sent there; 0: nobody will tell of its start. */
+    /** Records that a job was sent; {@code now} is 0 if its start will not be reported. */
     public void sent(long now) {
         oldest = oldest == 0 ? now : oldest;
     }
 
-    /** A job that was sent then is told to have started now. */
+    /** Records the reported start of a job. */
     public void started(long now, long sentAt) {
         if (now - sentAt > AT_ONCE) {
             waited(now);
@@ -41,7 +44,7 @@
         }
     }
 
-    /** A job had to wait, or was turned away. */
+    /** Records that a job had to wait or was rejected. */
     public void waited(long now) {
         factor = 1;
         since = now + REST - PACE;
@@ -49,7 +52,7 @@
         oldest = 0;
     }
 
-    /** The worker has started anew. */
+    /** Starts again after a restart of the worker. */
     public void reset() {
         factor = 1;
         since = 0;
@@ -57,12 +60,12 @@
         startedOne = false;
     }
 
-    /** What one may spend now whose part that is, of what all together may. */
+    /** The share of the allowed rate that a dispatcher with the given share may use now. */
     public double of(double part, long now) {
         return Math.min(BEYOND, part * factor(now));
     }
 
-    /** So many times its part. */
+    /** Current multiple of the share. */
     public double factor(long now) {
         if (oldest != 0 && now - oldest > AT_ONCE) {
             waited(now);
@@ -72,7 +75,7 @@
             startedOne = false;
             since = now;
         } else if (now - since >= FADE) {
-            // guards against growth that outlives its evidence: what nobody tried says nothing
+            // Without recent jobs there is no evidence that the worker still has free slots.
             factor = Math.max(1, factor / 2);
             since = now;
         }
--- a/src/main/java/saffronferry/fleet/Lent.java
+++ b/src/main/java/saffronferry/fleet/Lent.java
@@ -4,27 +4,30 @@
 import java.util.List;
 
 /**
- * The lender's side of parts of cold workers' budgets: what it has lent to one dispatcher and may get back.
- * Who borrows gives back at once what it has no job for, and has spent it before it says so; here a part
- * comes back once, to the process that lent it, and never more than was lent. So a word that is lost wastes
- * the part, and one that is late, doubled or for another process is nothing; a forged one gives back what
- * that peer has borrowed and may use as well, one part at a worker.
- * Pure; times in microseconds, work in microseconds of slot time.
+ * Records the cold-worker budget that this dispatcher has transferred to one peer and may get back (escrow).
+ *
+ * <p>The peer returns at once what it has no job for, and deducts it before it sends the return. A transfer is returned
+ * at most once, only to the process that made it, and never with more than was transferred. So a lost return wastes
+ * the budget, and one that is late, duplicated or meant for another process is ignored. A forged return can only
+ * restore budget that the peer holds and could use as well, one transfer for each worker. Times are in microseconds,
+ * work in microseconds of slot time.
  */
 public final class Lent {
-    /** Parts are good for less; what is told later is none of these. */
+    /** Transfers expire sooner than this; later returns are ignored. */
     private static final long BACK_WITHIN = 2_000_000;
-    /** To one dispatcher, at all workers: more are not lent within that time. */
+    /** Maximum number of recorded transfers to one peer, for all workers. */
     private static final int MOST = 64;
 
-    private static final int STAMP_BITS = 12; // a message's stamp counts some four milliseconds, in 16 bits
+    /** A message carries 16 bits of the timestamp, in units of 2^12 microseconds. */
+    private static final int STAMP_SHIFT = 12;
+
     private static final int STAMP = 0xFFFF;
 
     private record Part(int worker, long at, double work) {}
 
     private final List<Part> out = new ArrayList<>();
 
-    /** So much is lent at a worker, in a message with that stamp; it is spent. */
+    /** Records a transfer of budget for a worker, which the caller has already charged. */
     public void lent(int worker, long at, double work) {
         out.removeIf(p -> at - p.at > BACK_WITHIN);
         if (out.size() < MOST) {
@@ -33,14 +36,15 @@
     }
 
     /**
-     * So much of what was lent at a worker, in a message with that stamp, is told to come back.
+     * Handles the return of budget for a worker.
      *
-     * @return what may be spent again
+     * @param at timestamp of the transfer that is returned
+     * @return the work to credit; 0 if the return is late or does not match a transfer
      */
     public double back(int worker, long at, double work, long now) {
         for (int i = 0; i < out.size(); i++) {
             Part p = out.get(i);
-            if (p.worker == worker && (p.at >> STAMP_BITS & STAMP) == (at >> STAMP_BITS & STAMP)) {
+            if (p.worker == worker && (p.at >> STAMP_SHIFT & STAMP) == (at >> STAMP_SHIFT & STAMP)) {
                 out.remove(i);
                 return now - p.at <= BACK_WITHIN ? Math.max(0, Math.min(work, p.work)) : 0;
             }
--- a/src/main/java/saffronferry/fleet/Loan.java
+++ b/src/main/java/saffronferry/fleet/Loan.java
@@ -1,26 +1,27 @@
 package saffronferry.fleet;
 
 /**
- * The borrower's side of parts that one lender lends: the lender has spent a part before it tells of it, so
- * that one that is lost, late, told twice, or told to a process that is gone is wasted and never spent twice.
- * Pure; times in microseconds, by the lender's clock where they are stamps.
+ * Checks the cold-worker budget that one peer transfers to this dispatcher (escrow).
+ *
+ * <p>The peer charges a transfer before it sends it. So a transfer that is lost, late, duplicated or meant for an ended
+ * process is wasted, and never spent twice. Times are in microseconds; timestamps are by the sender's clock.
  */
 public final class Loan {
     private long last;
 
     /**
-     * Whether a part counts.
+     * Whether a transfer may be used.
      *
-     * @param at its stamp
-     * @param bornAt when this process began: what was lent until then is the one's before. Not in that very
-     *     moment either: the explorer found a part that two processes spent
-     * @param life how long a part counts
+     * @param at timestamp of the transfer
+     * @param bornAt start of this process. Earlier transfers belong to its predecessor, and so do those of that very
+     *     moment: the state-space explorer found a transfer that two processes spent
+     * @param life time for which a transfer is valid
      */
     public boolean counts(long at, long now, long bornAt, long life) {
         return at > last && at > bornAt && now - at < life && at <= now + ColdShares.CLOCK_ERROR;
     }
 
-    /** The part with that stamp counted; it will not again, nor any older one. */
+    /** Marks a transfer as used: it is not valid again, nor is any older one. */
     public void taken(long at) {
         last = at;
     }
--- a/src/main/java/saffronferry/fleet/Owners.java
+++ b/src/main/java/saffronferry/fleet/Owners.java
@@ -3,48 +3,50 @@
 import java.util.Arrays;
 
 /**
- * Which of a zone's dispatchers fills which of its workers first: rendezvous hashing with an even load. Plain
- * rendezvous hashing leaves a member without any worker with a probability of about e^(-workers/members): of
- * four dispatchers beside four workers one or two live on what the others lend. Here no member has two
- * workers more than another. All that know the same workers and members reckon the same owners; when one
- * comes or goes a small part changes hands.
+ * Assigns each worker of a zone to an owner, the dispatcher that fills it first: rendezvous hashing with even load.
+ *
+ * <p>Plain rendezvous hashing leaves a member without any worker with a probability of about e^(-workers/members): with
+ * four dispatchers and four workers, one or two would depend on slots offered by others. Here the numbers of workers
+ * of two members differ by at most one. Dispatchers that know the same workers and members compute the same owners,
+ * and few workers change their owner when a worker or member is added or removed.
  */
 public final class Owners {
     private Owners() {}
 
     /**
-     * Shares workers out.
+     * Assigns workers to members.
      *
-     * @param workers the workers' hashes, in an order that is the same for all who reckon
-     * @param members the numbers of the dispatchers, at least one, each once, in any order
-     * @return for each worker the number of the member that owns it
+     * @param workers the workers' hashes, in the same order at all dispatchers
+     * @param members the numbers of the dispatchers, at least one, without duplicates, in any order
+     * @return the number of the owner of each worker
      */
     public static int[] share(int[] workers, int[] members) {
         int[] sorted = members.clone();
-        Arrays.sort(sorted); // of equal scores the lower number wins, whoever reckons
-        int[] owned = new int[sorted.length];
+        // Sorted, so that the lower number wins a tie at every dispatcher.
+        Arrays.sort(sorted);
+        int[] ownedCount = new int[sorted.length];
         int[] owner = new int[workers.length];
-        int even = workers.length / sorted.length;
-        int beyond = workers.length % sorted.length; // so many members get one more
+        int evenCount = workers.length / sorted.length;
+        int remainder = workers.length % sorted.length;
         for (int w = 0; w < workers.length; w++) {
             int best = -1;
             long bestScore = 0;
             for (int m = 0; m < sorted.length; m++) {
                 long score = score(workers[w], sorted[m]);
-                boolean hasRoom = owned[m] < even || owned[m] == even && beyond > 0;
+                boolean hasRoom = ownedCount[m] < evenCount || ownedCount[m] == evenCount && remainder > 0;
                 if (hasRoom && (best < 0 || score > bestScore)) {
                     best = m;
                     bestScore = score;
                 }
             }
-            beyond -= owned[best] == even ? 1 : 0;
-            owned[best]++;
+            remainder -= ownedCount[best] == evenCount ? 1 : 0;
+            ownedCount[best]++;
             owner[w] = sorted[best];
         }
         return owner;
     }
 
-    /** A figure that looks random and is the same everywhere; the mixing steps are those of SplitMix64. */
+    /** Pseudo-random score of a pair, the same at all dispatchers; the mixing steps are those of SplitMix64. */
     static long score(int worker, int member) {
         long x = worker * 0x9E3779B97F4A7C15L + member * 0xC2B2AE3D27D4EB4FL;
         x = (x ^ x >>> 30) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/saffronferry/fleet/Sharing.java
+++ b/src/main/java/saffronferry/fleet/Sharing.java
@@ -1,32 +1,33 @@
 package saffronferry.fleet;
 
 /**
- * What a dispatcher shares with others now, for operators.
+ * A dispatcher's sharing of cold workers with the fleet, for operators. Slot times are in microseconds, since the
+ * process started.
  *
- * @param peers dispatchers of the fleet, itself included
- * @param heard of these those whom it hears, itself included
- * @param counted of its zone those to whom it would leave its parts, itself included
- * @param cold workers of its zone that are cold
- * @param guarded of these those that it guards
- * @param part of what all together may send to those it guards, the part that is its own or left to it: 0 to
- *     1, on the mean; 0 where it guards none
- * @param lent slot time that it has lent of such parts since its start, in microseconds
- * @param back of that, what came back unused
- * @param borrowed slot time that it was lent
+ * @param dispatchers dispatchers of the fleet, this one included
+ * @param heard dispatchers that it receives messages from, this one included
+ * @param delegates dispatchers of its zone to which it may delegate its share, this one included
+ * @param coldWorkers cold workers of its zone
+ * @param guardedWorkers cold workers that it guards, that is, fills on behalf of the others
+ * @param meanShare mean share, own and delegated to it, of the budget of the workers that it guards, 0 to 1; 0 if it
+ *     guards none
+ * @param lentSlotTime slot time of budget that it has transferred to others
+ * @param returnedSlotTime part of {@code lentSlotTime} that was returned unused
+ * @param borrowedSlotTime slot time of budget that others have transferred to it
  */
 public record Sharing(
         int peers, int heard, int counted, int cold, int guarded, double part, long lent, long back, long borrowed) {
-    /** What it falls back to. */
+    /** Degree of degradation when peers are silent. */
     public enum Fallback {
-        /** It hears all others. */
+        /** It hears all other dispatchers. */
         NONE,
-        /** Some are silent: their parts are nobody's until the worker itself shows that they are free. */
+        /** Some are silent; their shares stay unused until the worker itself shows free slots. */
         PARTS,
-        /** It hears nobody: its own part, and what workers show. */
+        /** It hears no other dispatcher, and has its own share only, plus growth on evidence from workers. */
         ALONE
     }
 
-    /** A fleet of one has nobody to fall back from. */
+    /** The current degree; a fleet of one is never degraded. */
     public Fallback fallback() {
         return heard >= peers ? Fallback.NONE : heard > 1 ? Fallback.PARTS : Fallback.ALONE;
     }
--- a/src/main/java/saffronferry/fleet/TalkBudget.java
+++ b/src/main/java/saffronferry/fleet/TalkBudget.java
@@ -1,13 +1,16 @@
 package saffronferry.fleet;
 
 /**
- * What a dispatcher may spend on datagrams: a stated part of what its requests are worth, whatever the number
- * of those it speaks with. It decides how many are told at once, and how long until the next exchange. Times
- * in microseconds.
+ * Limits the cost of peer messages to a fixed part of the value of the dispatcher's requests, whatever the number of
+ * peers. It sets how many peers get a message in one exchange and the time until the next one. Times are in
+ * microseconds.
  */
 public final class TalkBudget {
-    private static final double SPEND = 0.006; // part of the result that datagrams may cost
-    private static final double LEAST_RATE = 1; // requests a second: who has none must be heard of too
+    /** Part of the total value of requests that peer messages may cost. */
+    private static final double SPEND = 0.006;
+    /** Request rate assumed at least, so that a dispatcher without requests stays known to its peers. */
+    private static final double LEAST_RATE = 1;
+
     private static final double LEAST_PRICE = 1e-4;
 
     private final double bytesPerRequest;
@@ -16,13 +19,15 @@
     private long spent;
 
     /**
-     * The settings' price is that of one datagram of the greatest length to a request.
+     * Creates a budget.
      *
-     * @param shortest the shortest time between exchanges
-     * @param longest the longest
+     * @param price cost of one datagram of maximum size for each request, relative to the value of the request
+     * @param maxDatagramBytes maximum size of a datagram
+     * @param shortest least time between exchanges
+     * @param longest longest time between exchanges
      */
-    public TalkBudget(double price, int mostBytes, long shortest, long longest) {
-        bytesPerRequest = SPEND / Math.max(price, LEAST_PRICE) * mostBytes;
+    public TalkBudget(double price, int maxDatagramBytes, long shortest, long longest) {
+        bytesPerRequest = SPEND / Math.max(price, LEAST_PRICE) * maxDatagramBytes;
         this.shortest = shortest;
         this.longest = longest;
     }
@@ -31,20 +36,20 @@
         return bytesPerRequest * Math.max(rate, LEAST_RATE);
     }
 
-    /** A datagram has been sent. */
+    /** Records a sent datagram. */
     public void spent(int bytes) {
         spent += bytes;
     }
 
-    /** How many of so many peers may hear a datagram of that size in one exchange, at that rate. */
+    /** Number of peers, at least one, that may get a datagram of that size in one exchange at that request rate. */
     public int fan(int peers, int bytes, double rate) {
         return (int) Math.max(1, Math.min(peers, bytesPerS(rate) * shortest * 2 / 1e6 / bytes));
     }
 
-    /** How long until the next exchange, by what has been spent since the last one. */
+    /** Time until the next exchange, by the bytes sent since the last one. */
     public long period(double rate) {
-        long paid = (long) (spent / bytesPerS(rate) * 1e6);
+        long paidTime = (long) (spent / bytesPerS(rate) * 1e6);
         spent = 0;
-        return Math.max(shortest, Math.min(longest, paid));
+        return Math.max(shortest, Math.min(longest, paidTime));
     }
 }
--- a/src/main/java/saffronferry/fleet/WatchEnd.java
+++ b/src/main/java/saffronferry/fleet/WatchEnd.java
@@ -1,13 +1,13 @@
 package saffronferry.fleet;
 
-/** How a call to discovery, or the watch that came of it, has ended. */
+/** How a call to discovery, or the watch that it opened, has ended. */
 public enum WatchEnd {
-    /** Nobody took the call, or it was ended at once: it has cost discovery nothing. */
+    /** The connection was refused or closed at once; the call has cost discovery nothing. */
     DOWN,
-    /** It failed after a wait: the line of callers is too long already. */
+    /** The call timed out: discovery's queue is too long already. */
     LATE,
-    /** The watch had told the list, and was ended; of a call that never told anything: like {@link #LATE}. */
+    /** The watch was closed after it had delivered the list; for a call without a list it means {@link #LATE}. */
     ENDED,
-    /** The watch had told the list, and then nothing any more, though nobody has ended it. */
+    /** The watch has delivered the list and then no more data, although the connection is open. */
     SILENT
 }
--- a/src/main/java/saffronferry/fleet/package-info.java
+++ b/src/main/java/saffronferry/fleet/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the dispatchers of a fleet divide among themselves without speaking of it: each reckons the same from
- * what all of them know. Pure: no I/O, no clock, no randomness of its own.
+ * Sharing among the dispatchers of a fleet: owners of workers, shares of the budgets of cold workers and transfers
+ * between them, and the pace of peer messages and of calls to discovery. Pure logic: no I/O, no clock and no source of
+ * randomness of its own.
  */
 package saffronferry.fleet;
