--- a/src/main/java/saffronferry/Balancer.java
+++ b/src/main/java/saffronferry/Balancer.java
@@ -27,7 +27,8 @@
     /** Handles an event and returns the actions that follow. Events about unknown RPCs have no effect. */
     public List<BalancerAction> report(long now, BalancerEvent event) {
         if (event instanceof BalancerEvent.AttemptEnded ended) {
-            module.attemptEnded(now, ended.rpc(), ended.attempt(), ended.outcome(), ended.took(), ended.answered(), ended.load());
+            module.attemptEnded(
+                    now, ended.rpc(), ended.attempt(), ended.outcome(), ended.took(), ended.answered(), ended.load());
         } else if (event instanceof BalancerEvent.AttemptMoved progressed) {
             module.note(now, progressed.rpc(), progressed.attempt(), progressed.started());
         } else if (event instanceof BalancerEvent.ClientGone gone) {
--- a/src/main/java/saffronferry/fleet/CallPace.java
+++ b/src/main/java/saffronferry/fleet/CallPace.java
@@ -18,7 +18,7 @@
     public static final long FIRST_LIST = 3_300_000;
     /** With no more callers than this, the last one in the queue is still served in time. */
     private static final int SHORT_LINE = 8;
-    /** Mean spacing of the first calls of a fleet that starts at the same time; short, for dispatchers that start alone. */
+    /** Mean spacing of the first calls of a fleet that starts together; low, for dispatchers that start alone. */
     private static final long EACH_FIRST = 150_000;
     /** Mean spacing of retries after a timeout: the queue is too long already and holds abandoned calls. */
     private static final long EACH_AGAIN = 500_000;
--- a/src/main/java/saffronferry/fleet/ColdShares.java
+++ b/src/main/java/saffronferry/fleet/ColdShares.java
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The guardian of a worker: the one of this dispatcher and the zone members heard that fills it while it is cold. */
+    /** The guardian of a worker, which fills it while it is cold: this dispatcher or one of the zone members. */
     public int guardian(int worker) {
         return guardian(worker, near);
     }
--- a/src/main/java/saffronferry/limit/AcceptGate.java
+++ b/src/main/java/saffronferry/limit/AcceptGate.java
@@ -3,90 +3,93 @@
 import saffronferry.limit.Descriptors.Purpose;
 
 /**
- * Whether the next waiting connection is accepted. While it is not, the system's backlog keeps it. Accepting
- * pauses when its purpose has no descriptor left, until one is free again, and after a failure of the
- * system's call, for a time that doubles with each failure on end. Times in milliseconds. For one thread.
+ * Decides whether the next pending connection is accepted or stays in the system's backlog.
+ *
+ * <p>Accepting pauses when no descriptor is available for the purpose, until one is released, and after a failed system
+ * call, for a time that doubles with each consecutive failure. Times are in milliseconds. Not thread-safe.
  */
 public final class AcceptGate {
-    /** After the first failure, and at most. */
+    /** Pause after the first failure. */
     static final long FIRST_PAUSE = 10;
 
     static final long LONGEST_PAUSE = 500;
+    /** Connections accepted in one turn of the event loop; more would delay requests in progress. */
+    static final int MOST_A_TURN = 8;
+    /** After a start, one more connection per turn is accepted each time that this many have been accepted. */
+    private static final int A_STEP = 8;
 
     private final Descriptors descriptors;
     private final Purpose purpose;
     private final int tight;
-    /** In one turn of the loop: requests under way must not wait behind a crowd of newcomers. */
-    static final int MOST_A_TURN = 8;
-    /** A start is cold: its turns take on one more each time that so many have come in. */
-    private static final int A_STEP = 8;
 
     private long pause = FIRST_PAUSE;
     private int accepted;
     private int leaving;
     private long closedUntil = Long.MIN_VALUE;
 
-    /** For clients' connections. */
+    /** Creates a gate for clients' connections. */
     public AcceptGate(Descriptors descriptors) {
         this(descriptors, Purpose.CLIENTS, Descriptors.TIGHT);
     }
 
     /**
-     * For connections of a purpose, of which the silent are to go where no more than {@code tight} are left.
+     * Creates a gate for connections of a purpose.
+     *
+     * @param lowMark idle connections should be closed while fewer descriptors than this are available
      */
-    public AcceptGate(Descriptors descriptors, Purpose purpose, int tight) {
+    public AcceptGate(Descriptors descriptors, Purpose purpose, int lowMark) {
         this.descriptors = descriptors;
         this.purpose = purpose;
-        this.tight = tight;
+        this.tight = lowMark;
     }
 
-    /** Takes a descriptor for a connection to be accepted now; false if accepting is to pause. */
+    /** Takes a descriptor for a connection to be accepted now; false if accepting is paused. */
     public boolean enter(long now) {
         return now >= closedUntil && descriptors.take(purpose);
     }
 
-    /** The connection entered for is here. */
+    /** The connection for which a descriptor was taken has been accepted. */
     public void accepted() {
         pause = FIRST_PAUSE;
         accepted = Math.min(accepted + 1, A_STEP * MOST_A_TURN);
     }
 
-    /** No connection waited after all. */
+    /** No connection was pending; gives the descriptor back. */
     public void nothing() {
         descriptors.release(purpose);
     }
 
-    /** The call failed; how long to pause. */
+    /** The system call failed; returns the time to pause. */
     public long failed(long now) {
-        long wait = pause;
-        closedUntil = now + wait;
+        long currentPause = pause;
+        closedUntil = now + currentPause;
         pause = Math.min(LONGEST_PAUSE, 2 * pause);
         descriptors.release(purpose);
-        return wait;
+        return currentPause;
     }
 
-    /** A connection has ended, but the system is yet to give its descriptor back. */
+    /** A connection is being closed; its descriptor is still in use. */
     public void leaving() {
         leaving++;
     }
 
-    /** What was {@link #leaving} has left: its descriptor is free. */
+    /** A connection reported to {@link #leaving()} is closed; releases its descriptor. */
     public void left() {
         leaving--;
         descriptors.release(purpose);
     }
 
-    /** Whether a paused accepting may go on. */
+    /** Whether accepting may resume after a pause. */
     public boolean mayResume(long now) {
         return now >= closedUntil && descriptors.left(purpose) > 0;
     }
 
-    /** How many waiting connections a turn of the loop may take in. */
+    /** Number of pending connections that one turn of the event loop may accept. */
     public int perTurn() {
         return Math.min(MOST_A_TURN, 1 + accepted / A_STEP);
     }
 
-    /** Whether those that say nothing should make room for newcomers. */
+    /** Whether idle connections should be closed to make room for new ones. */
     public boolean tight() {
         return descriptors.left(purpose) + leaving < tight;
     }
--- a/src/main/java/saffronferry/limit/AttemptRoom.java
+++ b/src/main/java/saffronferry/limit/AttemptRoom.java
@@ -3,16 +3,16 @@
 import saffronferry.limit.Descriptors.Purpose;
 
 /**
- * Whether further call attempts can be opened: there are descriptors left for workers, and the system has not
- * just refused one. Tells of changes only. Times in milliseconds. For one thread.
+ * Whether further call attempts can be opened: descriptors for workers are available, and the system has not refused
+ * a connection just now. Reports changes only. Times are in milliseconds. Not thread-safe.
  */
 public final class AttemptRoom {
-    /** Who hears of changes. */
+    /** Receives changes. */
     public interface Listener {
         void room(boolean open);
     }
 
-    /** The system's want is seldom its last word: a descriptor or port is free again soon. */
+    /** Time after which opening is tried again: the system usually has a free descriptor or port soon. */
     public static final long PAUSE = 50;
 
     private final Descriptors descriptors;
@@ -25,18 +25,18 @@
         this.listener = listener;
     }
 
-    /** The system had no descriptor or port for an attempt; {@link #look} is due after {@link #PAUSE}. */
+    /** The system had no descriptor or port for an attempt; call {@link #look} again after {@link #PAUSE}. */
     public void refused(long now) {
         closedUntil = now + PAUSE;
         look(now);
     }
 
-    /** To be called whenever a descriptor was taken or given back. */
+    /** To be called whenever a descriptor was taken or released. */
     public void look(long now) {
-        boolean is = descriptors.left(Purpose.WORKERS) > 0 && now >= closedUntil;
-        if (is != open) {
-            open = is;
-            listener.room(is);
+        boolean availableNow = descriptors.left(Purpose.WORKERS) > 0 && now >= closedUntil;
+        if (availableNow != open) {
+            open = availableNow;
+            listener.room(availableNow);
         }
     }
 }
--- a/src/main/java/saffronferry/limit/Descriptors.java
+++ b/src/main/java/saffronferry/limit/Descriptors.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * The one place that knows how many descriptors there are and who may take one. Each purpose has a number it
- * is sure of and a most; between the two it takes what others leave. The sum never passes the limit less
- * {@link #SPARE}, which stays for what the JVM and its libraries open unasked. For one thread.
+ * Budget of the process's file descriptors. Each purpose has a guaranteed and a maximum number; between the two it
+ * competes for what the other purposes leave. The sum never exceeds the limit less {@link #SPARE}, which is reserved
+ * for descriptors that the JVM and its libraries open on their own. Not thread-safe.
  */
 public final class Descriptors {
-    /** What descriptors are for. Files and listening sockets are counted once, at the start. */
+    /** Purposes of descriptors. Files and listening sockets are counted once, at the start. */
     public enum Purpose {
         CLIENTS,
         WORKERS,
@@ -18,13 +18,11 @@
         CONSOLE
     }
 
-    /** Never given out: no crowd may bring the process nearer to its limit than this. */
+    /** Descriptors that are never given out. */
     public static final int SPARE = 16;
-    /** Where clients have no more left than this, those that say nothing make room for newcomers. */
+    /** With fewer descriptors available for clients than this, idle client connections make room for new ones. */
     public static final int TIGHT = 8;
-    /**
-     * The same for operators' calls: of those they are sure of, others must stay while a new one comes in.
-     */
+    /** The same for console connections; low, so that other calls can continue while a new one comes in. */
     public static final int TIGHT_CONSOLE = 2;
 
     private static final int DISCOVERY = 4;
@@ -40,36 +38,38 @@
     private final int[] plannedSure = new int[Purpose.values().length];
     private final int[] plannedMost = new int[Purpose.values().length];
     private final int[] used = new int[Purpose.values().length];
-    private int owed; // what purposes are sure of and have not taken
+    /** Guaranteed descriptors that have not been taken. */
+    private int owed;
+
     private int usedInAll;
     private final List<Runnable> onFree = new ArrayList<>();
 
     /**
-     * Plans for a limit of which the process itself holds {@code own}, listening sockets included.
+     * Divides a limit of which the process itself holds {@code own} descriptors, listening sockets included.
      *
-     * @throws IllegalArgumentException if the purposes' sure parts do not fit
+     * @throws IllegalArgumentException if the guaranteed numbers do not fit
      */
     public Descriptors(int limit, int own) {
         this.limit = limit;
         this.own = own;
         total = limit - SPARE - own;
-        // by the platform's word usual clients hold a third at most
+        // The platform specifies that normal clients hold at most a third.
         plan(Purpose.CLIENTS, limit / 3, limit / 2);
         plan(Purpose.WORKERS, limit / 4, limit / 2);
         plan(Purpose.PROBES, PROBES, Math.max(PROBES, limit / 8));
         plan(Purpose.DISCOVERY, DISCOVERY, DISCOVERY);
-        // operators must be heard however many clients there are
+        // Operators must be able to connect however many clients there are.
         plan(Purpose.CONSOLE, CONSOLE, MOST_CONSOLE);
         if (owed > total) {
-            throw new IllegalArgumentException(limit + " descriptors are too few: " + own
-                    + " are the program's own, " + SPARE + " stay free, and clients, workers, probes,"
+            throw new IllegalArgumentException("file descriptor limit of " + limit + " is too low: " + own
+                    + " are used by the process, " + SPARE + " are reserved, and clients, workers, probes,"
                     + " discovery and the console need " + owed);
         }
     }
 
     /**
-     * Plans anew for this process's part of the limit, of which so many processes live. What is taken beyond
-     * the new plan stays, and nothing more is given out until it is back.
+     * Divides this process's part of the limit while {@code processes} processes of the dispatcher run. Descriptors
+     * held beyond the new numbers stay in use, and no more are given out until these are released.
      */
     public void share(int processes) {
         int whole = limit - SPARE - own;
@@ -84,28 +84,28 @@
         onFree.forEach(Runnable::run);
     }
 
-    private void plan(Purpose p, int surely, int atMost) {
-        sure[p.ordinal()] = surely;
-        most[p.ordinal()] = atMost;
-        plannedSure[p.ordinal()] = surely;
-        plannedMost[p.ordinal()] = atMost;
-        owed += surely;
+    private void plan(Purpose p, int guaranteedCount, int maximumCount) {
+        sure[p.ordinal()] = guaranteedCount;
+        most[p.ordinal()] = maximumCount;
+        plannedSure[p.ordinal()] = guaranteedCount;
+        plannedMost[p.ordinal()] = maximumCount;
+        owed += guaranteedCount;
     }
 
-    /** Calls back after each release, since one purpose's may be another's gain. */
+    /** Adds a callback for each release, after which other purposes may have more descriptors available. */
     public void onFree(Runnable listener) {
         onFree.add(listener);
     }
 
-    /** How many more descriptors this purpose could take now. */
+    /** Number of further descriptors that this purpose can take now. */
     public int left(Purpose p) {
         int i = p.ordinal();
-        int own = Math.max(0, sure[i] - used[i]);
+        int unclaimed = Math.max(0, sure[i] - used[i]);
         int shared = total - usedInAll - owed;
-        return Math.min(own + Math.max(0, shared), most[i] - used[i]);
+        return Math.min(unclaimed + Math.max(0, shared), most[i] - used[i]);
     }
 
-    /** Takes a descriptor; false where none is left for this purpose, and nothing is taken. */
+    /** Takes a descriptor; false if none is available for this purpose. */
     public boolean take(Purpose p) {
         if (left(p) <= 0) {
             return false;
@@ -117,11 +117,11 @@
         return true;
     }
 
-    /** Gives back one that was taken. */
+    /** Releases a descriptor that was taken. */
     public void release(Purpose p) {
         int i = p.ordinal();
         if (used[i] == 0) {
-            throw new IllegalStateException("none is taken for " + p);
+            throw new IllegalStateException("no descriptor is taken for " + p);
         }
         used[i]--;
         usedInAll--;
@@ -133,7 +133,7 @@
         return used[p.ordinal()];
     }
 
-    /** The most that this purpose may ever hold. */
+    /** Maximum number that this purpose may hold. */
     public int most(Purpose p) {
         return most[p.ordinal()];
     }
--- a/src/main/java/saffronferry/limit/LoopWatch.java
+++ b/src/main/java/saffronferry/limit/LoopWatch.java
@@ -1,21 +1,22 @@
 package saffronferry.limit;
 
 /**
- * Tells an event loop that hangs or is dead from a process that was stopped or starved for a while. It looks
- * at a count that the loop raises, at even intervals, and counts the looks that saw none: a process that is
- * stopped takes no looks, and one that gets little of a core takes few.
+ * Detects an event loop that hangs or has ended, and does not mistake a stopped or starved process for one.
+ *
+ * <p>It is called at regular intervals with a counter that the loop increments, and counts consecutive calls without an
+ * increment. A stopped process makes no calls, and one that gets little processor time makes few.
  */
 public final class LoopWatch {
     private final int mostLooks;
     private long lastTurn = Long.MIN_VALUE;
     private int still;
 
-    /** The loop is given up after so many looks on end that saw it stand still. */
-    public LoopWatch(int mostLooks) {
-        this.mostLooks = mostLooks;
+    /** The loop counts as hung after this many consecutive checks without an increment. */
+    public LoopWatch(int maxStalledChecks) {
+        this.mostLooks = maxStalledChecks;
     }
 
-    /** Takes a look; true once the loop is to be given up. */
+    /** Checks the counter; true once the loop counts as hung. */
     public boolean hangs(long turn) {
         still = turn == lastTurn ? still + 1 : 0;
         lastTurn = turn;
--- a/src/main/java/saffronferry/limit/package-info.java
+++ b/src/main/java/saffronferry/limit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a dispatcher may hold and how it stands exhaustion: descriptors by purpose, when connections are taken
- * in, and whether the event loop still comes round. Decisions only: no socket, no thread, no clock.
+ * Resource limits of a dispatcher: file descriptors by purpose, when connections are accepted, and whether the event
+ * loop still runs. Pure logic: no sockets, no threads and no clock.
  */
 package saffronferry.limit;
--- a/src/main/java/saffronferry/settings/SettingsReader.java
+++ b/src/main/java/saffronferry/settings/SettingsReader.java
@@ -12,13 +12,13 @@
 import saffronferry.Contract.Tenant;
 
 /**
- * Reads the settings, which the simulator sends and a real dispatcher finds in its configuration; keys it
- * does not know are skipped. What is wrong is an {@link IllegalArgumentException} that names the key.
+ * Reads the settings, which the simulator sends and a dispatcher process finds in its configuration. Unknown keys are
+ * ignored; an invalid value leads to an {@link IllegalArgumentException} that names the key.
  */
 public final class SettingsReader {
-    /** Where the settings do not say how soon discovery is to be asked, in seconds. */
+    /** Default of the time within which discovery has to be asked. */
     private static final double ASK_WITHIN = 10;
-    /** So many times as long is allowed after a call that failed. */
+    /** Multiple of that time that is allowed after a failed call. */
     private static final int AFTER_FAILURE = 4;
 
     public final Settings settings;
@@ -26,13 +26,14 @@
     public final List<String> tenants;
     public final List<String> kinds;
     public final List<String> zones;
-    /** For each value of a report: 0 held, 1 queued, 2 free slots, -1 not used. */
+    /** Meaning of each value of a load report: 0 held, 1 queued, 2 free slots, -1 not used. */
     public final int[] reportFields;
 
-    private final JSONObject family;
-    /** How long a connection may take to open, in seconds, as told; the module does not need it. */
+    /** Longest time in seconds that a connection may take to open; not used by the module. */
     public final double connectTimeout;
 
+    private final JSONObject family;
+
     public SettingsReader(long seed, String json) {
         this(seed, parse(json));
     }
@@ -90,7 +91,7 @@
         }
     }
 
-    /** The name of the report's field with this meaning, or null. */
+    /** The name of the load report's field with this meaning, or null. */
     public String fieldOf(String meaning) {
         return family.optString("reportX0").equals(meaning)
                 ? "x0"
@@ -123,7 +124,7 @@
                 case "zone" -> Group.ZONE;
                 default -> Group.CELL;
             };
-            // the window is that of the sends; one that is decided goes once its connection is up
+            // The key must be valid when the request is sent, which is after its connection has opened.
             long window = Math.max(0, micros(p, "keyTtl") - Math.round(connectTimeout * 1e6));
             result.add(new JobClass(
                     p.optString("name"),
@@ -169,9 +170,9 @@
         return o.isNull(key) ? new JSONObject() : o.getJSONObject(key);
     }
 
-    /** A number or its default; a default never hides a value of the wrong type. */
-    private static double number(JSONObject o, String key, double otherwise) {
-        return o.isNull(key) ? otherwise : o.getDouble(key);
+    /** A number, or the default if the key is missing; a value of another type is an error. */
+    private static double number(JSONObject o, String key, double defaultValue) {
+        return o.isNull(key) ? defaultValue : o.getDouble(key);
     }
 
     private static boolean flag(JSONObject o, String key) {
