--- a/src/test/java/saffronferry/ColdBudgetTest.java
+++ b/src/test/java/saffronferry/ColdBudgetTest.java
@@ -9,13 +9,13 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 
-/** Rule 4 over many instances: together they must not push a cold worker over. */
+/** Many dispatchers together must not overload a cold worker. */
 class ColdBudgetTest {
     private static final int DISPATCHERS = 8;
     private static final long JOB = 400 * Rig.MS;
     private static final int SLOTS = 5;
 
-    /** All dispatchers hear each other from the start, or (silent) none ever hears another. */
+    /** Sends to the cold worker, by time after its start. If {@code silent}, no peer message is ever delivered. */
     private static List<Long> sendsToCold(boolean silent) {
         Rig.Plan plan = new Rig.Plan();
         plan.peers = DISPATCHERS;
@@ -41,8 +41,8 @@
                 if (start + t == coldAt) {
                     rig.change(Rig.worker("cold", 0, WorkerState.IN_SERVICE, coldAt));
                 }
-                String told = "warm" + t / (5 * Rig.MS) % warm.length;
-                rig.report(told, Math.max(0, SLOTS - running(rigs, done, told)));
+                String reporting = "warm" + t / (5 * Rig.MS) % warm.length;
+                rig.report(reporting, Math.max(0, SLOTS - running(rigs, done, reporting)));
                 rig.ask(id++);
                 for (; done[d] < rig.sends.size() && rig.sends.get(done[d]).at() + JOB <= rig.now; done[d]++) {
                     Rig.Send s = rig.sends.get(done[d]);
@@ -83,20 +83,20 @@
                 k++;
             }
             double share = 0.2 + 0.8 * Math.min(1, from / (10.0 * Rig.S));
-            double budget = 3 * share * SLOTS * Rig.S; // slot time in a window, as the rule counts it
+            double budget = 3 * share * SLOTS * Rig.S; // allowed slot time within one second
             assertTrue((k - i) * JOB <= budget + JOB, (k - i) + " jobs within a second at " + from);
         }
     }
 
     @Test
-    void neighboursThatKnowEachOtherStayWithinTheBudget() {
+    void dispatchersInContactStayWithinTheBudget() {
         List<Long> sends = sendsToCold(false);
         assertTrue(sends.size() >= 3, "a cold worker must be warmed up: " + sends.size());
         check(sends);
     }
 
     @Test
-    void strangersStayWithinTheBudgetToo() {
+    void dispatchersWithoutContactStayWithinTheBudget() {
         check(sendsToCold(true));
     }
 }
--- a/src/test/java/saffronferry/DeployFilesTest.java
+++ b/src/test/java/saffronferry/DeployFilesTest.java
@@ -13,7 +13,7 @@
     private static final Path MODULE = Path.of("src/main/java/saffronferry/Dispatcher.java");
 
     @Test
-    void theModuleNamesTheFileOfItsTypes() throws IOException {
+    void theModuleNamesTheFileWithItsTypes() throws IOException {
         assertTrue(Files.readAllLines(MODULE).get(0).contains("Contract.java"));
     }
 
@@ -27,12 +27,9 @@
                         .count());
     }
 
-    /**
-     * Guards against a restart that takes twice as long because the archive is made in one place and sought in
-     * another.
-     */
+    /** If the archive were not built where a run looks for it, a restart would take twice as long. */
     @Test
-    void theBuildMakesTheArchiveThatARunMaps() throws IOException {
+    void theBuildCreatesTheArchiveThatARunUses() throws IOException {
         String archive = "target/saffronferry.jsa";
         List<String> deploy = Files.readAllLines(Path.of("deploy/balancer.toml"));
         assertTrue(deploy.get(0).contains("sh deploy/archive.sh"), deploy.get(0));
--- a/src/test/java/saffronferry/HandoverStateTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -19,7 +19,7 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.settings.SettingsReader;
 
-/** Two processes of one dispatcher, the one about to replace the other: what each makes of the other's word. */
+/** Two processes of one dispatcher while one replaces the other: how each uses the other's state. */
 class HandoverStateTest {
     private static final long S = 1_000_000;
 
@@ -37,7 +37,7 @@
         return (int) steps.stream().filter(BalancerAction.StartAttempt.class::isInstance).count();
     }
 
-    /** Asks for so many jobs at once and says how many of them are sent. */
+    /** Submits a number of jobs at once and returns how many of them are sent. */
     private static int fill(Balancer b, long now, int jobs) {
         int n = 0;
         for (int i = 0; i < jobs; i++) {
@@ -56,9 +56,9 @@
     }
 
     @Test
-    void whatOneHasLearnedTheOtherBeginsWith() throws Exception {
+    void aNewProcessStartsWithTheEstimatesOfTheOther() throws Exception {
         Balancer fresh = balancer();
-        assertEquals(2, fill(fresh, 2 * S, 9), "nothing is known: two slots a worker");
+        assertEquals(2, fill(fresh, 2 * S, 9), "without estimates: two slots per worker");
         Balancer next = balancer();
         next.report(
                 2 * S,
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void slotsThatTheOtherFillsAreTakenUntilItSaysOtherwise() throws Exception {
+    void slotsThatTheOtherProcessUsesCountAsTakenUntilItsNextState() throws Exception {
         Balancer b = taught();
         b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
@@ -77,9 +77,9 @@
         assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.RunsBeside(HandoverState.NOBODY))));
     }
 
-    /** The fault of the upgrade days: with its jobs uncounted, each report seemed to come from a smaller worker. */
+    /** If the other process's jobs were not counted, each report would make the worker seem smaller during an upgrade. */
     @Test
-    void reportsAreNotFalsifiedByTheOthersJobs() throws Exception {
+    void slotEstimatesAccountForJobsOfTheOtherProcess() throws Exception {
         Balancer b = balancer();
         long now = 2 * S;
         b.report(now, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4), new double[0])));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void nonsenseTeachesNothing() throws Exception {
+    void invalidEstimatesAreIgnored() throws Exception {
         double[] before = balancer().beside().learned();
         double[] infinite = before.clone();
         infinite[0] = Double.POSITIVE_INFINITY;
@@ -107,11 +107,11 @@
         Balancer knows = taught();
         double[] own = knows.beside().learned();
         knows.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), before)));
-        assertArrayEquals(own, knows.beside().learned(), "it has learned something itself");
+        assertArrayEquals(own, knows.beside().learned(), "a process with estimates of its own keeps them");
         assertTrue(own[0] > 5);
     }
 
-    /** Jobs that a cold worker is sent in its first seconds, each done as soon as it is sent. */
+    /** Number of jobs sent to a cold worker in its first seconds, each of which ends as soon as it is sent. */
     private static int sentCold(Balancer b) {
         b.report(
                 2 * S,
@@ -131,13 +131,13 @@
         return n;
     }
 
-    /** For the rule on cold workers the two are one dispatcher: together they send what one may send alone. */
+    /** Both processes together may send to a cold worker what one may send alone. */
     @Test
-    void theBudgetOfColdWorkersIsForBothTogether() throws Exception {
+    void bothProcessesShareTheBudgetOfColdWorkers() throws Exception {
         int alone = sentCold(taught());
         Balancer one = taught();
         one.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), new double[] {1})));
         int ofTwo = sentCold(one);
-        assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " beside another, " + alone + " alone");
+        assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " with another process, " + alone + " alone");
     }
 }
--- a/src/test/java/saffronferry/PeerMessageProbe.java
+++ b/src/test/java/saffronferry/PeerMessageProbe.java
@@ -1,6 +1,6 @@
 package saffronferry;
 
-/** What a dispatcher that knows only of jobs makes of a datagram. */
+/** Decodes a datagram as a peer message, for tests in other packages. */
 public final class PeerMessageProbe {
     private PeerMessageProbe() {}
 
--- a/src/test/java/saffronferry/PeerMessageTest.java
+++ b/src/test/java/saffronferry/PeerMessageTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 import saffronferry.fleet.Lent;
 
-/** What dispatchers tell each other of cold workers: read back, bounded, and harmless when doubled or late. */
+/** Encoding of peer messages, and transfers of cold-worker budget that are duplicated, late or lost. */
 class PeerMessageTest {
     private static final long NOW = 1_796_162_281_788_301L;
 
-    private static PeerMessage lending(long at, int peers) {
+    private static PeerMessage transferOffer(long at, int peers) {
         BitSet word = new BitSet();
         word.set(0, peers);
         PeerMessage m = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * Rig.MS);
@@ -27,10 +27,10 @@
     }
 
     @Test
-    void timesWordsAndPartsAreReadBack() {
+    void timestampsGrantsAndTransfersSurviveEncoding() {
         for (long late : new long[] {0, 3_000, 400_000, 100_000_000, -90_000}) {
             for (int peers : new int[] {1, 9, 100, 800}) {
-                byte[] bytes = lending(NOW - late, peers).bytes();
+                byte[] bytes = transferOffer(NOW - late, peers).bytes();
                 PeerMessage m = PeerMessage.read(bytes, NOW);
                 assertTrue(bytes.length <= PeerMessage.MOST_BYTES && Math.abs(m.at - (NOW - late)) < 4_100, "late " + late);
                 assertEquals(peers, m.word.cardinality());
@@ -38,19 +38,19 @@
                 assertEquals(18, m.amount(0));
             }
         }
-        byte[] bytes = lending(NOW, 100).bytes();
+        byte[] bytes = transferOffer(NOW, 100).bytes();
         for (int cut = 0; cut < bytes.length; cut++) {
-            PeerMessage.read(Arrays.copyOf(bytes, cut), NOW); // torn ones are no messages, or shorter ones
+            PeerMessage.read(Arrays.copyOf(bytes, cut), NOW); // truncated messages are rejected or shorter
         }
         bytes[9] = (byte) 0x7F;
-        assertNull(PeerMessage.read(bytes, NOW), "a word longer than the message");
+        assertNull(PeerMessage.read(bytes, NOW), "a set that is longer than the message");
     }
 
-    /** Who is of another zone follows the words, whether these are one or two. */
+    /** The set of dispatchers in other zones follows one set or two. */
     @Test
-    void whoIsElsewhereIsReadAsWritten() {
+    void theSetOfDispatchersInOtherZonesSurvivesEncoding() {
         for (int hears : new int[] {5, 90}) {
-            PeerMessage m = lending(NOW, 3);
+            PeerMessage m = transferOffer(NOW, 3);
             m.hears.set(hears);
             m.elsewhere = BitSet.valueOf(new long[] {1L << 40, 7});
             PeerMessage read = PeerMessage.read(m.bytes(), NOW);
@@ -64,27 +64,27 @@
         }
     }
 
-    /** A part counts once, for a while, and for the process that it was told to. */
+    /** A transfer is valid once, for a limited time, and for the process that it was sent to. */
     @Test
-    void aPartThatIsDoubledLateOrForAProcessBeforeIsNothing() {
+    void duplicatedLateAndMisdirectedTransfersAreIgnored() {
         record Case(String name, long at, long bornAt, long lentBefore, boolean counts) {}
 
         for (Case c : new Case[] {
             new Case("in time", NOW - 1_000, 0, 0, true),
             new Case(
-                    "doubled",
+                    "duplicated",
                     NOW - 1_000,
                     0,
-                    PeerMessage.read(lending(NOW - 1_000, 2).bytes(), NOW).at,
+                    PeerMessage.read(transferOffer(NOW - 1_000, 2).bytes(), NOW).at,
                     false),
             new Case("overtaken", NOW - 9_000, 0, NOW - 1_000, false),
             new Case("too late", NOW - 500_000, 0, 0, false),
-            new Case("for the process before", NOW - 100_000, NOW - 50_000, 0, false),
+            new Case("for an earlier process", NOW - 100_000, NOW - 50_000, 0, false),
             new Case("from the future", NOW + 300_000, 0, 0, false)
         }) {
             Book.Peer y = new Book.Peer(1);
             y.borrowed.taken(c.lentBefore);
-            PeerMessage m = PeerMessage.read(lending(c.at, 2).bytes(), NOW);
+            PeerMessage m = PeerMessage.read(transferOffer(c.at, 2).bytes(), NOW);
             y.offers(new Book.Worker[] {new Book.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
             assertEquals(c.counts, y.enough(0, 1, 600_000), c.name);
             if (c.counts) {
@@ -94,18 +94,18 @@
         }
     }
 
-    /** What is not used goes back to who lent it, once, and never more than was lent. */
+    /** Unused budget is credited to the sender of the transfer once, and never more than was transferred. */
     @Test
-    void aPartComesBackOnceToTheProcessThatLentIt() {
+    void unusedBudgetIsReturnedOnceToTheProcessThatTransferredIt() {
         Book.Worker w = new Book.Worker("cold", 0);
         Book.Peer lender = new Book.Peer(0);
-        PeerMessage offer = lending(NOW, 2);
-        lender.offers(new Book.Worker[] {null}, PeerMessage.read(offer.bytes(), NOW), NOW, 0, 400_000); // not on our list
+        PeerMessage offer = transferOffer(NOW, 2);
+        lender.offers(new Book.Worker[] {null}, PeerMessage.read(offer.bytes(), NOW), NOW, 0, 400_000); // an unknown worker
         assertTrue(!lender.lentInVain(true, NOW + 399_000, 400_000) && lender.lentInVain(true, NOW + 400_000, 400_000));
-        assertTrue(lender.lentInVain(false, NOW, 400_000), "nobody waits");
+        assertTrue(lender.lentInVain(false, NOW, 400_000), "no job waits");
         byte[] bytes = lender.giveBack(new PeerMessage(PeerMessage.Type.RETURNS, 0, 1, 1, 1, 50 * Rig.MS))
                 .bytes();
-        assertTrue(!lender.lentInVain(false, NOW, 400_000) && !lender.enough(0, 1, 1), "ours no more once it is told");
+        assertTrue(!lender.lentInVain(false, NOW, 400_000) && !lender.enough(0, 1, 1), "no longer usable once it is returned");
         for (int cut = 0; cut < bytes.length; cut++) {
             PeerMessage.read(Arrays.copyOf(bytes, cut), NOW);
         }
@@ -113,9 +113,9 @@
 
         for (Case c : new Case[] {
             new Case("in time", NOW, 18, NOW + 90_000, 900_000),
-            new Case("more than was lent", NOW, 10, NOW + 90_000, 500_000),
-            new Case("lent at another time", NOW + 8_200, 18, NOW + 90_000, 0),
-            new Case("by the process before", 0, 0, NOW + 90_000, 0),
+            new Case("more than was transferred", NOW, 10, NOW + 90_000, 500_000),
+            new Case("another transfer", NOW + 8_200, 18, NOW + 90_000, 0),
+            new Case("transferred by an earlier process", 0, 0, NOW + 90_000, 0),
             new Case("too late", NOW, 18, NOW + 2_100_000, 0)
         }) {
             Lent out = new Lent();
@@ -124,29 +124,29 @@
             }
             PeerMessage m = PeerMessage.read(bytes, c.backAt);
             assertEquals(c.back, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name);
-            assertEquals(0, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name + ", doubled");
+            assertEquals(0, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name + ", duplicated");
         }
         assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
         w.cold.spend(900_000);
         w.cold.covers(600_000, NOW + 1_000_000, 1, 8, 0.5);
-        w.cold.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // filled again meanwhile
+        w.cold.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // refilled meanwhile
         w.cold.back(900_000);
         w.cold.spend(1_700_000);
-        assertTrue(!w.cold.covers(1, NOW + 2_000_000, 1, 8, 0.5), "no more is kept than of what was never lent");
+        assertTrue(!w.cold.covers(1, NOW + 2_000_000, 1, 8, 0.5), "a refund is limited to what would have been kept");
     }
 
-    /** What is lent is out of the lender's budget before the datagram leaves. */
+    /** Transferred budget is charged before the datagram is sent. */
     @Test
-    void theLenderSpendsFirst() {
+    void aTransferIsChargedBeforeItIsSent() {
         Book.Worker w = new Book.Worker("cold", 0);
         Book.Peer y = new Book.Peer(1);
         y.zone = 0;
-        PeerMessage m = lending(NOW, 2);
+        PeerMessage m = transferOffer(NOW, 2);
         assertTrue(y.mayLend(m, NOW, 0));
         assertTrue(w.cold.covers(600_000, NOW, 1, 8, 0.5));
         y.lend(w, Book.Peer.whole(600_000), m, NOW);
-        assertEquals(false, w.cold.covers(250_000, NOW, 1, 8, 0.5), "it owes what is lent");
-        assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two parts must differ in time");
+        assertEquals(false, w.cold.covers(250_000, NOW, 1, 8, 0.5), "the transfer is charged");
+        assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two transfers must have different timestamps");
         assertNotNull(PeerMessage.read(m.bytes(), NOW));
     }
 }
--- a/src/test/java/saffronferry/TenantTokenBucketsTest.java
+++ b/src/test/java/saffronferry/TenantTokenBucketsTest.java
@@ -16,26 +16,26 @@
         return within;
     }
 
-    /** What is changed, added or removed while running holds from the next request on. */
+    /** Changed, added and removed allowances apply from the next request on. */
     @Test
-    void aNewListIsFollowed() {
+    void updatedAllowancesApplyToTheNextRequest() {
         TenantTokenBuckets allowances = new TenantTokenBuckets(List.of(new Tenant("a", 5), new Tenant("b", 5)));
         allowances.fill(1, 1);
         assertTrue(within(allowances, 0, 100) <= 6);
         assertTrue(allowances.beyond(0));
         allowances.follow(List.of(new Tenant("a", 50), new Tenant("b", 0), new Tenant("c", 3)));
-        assertTrue(allowances.beyond(0), "a new quota gives nothing for the past");
+        assertTrue(allowances.beyond(0), "a new allowance adds no tokens for the past");
         allowances.fill(1, 1);
         assertTrue(within(allowances, 0, 100) >= 50);
-        assertFalse(within(allowances, 1, 100) < 100, "one that is gone has no limit known");
+        assertFalse(within(allowances, 1, 100) < 100, "a removed tenant has no known limit");
         allowances.fill(1, 1);
         assertTrue(within(allowances, 2, 100) <= 4);
         assertTrue(allowances.beyond(2));
     }
 
-    /** As where the settings name the tenants from the start: who asks beyond its share yields. */
+    /** A tenant beyond its updated allowance yields to one within it, as with allowances from the settings. */
     @Test
-    void theModuleDecidesByTheNewList() {
+    void theModuleAppliesUpdatedAllowances() {
         Balancer balancer = new Balancer(new Rig.Plan().settings());
         long now = 10 * Rig.S;
         balancer.report(now, new BalancerEvent.Resolved(Contract.ListKind.WHOLE, List.of(Rig.worker("a"))));
--- a/src/test/java/saffronferry/fleet/CallPaceTest.java
+++ b/src/test/java/saffronferry/fleet/CallPaceTest.java
@@ -10,13 +10,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many callers and one discovery, which serves in turn; a call that waits over 2.2 s fails and costs it all the same.
+ * Simulates many callers and one discovery service that handles calls in turn. A call that waits longer than 2.2 s times
+ * out, and costs discovery its work all the same.
  */
 class CallPaceTest {
     private static final long PATIENCE = 2_200_000;
     private static final long LONGEST = 40_000_000;
 
-    /** When a caller calls. */
+    /** A scheduled call. */
     private record Due(long at, int caller) implements Comparable<Due> {
         @Override
         public int compareTo(Due other) {
@@ -25,7 +26,8 @@
     }
 
     /**
-     * Plays until all are served, or for four minutes; the result is when the last one was, and the most calls of one.
+     * Simulates until all callers are served, for four minutes at most. Returns the time at which the last caller was
+     * served and the largest number of calls by one caller.
      */
     private static long[] play(int callers, double perSecond, long longest, boolean together, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -55,7 +57,7 @@
         };
     }
 
-    /** {@code most}: seconds until the last one is served; {@code calls}: what one makes at most. */
+    /** {@code most}: seconds until the last caller is served; {@code calls}: largest number of calls by one caller. */
     @ParameterizedTest
     @CsvSource({"4, 3, 2, 1", "8, 5, 5, 2", "24, 5, 25, 6", "40, 5, 45, 6", "70, 7, 75, 6", "100, 5, 150, 12"})
     void allAreServedThoughAllStartAtOnce(int callers, double perSecond, long most, long calls) {
@@ -71,19 +73,19 @@
         }
     }
 
-    /** The fault: without the spread forty callers hold each other off for good. */
+    /** Without the spread, forty callers keep the queue so long that no call is ever served. */
     @Test
-    void callersThatAskAgainAtOnceAreNeverServed() {
+    void callersThatRetryAtOnceAreNeverServed() {
         assertEquals(Long.MAX_VALUE, play(40, 5, 600_000, true, 1)[0]);
     }
 
     /**
-     * A change counts as told 6 s after discovery had it and could be reached, and sends must stop 2 s after that.
-     * Before, 103 callers took up to 9 s after a start, and up to 40 s after an outage that had cost discovery
-     * nothing.
+     * A list change must take effect within 6 s after discovery has it and can be reached, and sends must stop 2 s
+     * later. An earlier version took up to 9 s with 103 callers after a start, and up to 40 s after an outage that had
+     * cost discovery nothing.
      */
     @Test
-    void whoHoldsAnOldListCallsWellBeforeAChangeCountsAsTold() {
+    void callersWithAnOldListCallBeforeAChangeMustTakeEffect() {
         for (int callers : new int[] {1, 8, 20, 103, 300}) {
             for (long seed = 1; seed <= 200; seed++) {
                 SplittableRandom random = new SplittableRandom(seed);
@@ -91,25 +93,25 @@
                 assertTrue(pace.first(random) <= 4_000_000, "after a start");
                 pace.again(random, WatchEnd.LATE);
                 for (int i = 0; i < 20; i++) {
-                    assertTrue(pace.again(random, WatchEnd.DOWN) <= 5_000_000, "however long discovery has been down");
+                    assertTrue(pace.again(random, WatchEnd.DOWN) <= 5_000_000, "during an outage of any length");
                 }
                 pace.served();
-                assertTrue(pace.again(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had told the list");
+                assertTrue(pace.again(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had delivered the list");
                 pace.served();
                 long silent = pace.again(random, WatchEnd.SILENT);
-                assertTrue(silent <= 2_000_000, "silent for 3 s by then");
-                assertTrue(silent >= 150_000, "no storm");
+                assertTrue(silent <= 2_000_000, "after 3 s of silence");
+                assertTrue(silent >= 150_000, "not at once");
             }
         }
     }
 
     /**
-     * A hundred that poll discovery while it is down are no storm at its return: where it can serve all within 6 s it
-     * does, and soon after where the line is just too long (before, up to 45 s).
+     * A hundred callers that poll discovery while it is down do not overload it at its return: all are served within 6 s
+     * if it can serve that many, and soon after if the queue is slightly too long. An earlier version took up to 45 s.
      */
     @ParameterizedTest
     @CsvSource({"6, 4, 6", "20, 5, 8", "30, 7, 8", "100, 40, 6", "100, 16, 14"})
-    void allAreServedSoonAfterAReturn(int callers, double perSecond, long most) {
+    void allAreServedSoonAfterAnOutage(int callers, double perSecond, long most) {
         for (long seed = 1; seed <= 50; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             PriorityQueue<Due> due = new PriorityQueue<>();
@@ -141,21 +143,21 @@
         }
     }
 
-    /** However many timers are set, each end of a watch has one successor: the last one set. */
+    /** If several timers are set, only the last one leads to a call, and only once. */
     @Test
-    void ofSeveralTimersTheLastOneCountsAndOnce() {
+    void onlyTheLastOfSeveralTimersIsDueAndOnlyOnce() {
         CallPace pace = new CallPace(4, LONGEST);
         pace.after(300_000, 1_000_000);
         pace.after(500_000, 1_100_000);
         assertEquals(false, pace.isDue(1_300_000));
-        assertEquals(true, pace.isDue(1_599_000), "a timer may come up a little early");
+        assertEquals(true, pace.isDue(1_599_000), "a timer may fire a little early");
         assertEquals(false, pace.isDue(1_600_000));
     }
 
-    /** Guards against a count of failures that grows into nonsense; and a few callers ask again soon, however often. */
+    /** A growing number of failures must not overflow the delay, and a few callers always retry soon. */
     @ParameterizedTest
     @CsvSource({"1000, 40000000", "4, 900000"})
-    void howeverOftenItFailsTheWaitStaysWithinWhatIsAllowed(int callers, long most) {
+    void theDelayStaysWithinItsLimitsAfterAnyNumberOfFailures(int callers, long most) {
         SplittableRandom random = new SplittableRandom(1);
         CallPace pace = new CallPace(callers, LONGEST);
         assertEquals(callers > 8, pace.first(random) > 0);
--- a/src/test/java/saffronferry/fleet/ColdSharesTest.java
+++ b/src/test/java/saffronferry/fleet/ColdSharesTest.java
@@ -10,21 +10,22 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Rights to a cold worker under every kind of silence: no two hold a turn, and what all spend is bounded. */
+/** Shares of a cold worker with lost, late and missing messages: they never add up to more than the whole. */
 class ColdSharesTest {
     private static final long STEP = 50_000;
     private static final int WORKER = 0x51f3a7;
 
     /**
-     * A fleet of so many, the odd ones of another zone if there are zones. {@code hears[from][to]}; each
-     * speaks each tenth of a second, and a word is lost with that chance or comes late. Returns what the most
-     * holders at once were, and for which part of the time there was one, from 2 s on.
+     * Simulates {@code n} dispatchers, the odd ones in another zone if {@code zones}. Each sends a grant every tenth of a
+     * second; grants are lost with probability {@code loss}, may be duplicated, and arrive late. From 2 s on, dispatchers
+     * from {@code deafFrom} receive nothing; dispatcher {@code frozen} is stopped from 5 s to 15 s. Returns the largest
+     * sum of the shares of one worker after 2 s and their mean sum after 4 s.
      */
     private static double[] play(int n, boolean zones, double loss, int deafFrom, long seed, int frozen) {
         SplittableRandom random = new SplittableRandom(seed);
         ColdShares[] all = new ColdShares[n];
         long[][] heard = new long[n][n];
-        List<long[]> late = new ArrayList<>(); // due, from, to, said at
+        List<long[]> late = new ArrayList<>(); // due, from, to, sent at
         List<BitSet[]> words = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             all[i] = new ColdShares(i, n);
@@ -77,7 +78,7 @@
                 }
             }
             double holders = 0;
-            for (int i = 0; i < n; i += zones ? 2 : 1) { // those of the worker's zone
+            for (int i = 0; i < n; i += zones ? 2 : 1) { // dispatchers of the worker's zone
                 holders += all[i].guardian(WORKER) == i ? all[i].part(now, WORKER, true) : 0;
             }
             most = now > 2_000_000 ? Math.max(most, holders) : most;
@@ -88,29 +89,29 @@
     }
 
     @Test
-    void noTwoHoldATurnAndWhoHearsAllHoldsAll() {
+    void sharesNeverAddUpToMoreThanTheWholeAndAreUsedWhenMessagesArrive() {
         record Case(String name, int n, boolean zones, double loss, int deafFrom, int frozen, double held) {}
 
         List<Case> cases = List.of(
-                new Case("all hear", 8, false, 0, 8, -1, 1),
+                new Case("all messages arrive", 8, false, 0, 8, -1, 1),
                 new Case("two zones", 8, true, 0, 8, -1, 1),
-                new Case("all deaf, each with its own turns", 8, false, 0, 0, -1, 0.99),
-                new Case("half of them deaf", 8, false, 0, 4, -1, 0.5),
-                new Case("zones and all deaf", 12, true, 0, 0, -1, 0.99),
-                new Case("lost, doubled, late", 16, false, 0.4, 16, -1, 0.9),
-                new Case("one stopped for 10 s, then going on", 8, false, 0, 8, 3, 0.8));
+                new Case("no messages, own shares only", 8, false, 0, 0, -1, 0.99),
+                new Case("half of them without messages", 8, false, 0, 4, -1, 0.5),
+                new Case("two zones without messages", 12, true, 0, 0, -1, 0.99),
+                new Case("lost, duplicated, late", 16, false, 0.4, 16, -1, 0.9),
+                new Case("one stopped for 10 s, then resumed", 8, false, 0, 8, 3, 0.8));
         for (Case c : cases) {
             for (long seed = 1; seed <= 20; seed++) {
                 double[] seen = play(c.n, c.zones, c.loss, c.deafFrom, seed, c.frozen);
-                assertTrue(seen[0] <= 1, c.name + ", seed " + seed + ": " + seen[0] + " at once");
-                assertTrue(seen[1] >= c.held, c.name + ", seed " + seed + ": held " + seen[1]);
+                assertTrue(seen[0] <= 1, c.name + ", seed " + seed + ": " + seen[0] + " in total");
+                assertTrue(seen[1] >= c.held, c.name + ", seed " + seed + ": mean " + seen[1]);
             }
         }
     }
 
-    /** One that has just started learns from a neighbour who is of other zones, not only from these. */
+    /** A dispatcher that has just started learns from a peer which dispatchers are in other zones. */
     @Test
-    void whoIsElsewhereIsTold() {
+    void aNewDispatcherLearnsFromAPeerWhoIsInOtherZones() {
         ColdShares fresh = new ColdShares(0, 8);
         BitSet own = BitSet.valueOf(new long[] {0b11});
         fresh.near(new int[] {0, 1});
@@ -122,24 +123,24 @@
         assertEquals(
                 both * 2 / 3,
                 fresh.part(10, WORKER, true),
-                "2 is ours after all; neither are we elsewhere, nor a ninth");
+                "2 is in this zone after all; itself and unknown numbers are ignored");
         assertEquals(0, fresh.part(10, WORKER, false));
     }
 
-    /** What many buckets give together in any 3 s, however they are asked: their rate, what is kept, two jobs. */
+    /** In any 3 s, all buckets together release at most their rate, the kept tokens and two jobs. */
     @Test
-    void manyBucketsGiveLittleMoreThanTheirRate() {
+    void manyBucketsTogetherReleaseLittleMoreThanTheirRate() {
         record Case(String name, int n, double asksEach, double burstEach) {}
 
         double rate = 1.5;
         double job = 600_000;
         int window = 3_000_000;
         List<Case> cases = List.of(
-                new Case("one, asked always", 1, 40, 0),
-                new Case("16, asked always", 16, 40, 0),
-                new Case("48, asked always", 48, 40, 0),
-                new Case("100, asked now and then", 100, 3, 0),
-                new Case("48, all asked at once each 2 s", 48, 0, 2),
+                new Case("one, steady requests", 1, 40, 0),
+                new Case("16, steady requests", 16, 40, 0),
+                new Case("48, steady requests", 48, 40, 0),
+                new Case("100, occasional requests", 100, 3, 0),
+                new Case("48, simultaneous requests every 2 s", 48, 0, 2),
                 new Case("48, both", 48, 1, 2));
         for (Case c : cases) {
             SplittableRandom random = new SplittableRandom(3);
--- a/src/test/java/saffronferry/fleet/GrowthTest.java
+++ b/src/test/java/saffronferry/fleet/GrowthTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Parts that grow by what a cold worker itself shows: dead ones' parts are found, living ones' are left. */
+/** Shares that grow on evidence from the cold worker: those of failed dispatchers get used, others are kept free. */
 class GrowthTest {
     private static final int STEP = 5_000;
     private static final double JOB = 600_000;
@@ -15,10 +15,16 @@
     private static final double SPEED = 0.33;
     private static final double RATE = 1.5 * SLOTS * SPEED;
 
-    /** The most sent in 3 s over what the worker can do; when nine tenths of that first reached it in 2 s. */
+    /**
+     * The largest load within 3 s as a multiple of the worker's capacity, and the time in seconds at which the load within
+     * 2 s first reached nine tenths of it.
+     */
     private record Seen(double multiple, double at) {}
 
-    /** Of n dispatchers the first so many live, hear nobody and always have jobs; {@code blind} ones see no wait. */
+    /**
+     * Simulates {@code living} of {@code n} dispatchers, without messages between them and always with jobs to send. If
+     * {@code blind}, they take every job for promptly started.
+     */
     private static Seen play(int n, int living, boolean blind) {
         ColdShares[] shares = new ColdShares[living];
         ColdBudget[] budgets = new ColdBudget[living];
@@ -79,7 +85,7 @@
     }
 
     @Test
-    void theDeadOnesPartIsFoundAndTheLivingOnesIsLeft() {
+    void sharesOfFailedDispatchersAreUsedAndThoseOfLiveOnesAreNot() {
         record Case(int n, int living, double atMost, double within) {}
 
         for (Case c : new Case[] {
@@ -95,11 +101,11 @@
             assertTrue(seen.multiple <= c.atMost && seen.at <= c.within, c + ": " + seen);
         }
         Seen blind = play(8, 8, true);
-        assertTrue(blind.multiple > 3, "who grows without looking pushes it over: " + blind);
+        assertTrue(blind.multiple > 3, "growth without evidence overloads the worker: " + blind);
     }
 
     @Test
-    void oneJobThatWaitsEndsItAndSilenceLetsItShrink() {
+    void aWaitingJobResetsGrowthAndMissingJobsHalveIt() {
         Growth g = new Growth();
         long now = 10_000_000;
         for (int i = 0; i < 4; i++) {
@@ -110,16 +116,16 @@
         }
         assertEquals(16, g.factor(now));
         now += Growth.FADE;
-        assertEquals(8, g.factor(now), "nothing was sent, nothing is known");
+        assertEquals(8, g.factor(now), "no jobs, no evidence");
         g.sent(now);
         assertEquals(8, g.factor(now + Growth.AT_ONCE));
-        assertEquals(1, g.factor(now + Growth.AT_ONCE + 1), "no word of its start");
+        assertEquals(1, g.factor(now + Growth.AT_ONCE + 1), "its start was not reported");
         now += Growth.AT_ONCE + 1;
         g.sent(now);
         g.started(now + 1, now);
-        assertEquals(1, g.factor(now + Growth.PACE), "not so soon after a wait");
+        assertEquals(1, g.factor(now + Growth.PACE), "too soon after a wait");
         assertEquals(2, g.factor(now + 2 * Growth.PACE));
         g.reset();
-        assertEquals(1, g.factor(now + 2 * Growth.PACE + 1), "another process of the worker");
+        assertEquals(1, g.factor(now + 2 * Growth.PACE + 1), "after a restart of the worker");
     }
 }
--- a/src/test/java/saffronferry/fleet/OwnersTest.java
+++ b/src/test/java/saffronferry/fleet/OwnersTest.java
@@ -29,10 +29,10 @@
         return moved;
     }
 
-    /** {@code most}: of the workers, how many change hands on average when a member goes, or a worker. */
+    /** The limits are for the mean number of workers that change their owner when a member or a worker is removed. */
     @ParameterizedTest
     @CsvSource({"1,1,0,0", "4,4,3,1", "7,2,4,1", "3,8,2,1", "50,25,10,3", "33,16,7,5", "500,250,60,12"})
-    void sharesAreEvenTheSameForAllAndChangeLittle(int n, int m, double mostByMember, double mostByWorker) {
+    void ownersAreEvenIndependentOfOrderAndMostlyStable(int n, int m, double mostByMember, double mostByWorker) {
         SplittableRandom random = new SplittableRandom(n * 1000 + m);
         int byMember = 0;
         int byWorker = 0;
@@ -41,7 +41,7 @@
             int[] members = IntStream.range(0, m).toArray();
             int[] owners = Owners.share(workers, members);
             int[] backwards = IntStream.range(0, m).map(i -> m - 1 - i).toArray();
-            assertArrayEquals(owners, Owners.share(workers, backwards), "the order of the members counts");
+            assertArrayEquals(owners, Owners.share(workers, backwards), "the result depends on the order of the members");
             for (int member : members) {
                 long owned = Arrays.stream(owners).filter(o -> o == member).count();
                 assertTrue(owned == n / m || owned == (n + m - 1) / m, owned + " of " + n + " owned by one of " + m);
--- a/src/test/java/saffronferry/limit/LimitsTest.java
+++ b/src/test/java/saffronferry/limit/LimitsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import saffronferry.limit.Descriptors.Purpose;
 
-/** Descriptors, the gate and the loop's watch, each by itself and with the clock handed in. */
+/** The descriptor budget, the accept gate, the attempt capacity and the event loop monitor, with a simulated clock. */
 class LimitsTest {
     private static final int OWN = 20;
 
@@ -23,9 +23,9 @@
         return n;
     }
 
-    /** Whoever comes first, nobody is denied what it is sure of, and the sum keeps off the limit. */
+    /** In any order of requests, each purpose gets its guaranteed number, and the sum stays below the limit. */
     @Test
-    void eachPurposeGetsItsSurePartWhoeverComesFirst() {
+    void eachPurposeGetsItsGuaranteedNumberInAnyOrder() {
         for (int limit : new int[] {128, 256, 384, 1024}) {
             for (Purpose greedy : Purpose.values()) {
                 Descriptors d = new Descriptors(limit, OWN);
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Any order of takes and releases keeps the same bounds, and what was given back can be had again. */
+    /** Any order of takes and releases keeps the bounds, and released descriptors can be taken again. */
     @Test
     void takesAndReleasesInAnyOrderKeepTheBounds() {
         Random random = new Random(7);
@@ -50,15 +50,15 @@
         Map<Purpose, Integer> held = new EnumMap<>(Purpose.class);
         for (int i = 0; i < 200_000; i++) {
             Purpose p = Purpose.values()[random.nextInt(4)];
-            int mine = held.getOrDefault(p, 0);
+            int heldNow = held.getOrDefault(p, 0);
             if (random.nextInt(5) < (i / 1000 % 2 == 0 ? 3 : 2)) {
                 int left = d.left(p);
                 boolean got = d.take(p);
                 assertEquals(left > 0, got);
                 held.merge(p, got ? 1 : 0, Integer::sum);
-            } else if (mine > 0) {
+            } else if (heldNow > 0) {
                 d.release(p);
-                held.put(p, mine - 1);
+                held.put(p, heldNow - 1);
             }
             int sum = held.values().stream().mapToInt(Integer::intValue).sum();
             assertTrue(sum <= 256 - OWN - Descriptors.SPARE);
@@ -75,12 +75,12 @@
     }
 
     @Test
-    void tooFewAreNamed() {
+    void anInsufficientLimitIsReportedWithItsNumbers() {
         Exception e = assertThrows(IllegalArgumentException.class, () -> new Descriptors(64, OWN));
         assertTrue(e.getMessage().contains("64") && e.getMessage().contains("20"), e.getMessage());
     }
 
-    /** A failing accept is tried less and less often, and the first success ends that. */
+    /** The pause doubles with each failed accept, and the first success resets it. */
     @Test
     void theGateBacksOffWhileAcceptingFails() {
         AcceptGate gate = new AcceptGate(new Descriptors(256, OWN));
@@ -100,9 +100,9 @@
         assertEquals(10, gate.failed(now));
     }
 
-    /** One by one at first, while everything is cold; then more, but never a crowd in one turn. */
+    /** After a start connections are accepted one by one, then more per turn up to a limit. */
     @Test
-    void turnsTakeInMoreAsTheStartWarmsUp() {
+    void acceptsPerTurnGrowAfterAStart() {
         AcceptGate gate = new AcceptGate(new Descriptors(1024, OWN));
         int[] atTurn = {1, 1, 1, 1, 1, 1, 1, 1, 2, 2};
         for (int expected : atTurn) {
@@ -117,9 +117,9 @@
         assertEquals(AcceptGate.MOST_A_TURN, gate.perTurn());
     }
 
-    /** With nothing left the gate is shut, and open again as soon as one has left, whichever purpose's. */
+    /** Accepting pauses without descriptors and can resume as soon as one is released. */
     @Test
-    void theGateShutsWithTheBudgetAndOpensAgain() {
+    void acceptingPausesWithoutDescriptorsAndResumes() {
         Descriptors d = new Descriptors(256, OWN);
         AcceptGate gate = new AcceptGate(d);
         int[] freed = {0};
@@ -140,14 +140,14 @@
         assertEquals(127, d.used(Purpose.CLIENTS));
     }
 
-    /** Room is told on change only: gone with the last descriptor or the system's refusal, back with either. */
+    /** Capacity is reported on changes only: lost with the last descriptor or a refusal by the system, then regained. */
     @Test
-    void roomForAttemptsIsToldOnChangeOnly() {
+    void attemptCapacityIsReportedOnChangesOnly() {
         Descriptors d = new Descriptors(256, OWN);
-        java.util.List<Boolean> told = new java.util.ArrayList<>();
-        AttemptRoom room = new AttemptRoom(d, told::add);
+        java.util.List<Boolean> reported = new java.util.ArrayList<>();
+        AttemptRoom room = new AttemptRoom(d, reported::add);
         room.look(0);
-        assertTrue(told.isEmpty());
+        assertTrue(reported.isEmpty());
         takeAll(d, Purpose.WORKERS);
         room.look(0);
         room.look(1);
@@ -156,26 +156,26 @@
         room.refused(10);
         room.look(10 + AttemptRoom.PAUSE - 1);
         room.look(10 + AttemptRoom.PAUSE);
-        assertEquals(java.util.List.of(false, true, false, true), told);
+        assertEquals(java.util.List.of(false, true, false, true), reported);
     }
 
-    /** Only looks on end that see the loop stand still count: a process that was stopped takes none. */
+    /** Only consecutive checks of a stalled loop count. */
     @Test
-    void aLoopHangsOnlyIfManyLooksOnEndSeeItStill() {
+    void aLoopIsHungOnlyAfterConsecutiveStalledChecks() {
         LoopWatch watch = new LoopWatch(3);
-        boolean[] told = new boolean[9];
+        boolean[] hung = new boolean[9];
         long[] turns = {0, 0, 0, 1, 1, 2, 2, 2, 2};
         for (int i = 0; i < turns.length; i++) {
-            told[i] = watch.hangs(turns[i]);
+            hung[i] = watch.hangs(turns[i]);
         }
         for (int i = 0; i < turns.length; i++) {
-            assertEquals(i == 8, told[i], "look " + i);
+            assertEquals(i == 8, hung[i], "check " + i);
         }
     }
 
-    /** Two processes of one dispatcher never hold more than the limit together, however they come by it. */
+    /** Two processes of one dispatcher together never hold more than the limit. */
     @Test
-    void processesThatShareALimitKeepItTogether() {
+    void processesThatShareALimitStayWithinItTogether() {
         for (int seed = 0; seed < 50; seed++) {
             Random random = new Random(seed);
             Descriptors[] both = {new Descriptors(384, 30), new Descriptors(384, 30)};
@@ -198,13 +198,13 @@
             while (both[0].take(Purpose.CLIENTS)) {
                 more++;
             }
-            assertTrue(more > 60, "alone again it may hold as many as ever");
+            assertTrue(more > 60, "alone again, it may hold the full number");
         }
     }
 
-    /** What one held before it had to share stays, and it takes nothing more until that is back. */
+    /** Descriptors held before sharing stay in use, and no more are given out until enough are released. */
     @Test
-    void whoSharesGivesBackAsItsConnectionsEnd() {
+    void aSharingProcessTakesNoMoreUntilEnoughAreReleased() {
         Descriptors d = new Descriptors(384, 30);
         while (d.take(Purpose.CLIENTS)) {
             continue;
--- a/src/test/java/saffronferry/settings/WindowTest.java
+++ b/src/test/java/saffronferry/settings/WindowTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class WindowTest {
-    /** A repeat is sent once its connection is up, so it has to be decided on that much before the window's end. */
+    /** A retry is sent after its connection has opened, so it must be decided on that much before the key expires. */
     @ParameterizedTest
     @CsvSource({"40, 0.25, 39750000", "1.5, 0.4, 1100000", "0.2, 0.25, 0"})
-    void aRepeatIsDecidedOnWhileAConnectionMayStillComeUpInTheWindow(double keyTtl, double connect, long until)
+    void theKeyLifetimeIsReducedByTheConnectTimeout(double keyTtl, double connect, long until)
             throws IOException {
         JSONObject settings =
                 new JSONObject(Files.readString(Path.of("examples/config.json"))).getJSONObject("settings");
