--- a/src/test/java/saffronferry/settings/WindowTest.java
+++ b/src/test/java/saffronferry/settings/SettingsReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class WindowTest {
+class SettingsReaderTest {
     /** A retry is sent after its connection has opened, so it must be decided on that much before the key expires. */
     @ParameterizedTest
     @CsvSource({"40, 0.25, 39750000", "1.5, 0.4, 1100000", "0.2, 0.25, 0"})
