--- a/src/main/java/saffronferry/settings/SettingsReader.java
+++ b/src/main/java/saffronferry/settings/SettingsReader.java
@@ -112,30 +112,30 @@
         JSONArray stretches = array(family, "classStretch");
         JSONArray kindsOf = array(family, "classKind");
         for (int i = 0; i < profiles.length(); i++) {
-            JSONObject p = profiles.getJSONObject(i);
-            double stretch = number(p, "aimStretch", stretches.optDouble(i, 0));
-            Effect effect = switch (p.optString("idempotency", "once")) {
+            JSONObject profile = profiles.getJSONObject(i);
+            double stretch = number(profile, "aimStretch", stretches.optDouble(i, 0));
+            Effect effect = switch (profile.optString("idempotency", "once")) {
                 case "repeatable" -> Effect.SAFE;
                 case "by_key" -> Effect.KEYED;
                 default -> Effect.UNSAFE;
             };
-            Group group = switch (p.optString("group", "cell")) {
+            Group group = switch (profile.optString("group", "cell")) {
                 case "all" -> Group.ALL;
                 case "zone" -> Group.ZONE;
                 default -> Group.CELL;
             };
             // The key must be valid when the request is sent, which is after its connection has opened.
-            long window = Math.max(0, micros(p, "keyTtl") - Math.round(connectTimeout * 1e6));
+            long keyLifetime = Math.max(0, micros(profile, "keyTtl") - Math.round(connectTimeout * 1e6));
             result.add(new JobClass(
-                    p.optString("name"),
-                    micros(p, "target"),
+                    profile.optString("name"),
+                    micros(profile, "target"),
                     stretch,
-                    micros(p, "deadline"),
-                    number(p, "points", 1),
-                    number(p, "lateValue", 0),
+                    micros(profile, "deadline"),
+                    number(profile, "points", 1),
+                    number(profile, "lateValue", 0),
                     effect,
                     group,
-                    window,
+                    keyLifetime,
                     kindsOf.optInt(i, -1)));
         }
         return result;
