--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -111,11 +111,11 @@
     private final PriorityQueue<Job> jobsByDeadline = new PriorityQueue<>(Job.BY_DEADLINE);
     private final Peer[] peers;
     private final long[] zoneLastHeardAt; // 0: never
-    private final Lessons estimates; // of the slots of workers and the running times of jobs
+    private final LearnedEstimates estimates; // of the slots of workers and the running times of jobs
     /** Another process of this dispatcher, which replaces this one or is replaced by it. */
     private final Peer siblingProcess = new Peer(-1);
 
-    private final Allowances allowances;
+    private final TenantTokenBuckets allowances;
     private final boolean[] classBlocked; // classes for which no slot was found while held jobs were sent
     /** P: the probability with which another job is accepted here. */
     private double acceptance = 1;
@@ -127,7 +127,7 @@
     private double fleetTrafficShare;
     private double requestRate;
     private double probeCredit;
-    private final RepeatBudget repeatBudget;
+    private final RetryBudget repeatBudget;
     private final TalkBudget talkBudget;
     private final CallPace discoveryPace;
     private final ColdShares coldShares;
@@ -177,13 +177,13 @@
         coldShares = new ColdShares(settings.self(), settings.peers());
         ownership = new WorkerOwnership(settings.zones(), settings.zone(), coldShares);
         coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
-        repeatBudget = new RepeatBudget(settings.peers());
+        repeatBudget = new RetryBudget(settings.peers());
         discoveryPace = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
         talkBudget = new TalkBudget(
-                settings.peerPrice(), Message.MOST_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
-        estimates = new Lessons(settings.kinds(), settings.classes(), INITIAL_RUNNING_TIME_US);
+                settings.peerPrice(), PeerMessage.MOST_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
+        estimates = new LearnedEstimates(settings.kinds(), settings.classes(), INITIAL_RUNNING_TIME_US);
         classBlocked = new boolean[queues.length];
-        allowances = new Allowances(settings.tenants());
+        allowances = new TenantTokenBuckets(settings.tenants());
         fleetTrafficShare = 1.0 / settings.peers();
         probing = settings.reports() && settings.mayProbe();
     }
@@ -582,8 +582,8 @@
     }
 
     // ---- messages between dispatchers ----
-    private Message newMessage(Message.Type type) {
-        Message message = new Message(
+    private PeerMessage newMessage(PeerMessage.Type type) {
+        PeerMessage message = new PeerMessage(
                 type, settings.zone(), acceptance, combinedAcceptance, requestRate, exchangePeriod);
         message.at = now;
         message.cold = zoneHasCold;
@@ -596,13 +596,13 @@
     /** Sends (P, R) and free slots to peers; the next exchange is the later, the more bytes this one took. */
     private void exchange() {
         combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
-        Message offer = newOffer();
+        PeerMessage offer = newOffer();
         sendToOwnZone(talkBudget.fan(peers.length, offer.size(), requestRate), offer);
         sendToNeighbourZone();
         exchangePeriod = talkBudget.period(requestRate);
     }
 
-    private void sendToPeer(int peer, Message message) {
+    private void sendToPeer(int peer, PeerMessage message) {
         if (!settings.mayTell() || peer == settings.self()) {
             return;
         }
@@ -611,7 +611,7 @@
     }
 
     /** Sends to at most {@code limit} peers of the zone in turn; first to guardians, which can lend cold budgets. */
-    private void sendToOwnZone(int limit, Message message) {
+    private void sendToOwnZone(int limit, PeerMessage message) {
         int[] guardians =
                 workerIndex.guardians(coldShares, zoneHasCold ? Math.max(limit - 1, MIN_FANOUT) : 0, tickCount);
         for (int guardian : guardians) {
@@ -651,8 +651,8 @@
     }
 
     /** An offer of some free slots of owned workers; of none while jobs are held here. */
-    private Message newOffer() {
-        Message message = newMessage(Message.Type.OFFERS);
+    private PeerMessage newOffer() {
+        PeerMessage message = newMessage(PeerMessage.Type.OFFERS);
         Worker last = null;
         for (int k = 0; k < workerIndex.kindGroups() && heldSlots == 0; k++) {
             for (int i = 0; i < Math.min(workerIndex.openCount(k), 3); i++) {
@@ -667,7 +667,7 @@
     }
 
     /** Adds loans of the budgets of owned cold workers to a message for a peer that asks for slots. */
-    private Message addLoans(Peer peer, Message message) {
+    private PeerMessage addLoans(Peer peer, PeerMessage message) {
         double share = Peer.roundUpToBudgetUnits(estimates.longest());
         for (Worker worker :
                 peer.mayLend(message, now, settings.zone()) ? workerIndex.coldOwned() : List.<Worker>of()) {
@@ -686,7 +686,7 @@
         if (!peer.hasUnusedLoan(wanted, now, OFFER_LIFETIME_US)) {
             return;
         }
-        sendToPeer(peer.number, peer.returnUnusedBudget(newMessage(Message.Type.RETURNS)));
+        sendToPeer(peer.number, peer.returnUnusedBudget(newMessage(PeerMessage.Type.RETURNS)));
     }
 
     /** Tells the owner of a borrowed worker at once which slots local jobs use there, or use no more. */
@@ -694,7 +694,7 @@
         if (worker.ownedLocally || worker.lender < 0) {
             return;
         }
-        Message message = newMessage(Message.Type.BORROWS);
+        PeerMessage message = newMessage(PeerMessage.Type.BORROWS);
         message.add(worker.hash, worker.localSlots);
         sendToPeer(worker.lender, message);
         peers[worker.lender].scheduleHoldsReport(now);
@@ -703,7 +703,7 @@
     @Override
     public void peerMessage(long clock, int peerNumber, byte[] bytes) {
         now = clock;
-        Message message = Message.read(bytes, now);
+        PeerMessage message = PeerMessage.read(bytes, now);
         if (message == null
                 || peerNumber < 0
                 || peerNumber >= peers.length
@@ -734,23 +734,23 @@
         zoneLastHeardAt[message.zone] = now;
         // with P < 1 the peer holds jobs, and without an offer of its own it asks for slots: answer with an offer
         boolean asks =
-                message.type == Message.Type.OFFERS && message.entries == 0 && message.p < 1 && heldSlots == 0;
+                message.type == PeerMessage.Type.OFFERS && message.entries == 0 && message.p < 1 && heldSlots == 0;
         // a peer that is heard for the first time may have just started, and has to learn of this dispatcher too
         if (firstMessage || asks && workerIndex.hasOpen()) {
-            Message answer = asks ? addLoans(peer, newOffer()) : newOffer();
+            PeerMessage answer = asks ? addLoans(peer, newOffer()) : newOffer();
             sendToPeer(peerNumber, firstMessage ? Peer.attachOtherZones(coldShares, answer) : answer);
         }
-        int zoneOfWorkers = message.type == Message.Type.OFFERS ? peer.zone : settings.zone();
+        int zoneOfWorkers = message.type == PeerMessage.Type.OFFERS ? peer.zone : settings.zone();
         Worker[] named = workerIndex.find(zoneOfWorkers, message);
-        if (message.type == Message.Type.OFFERS) {
+        if (message.type == PeerMessage.Type.OFFERS) {
             returnUnusedLoan(peer, false); // the new offer replaces an earlier loan
             peer.recordOffers(named, message, now, startedAt, OFFER_LIFETIME_US);
             zoneOffersValidUntil = peer.zone == settings.zone() && message.entries > 0
                     ? now + OFFER_LIFETIME_US
                     : zoneOffersValidUntil;
-        } else if (message.type == Message.Type.RETURNS) {
+        } else if (message.type == PeerMessage.Type.RETURNS) {
             peer.acceptReturnedBudget(named, message, now);
-        } else if (message.type == Message.Type.HOLDS) {
+        } else if (message.type == PeerMessage.Type.HOLDS) {
             peer.replaceHolds(named, message.count, now, this::refresh);
         } else {
             peer.updateHolds(named, message.count, now, this::refresh);
@@ -758,7 +758,7 @@
         combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
         sendHeld();
         returnUnusedLoan(peer, heldSlots > 0);
-        if (isNeighbour(peer) && message.type == Message.Type.OFFERS && message.entries > 0) {
+        if (isNeighbour(peer) && message.type == PeerMessage.Type.OFFERS && message.entries > 0) {
             spillHeld();
         }
     }
@@ -810,7 +810,7 @@
             if (worker.suspect && worker.attempts.isEmpty() && now >= worker.nextTrialAt) {
                 clearSuspicion(worker, worker.failedTrials);
             }
-            if (!worker.suspect && Silence.nats(worker, now, estimates, settings) > SUSPICION_NATS) {
+            if (!worker.suspect && SuspicionLevel.nats(worker, now, estimates, settings) > SUSPICION_NATS) {
                 markSuspect(worker);
             }
         }
@@ -1263,7 +1263,7 @@
         // a random phase: the timers of a fleet that starts together must not run in step
         nextExchangeAt = now + random.nextLong(MIN_EXCHANGE_PERIOD_US);
         for (Peer peer : peers) {
-            sendToPeer(peer.number, newMessage(Message.Type.OFFERS));
+            sendToPeer(peer.number, newMessage(PeerMessage.Type.OFFERS));
         }
         actions.timer(TICK_TOKEN, 1 + random.nextLong(TICK_US));
         probeCredit = Math.min(12, workerIndex.ownedCount());
@@ -1320,15 +1320,15 @@
 
     // ---- another process of this dispatcher, which replaces this one or is replaced by it ----
     @Override
-    public Beside beside() {
-        return new Beside(workerIndex.localSlotsByAddress(), estimates.told());
+    public HandoverState beside() {
+        return new HandoverState(workerIndex.localSlotsByAddress(), estimates.told());
     }
 
     @Override
-    public void beside(long clock, Beside other) {
+    public void beside(long clock, HandoverState other) {
         now = clock;
         estimates.take(other.learned());
-        processCount = other.equals(Beside.NOBODY) ? 1 : 2;
+        processCount = other.equals(HandoverState.NOBODY) ? 1 : 2;
         repeatBudget.share(processCount);
         for (Worker worker : workerIndex.all()) {
             siblingProcess.setHold(worker, other.jobs().getOrDefault(worker.address, 0), now);
@@ -1375,7 +1375,7 @@
             }
             sendToPeer(
                     peer.number,
-                    peer.addHoldsReport(now, workerIndex.borrowed(), newMessage(Message.Type.HOLDS)));
+                    peer.addHoldsReport(now, workerIndex.borrowed(), newMessage(PeerMessage.Type.HOLDS)));
         }
         sendConstrained();
         spillPressed();
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -240,7 +240,7 @@
             this.number = number;
         }
 
-        void recordMessage(Message message, long now, long firstInterval) {
+        void recordMessage(PeerMessage message, long now, long firstInterval) {
             zone = message.zone;
             acceptance = message.p;
             combinedAcceptance = message.r;
@@ -263,8 +263,8 @@
          * Adds to an offer which dispatchers of the zone are heard, this one included. Only those are named that will
          * not be forgotten within the lease for which the announcement stands.
          */
-        static void attachMembership(Peer[] peers, ColdShares shares, int zone, Message message) {
-            if (message.type != Message.Type.OFFERS) {
+        static void attachMembership(Peer[] peers, ColdShares shares, int zone, PeerMessage message) {
+            if (message.type != PeerMessage.Type.OFFERS) {
                 return;
             }
             message.hears = new BitSet();
@@ -280,11 +280,11 @@
         }
 
         /** Adds which dispatchers are in other zones, for a peer that may have just started and doesn't know. */
-        static Message attachOtherZones(ColdShares shares, Message message) {
+        static PeerMessage attachOtherZones(ColdShares shares, PeerMessage message) {
             BitSet others = shares.elsewhere();
             // left out where it would exceed the largest message, which offers may have filled already
             boolean fits =
-                    message.word != null && message.size() + 1 + (others.length() + 7) / 8 <= Message.MOST_BYTES;
+                    message.word != null && message.size() + 1 + (others.length() + 7) / 8 <= PeerMessage.MOST_BYTES;
             message.elsewhere = others.isEmpty() || !fits ? null : others;
             return message;
         }
@@ -302,7 +302,7 @@
          * Adds the slots that local jobs use on this peer's workers. Reported while there are any and once more with
          * none: a lender that missed the end of a job would go on counting its slot as taken.
          */
-        Message addHoldsReport(long now, Iterable<Worker> workers, Message message) {
+        PeerMessage addHoldsReport(long now, Iterable<Worker> workers, PeerMessage message) {
             for (Worker worker : workers) {
                 if (worker.lender == number && !worker.ownedLocally && worker.localSlots > 0) {
                     message.add(worker.hash, worker.localSlots);
@@ -348,7 +348,7 @@
          * @param processStartedAt start of this process, by the common clock
          * @param lifetime how long a loan counts
          */
-        void recordOffers(Worker[] named, Message message, long now, long processStartedAt, long lifetime) {
+        void recordOffers(Worker[] named, PeerMessage message, long now, long processStartedAt, long lifetime) {
             boolean counts = message.word != null && borrowedBudget.counts(message.at, now, processStartedAt, lifetime);
             offeredWorkers = named;
             offeredAmounts = new int[named.length];
@@ -362,18 +362,18 @@
                 if (offeredAsBudget[i] && counts) {
                     borrowedBudget.taken(message.at);
                     borrowedStamp = message.at;
-                    totalBorrowedUs += (long) (offeredAmounts[i] * Message.LENT_UNIT);
+                    totalBorrowedUs += (long) (offeredAmounts[i] * PeerMessage.LENT_UNIT);
                 }
             }
         }
 
         /** Whether a message to this peer may lend budget: it carries a stamp, and the last loan is not too recent. */
-        boolean mayLend(Message message, long now, int ownZone) {
+        boolean mayLend(PeerMessage message, long now, int ownZone) {
             return message.word != null && zone == ownZone && now > nextLoanAt;
         }
 
         /** Lends a share of a worker's budget. It is spent here before it is sent, so it can't be spent twice. */
-        void lend(Worker worker, double share, Message message, long now) {
+        void lend(Worker worker, double share, PeerMessage message, long now) {
             worker.coldBudget.spend(share);
             lentBudget.lent(worker.hash, message.at, share);
             totalLentUs += (long) share;
@@ -395,7 +395,7 @@
         }
 
         /** Returns what is left of the borrowed budget. It is given up here before the message is sent. */
-        Message returnUnusedBudget(Message message) {
+        PeerMessage returnUnusedBudget(PeerMessage message) {
             message.at = borrowedStamp;
             for (int i = 0; i < offeredWorkers.length; i++) {
                 if (offeredAsBudget[i] && offeredAmounts[i] > 0) {
@@ -407,11 +407,11 @@
         }
 
         /** Takes back budget that the peer borrowed and returns; workers not on the list here are null. */
-        void acceptReturnedBudget(Worker[] named, Message message, long now) {
+        void acceptReturnedBudget(Worker[] named, PeerMessage message, long now) {
             for (int i = 0; i < named.length; i++) {
                 if (named[i] != null) {
                     double returned = lentBudget.back(
-                            message.hash[i], message.at, message.amount(i) * Message.LENT_UNIT, now);
+                            message.hash[i], message.at, message.amount(i) * PeerMessage.LENT_UNIT, now);
                     named[i].coldBudget.back(returned);
                     totalReturnedUs += (long) returned;
                 }
@@ -420,7 +420,7 @@
 
         /** Rounds slot time up to whole units, in which messages transfer budget. */
         static double roundUpToBudgetUnits(double slotTimeUs) {
-            return toBudgetUnits(slotTimeUs) * Message.LENT_UNIT;
+            return toBudgetUnits(slotTimeUs) * PeerMessage.LENT_UNIT;
         }
 
         /** Whether an offer is enough for a job of so many slots that is expected to take that slot time. */
@@ -435,7 +435,7 @@
         }
 
         static int toBudgetUnits(double slotTimeUs) {
-            return (int) Math.ceil(slotTimeUs / Message.LENT_UNIT);
+            return (int) Math.ceil(slotTimeUs / PeerMessage.LENT_UNIT);
         }
 
         /** This dispatcher's share of the traffic of its zone and of the fleet, out of the dispatchers it hears. */
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -228,7 +228,7 @@
     }
 
     /** The workers of a zone that a message names; null for those not on the list here. */
-    Worker[] find(int zone, Message message) {
+    Worker[] find(int zone, PeerMessage message) {
         Worker[] named = new Worker[message.entries];
         for (int i = 0; i < named.length; i++) {
             named[i] = find(zone, message.hash[i]);
@@ -371,7 +371,7 @@
      * @param ownershipChanged whether any worker may change its owner
      * @return the workers whose assignment may have changed, sorted by hash
      */
-    List<Worker> reassign(WorkerOwnership ownership, boolean ownershipChanged, Lessons known) {
+    List<Worker> reassign(WorkerOwnership ownership, boolean ownershipChanged, LearnedEstimates known) {
         boolean all = ownershipChanged || allChanged;
         boolean zoneChanged = all;
         // a new estimate of the slots of a kind opens or closes all its workers, also those without any event
--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -12,9 +12,9 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 import saffronferry.Balancer;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 import saffronferry.Contract.JobClass;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.limit.AcceptGate;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
@@ -210,8 +210,8 @@
         if (company != null) {
             company.keep(wire.ledger()::beside, new Company.Listener() {
                 @Override
-                public void told(Beside beside) {
-                    wire.ledger().report(new News.RunsBeside(beside));
+                public void told(HandoverState beside) {
+                    wire.ledger().report(new BalancerEvent.RunsBeside(beside));
                 }
 
                 @Override
--- a/src/main/java/saffronferry/state/Ledger.java
+++ b/src/main/java/saffronferry/state/Ledger.java
@@ -11,14 +11,14 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import saffronferry.Balancer;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
-import saffronferry.News;
-import saffronferry.Step;
+import saffronferry.BalancerEvent;
+import saffronferry.BalancerAction;
 import saffronferry.ops.Bans;
 import saffronferry.ops.Figures;
 import saffronferry.ops.Figures.Result;
@@ -40,7 +40,7 @@
     private final ResolverResult resolved = new ResolverResult();
     private final Map<Long, Rpc<M>> open = new HashMap<>();
     private final Set<String> names = new HashSet<>();
-    private final ArrayDeque<Supplier<List<Step>>> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Supplier<List<BalancerAction>>> waiting = new ArrayDeque<>();
     private boolean running;
     private long lastId;
     private long lastDeadline = Long.MAX_VALUE;
@@ -97,7 +97,7 @@
         Rpc<M> rpc = open.get(id);
         if (rpc != null && !rpc.answered()) {
             answer(rpc, null, channel -> {});
-            report(new News.ClientGone(id));
+            report(new BalancerEvent.ClientGone(id));
         }
     }
 
@@ -151,7 +151,7 @@
     public void resolved(ListUpdate update, boolean warmCopy) {
         List<WorkerInfo> shown = resolved.take(update);
         ListKind kind = warmCopy ? ListKind.WARM_COPY : update.complete() ? ListKind.WHOLE : ListKind.CHANGES;
-        report(new News.Resolved(kind, shown));
+        report(new BalancerEvent.Resolved(kind, shown));
         // guards the rule on drains against a connection's time: the first byte would go out that much later
         giveUpUnbegun(subchannel -> !resolved.inService(subchannel));
     }
@@ -167,7 +167,7 @@
         }
     }
 
-    public void report(News news) {
+    public void report(BalancerEvent news) {
         run(() -> balancer.report(clock.now(), news));
     }
 
@@ -178,14 +178,14 @@
         Bans before = resolved.bans();
         List<WorkerInfo> changed = resolved.ban(next, clock.now());
         if (!changed.isEmpty()) {
-            report(new News.Resolved(ListKind.CHANGES, changed));
+            report(new BalancerEvent.Resolved(ListKind.CHANGES, changed));
         }
         // guards against what the balancer cannot recall: an attempt whose connection is yet to come up
         giveUpUnbegun(subchannel -> next.has(subchannel) && !before.has(subchannel));
     }
 
     /** What another process of this dispatcher should know while it runs beside this one. */
-    public Beside beside() {
+    public HandoverState beside() {
         return balancer.beside();
     }
 
@@ -214,7 +214,7 @@
 
     @Override
     public void moved(CallAttempt a, boolean started) {
-        report(new News.AttemptMoved(a.rpc, a.number, started));
+        report(new BalancerEvent.AttemptMoved(a.rpc, a.number, started));
     }
 
     @Override
@@ -229,7 +229,7 @@
         }
         boolean answered = rpc.answered();
         forgetIfDone(rpc);
-        report(new News.AttemptEnded(a.rpc, a.number, outcome, clock.now() - a.sentAt, answered, load));
+        report(new BalancerEvent.AttemptEnded(a.rpc, a.number, outcome, clock.now() - a.sentAt, answered, load));
     }
 
     private void giveUp(CallAttempt a, Outcome outcome) {
@@ -242,14 +242,14 @@
     // ---- what the balancer asks for ----
 
     /** Carries steps out; news that they make waits its turn, so that the balancer is never entered twice. */
-    private void run(Supplier<List<Step>> work) {
+    private void run(Supplier<List<BalancerAction>> work) {
         waiting.add(work);
         if (running) {
             return;
         }
         running = true;
-        for (Supplier<List<Step>> next = waiting.poll(); next != null; next = waiting.poll()) {
-            Supplier<List<Step>> current = next;
+        for (Supplier<List<BalancerAction>> next = waiting.poll(); next != null; next = waiting.poll()) {
+            Supplier<List<BalancerAction>> current = next;
             guarded(() -> current.get().forEach(step -> guarded(() -> perform(step))));
         }
         running = false;
@@ -268,30 +268,30 @@
         }
     }
 
-    private void perform(Step step) {
-        if (step instanceof Step.StartAttempt s) {
+    private void perform(BalancerAction step) {
+        if (step instanceof BalancerAction.StartAttempt s) {
             start(s);
-        } else if (step instanceof Step.CancelAttempt c) {
+        } else if (step instanceof BalancerAction.CancelAttempt c) {
             Rpc<M> rpc = open.get(c.rpc());
             if (rpc != null) {
                 giveUp(rpc.attempts.get(c.attempt()), Outcome.CANCELLED);
             }
-        } else if (step instanceof Step.Refuse r) {
+        } else if (step instanceof BalancerAction.Refuse r) {
             finish(r.rpc(), Result.SHED, channel -> channel.refused(r.retryAfter()));
-        } else if (step instanceof Step.Fail f) {
+        } else if (step instanceof BalancerAction.Fail f) {
             finish(f.rpc(), Result.ERRORS, Channel::failed);
-        } else if (step instanceof Step.Probe p) {
+        } else if (step instanceof BalancerAction.Probe p) {
             probe(p.subchannel());
-        } else if (step instanceof Step.TellPeer t) {
+        } else if (step instanceof BalancerAction.TellPeer t) {
             ports.tell(t.peer(), t.bytes());
-        } else if (step instanceof Step.Watch) {
+        } else if (step instanceof BalancerAction.Watch) {
             ports.watch(resolved.revision());
-        } else if (step instanceof Step.WakeAfter w) {
+        } else if (step instanceof BalancerAction.WakeAfter w) {
             ports.wake(w.delay(), () -> tick(w.token()));
         }
     }
 
-    private void start(Step.StartAttempt s) {
+    private void start(BalancerAction.StartAttempt s) {
         Rpc<M> rpc = open.get(s.rpc());
         if (rpc == null) {
             throw new IllegalStateException("an attempt for an RPC that is over");
@@ -329,7 +329,7 @@
     private void probe(String subchannel) {
         String address = resolved.bans().has(subchannel) ? null : resolved.address(subchannel);
         if (address == null) {
-            report(new News.Probed(subchannel, Outcome.CONNECT_FAILED, null));
+            report(new BalancerEvent.Probed(subchannel, Outcome.CONNECT_FAILED, null));
         } else {
             ports.probe(subchannel, address);
         }
--- a/src/test/java/saffronferry/ColdBudgetTest.java
+++ b/src/test/java/saffronferry/ColdBudgetTest.java
@@ -11,13 +11,13 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 
-/** Rule 4 over many instances: together they must not push a cold worker over. */
+/** Many dispatchers together must not overload a cold worker. */
 class ColdBudgetTest {
     private static final int DISPATCHERS = 8;
     private static final long JOB = 400 * MS;
     private static final int SLOTS = 5;
 
-    /** All dispatchers hear each other from the start, or (silent) none ever hears another. */
+    /** Sends to the cold worker, by time after its start. If {@code silent}, no peer message is ever delivered. */
     private static List<Long> sendsToCold(boolean silent) {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = DISPATCHERS;
@@ -43,8 +43,8 @@
                 if (start + t == coldAt) {
                     harness.change(DispatcherHarness.worker("cold", 0, WorkerState.IN_SERVICE, coldAt));
                 }
-                String told = "warm" + t / (5 * MS) % warm.length;
-                harness.report(told, Math.max(0, SLOTS - running(harnesses, done, told)));
+                String reporting = "warm" + t / (5 * MS) % warm.length;
+                harness.report(reporting, Math.max(0, SLOTS - running(harnesses, done, reporting)));
                 harness.request(id++);
                 for (; done[d] < harness.sends.size() && harness.sends.get(done[d]).at() + JOB <= harness.now; done[d]++) {
                     DispatcherHarness.Send s = harness.sends.get(done[d]);
@@ -85,20 +85,20 @@
                 k++;
             }
             double share = 0.2 + 0.8 * Math.min(1, from / (10.0 * S));
-            double budget = 3 * share * SLOTS * S; // slot time in a window, as the rule counts it
+            double budget = 3 * share * SLOTS * S; // allowed slot time within one second
             assertTrue((k - i) * JOB <= budget + JOB, (k - i) + " jobs within a second at " + from);
         }
     }
 
     @Test
-    void neighboursThatKnowEachOtherStayWithinTheBudget() {
+    void dispatchersInContactStayWithinTheBudget() {
         List<Long> sends = sendsToCold(false);
         assertTrue(sends.size() >= 3, "a cold worker must be warmed up: " + sends.size());
         check(sends);
     }
 
     @Test
-    void strangersStayWithinTheBudgetToo() {
+    void dispatchersWithoutContactStayWithinTheBudget() {
         check(sendsToCold(true));
     }
 }
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -321,7 +321,7 @@
     void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndTheOwnerIsTold() {
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-        Message hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
+        PeerMessage hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         harness.dispatcher.peerMessage(harness.now, 1, hello.bytes());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
@@ -333,12 +333,12 @@
                 .filter(w -> harness.sendCount(w) == 0)
                 .findFirst()
                 .orElseThrow();
-        Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
         harness.sentMessages.clear();
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         assertEquals(1, harness.sendCount(foreign));
-        assertTrue(harness.sentMessages.stream().map(b -> Message.read(b, 0)).anyMatch(m -> m.type == Message.Type.BORROWS));
+        assertTrue(harness.sentMessages.stream().map(b -> PeerMessage.read(b, 0)).anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
     }
 
     /** A dispatcher that does not own a worker must time its warm-up too, or it never uses a slot offered there again. */
@@ -348,7 +348,7 @@
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
         harness.list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, harness.now));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // often enough for the peer not to count as silent
             harness.advance((after == 1 ? 1 : 5) * S);
@@ -365,7 +365,7 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 3);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         for (long id = 1; id <= 60; id++) {
@@ -376,8 +376,8 @@
         // the lender must be told, or it uses the slots too
         int last = harness.messageReceivers.lastIndexOf(1);
         assertTrue(harness.sentMessages.stream()
-                .map(b -> Message.read(b, 0))
-                .anyMatch(m -> m.type == Message.Type.BORROWS && m.count[0] == 3));
+                .map(b -> PeerMessage.read(b, 0))
+                .anyMatch(m -> m.type == PeerMessage.Type.BORROWS && m.count[0] == 3));
         assertEquals(1, harness.messageReceivers.get(last));
     }
 
@@ -387,14 +387,14 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
         harness.advance(S);
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
         }
         assertEquals(0, harness.sends.size());
         for (int i = 0; i < 5; i++) {
-            Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
+            PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
             offer.add(new DispatcherState.Worker("far", 0).hash, 4);
             harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         }
@@ -407,17 +407,17 @@
         options.peers = 2;
         for (boolean reportedAgain : new boolean[] {true, false}) {
             DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-            harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+            harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
             harness.advance(60 * MS);
             for (String own : List.of("a", "b", "c", "d")) {
-                Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
+                PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
                 borrows.add(new DispatcherState.Worker(own, 0).hash, 2);
                 harness.dispatcher.peerMessage(harness.now, 1, borrows.bytes());
             }
             harness.request(1);
             assertEquals(0, harness.sends.size(), "all slots are in use by the peer's jobs");
             if (reportedAgain) {
-                harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.HOLDS, 0, 1, 1, 1, 50 * MS).bytes());
+                harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).bytes());
             } else {
                 harness.advance(1_900 * MS);
             }
@@ -431,7 +431,7 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 4);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         for (long id = 1; id <= 30; id++) {
@@ -443,8 +443,8 @@
         harness.sends.forEach(s -> harness.endAttempt(s.id(), 0, Outcome.OK));
         harness.advance(1_600 * MS);
         List<String> reports = harness.sentMessages.stream()
-                .map(b -> Message.read(b, 0))
-                .filter(m -> m.type == Message.Type.HOLDS)
+                .map(b -> PeerMessage.read(b, 0))
+                .filter(m -> m.type == PeerMessage.Type.HOLDS)
                 .map(m -> m.entries == 0 ? "none" : Integer.toString(m.count[0]))
                 .toList();
         assertEquals(List.of(Integer.toString(borrowed), Integer.toString(borrowed), "none"), reports);
@@ -469,8 +469,8 @@
 
     private static List<String> reportedBorrows(DispatcherHarness harness) {
         return harness.sentMessages.stream()
-                .map(b -> Message.read(b, 0))
-                .filter(m -> m.type == Message.Type.BORROWS)
+                .map(b -> PeerMessage.read(b, 0))
+                .filter(m -> m.type == PeerMessage.Type.BORROWS)
                 .map(m -> m.hash[0] + " " + m.count[0])
                 .toList();
     }
@@ -486,7 +486,7 @@
         for (long id = 1; id <= 4; id++) {
             harness.request(id); // alone it owns both workers
         }
-        byte[] hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
         harness.dispatcher.peerMessage(harness.now, 1, hello);
         harness.advance(40 * MS);
         int a = new DispatcherState.Worker("a", 0).hash;
@@ -519,8 +519,8 @@
                 .findFirst()
                 .orElseThrow();
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
-        byte[] hello = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
-        Message borrows = new Message(Message.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
         borrows.add(hashes[moving], 2);
         harness.dispatcher.peerMessage(harness.now, 2, borrows.bytes());
         harness.advance(40 * MS);
@@ -549,12 +549,12 @@
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
-            harness.dispatcher.peerMessage(harness.now, peer, new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+            harness.dispatcher.peerMessage(harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
         }
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
         }
-        Message offer = new Message(Message.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 4);
         for (int i = 0; i < 5; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
@@ -566,18 +566,18 @@
     void aMessageWithPBelowOneIsAnsweredWithAnOfferAtOnce() {
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-        harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
         harness.advance(60 * MS);
         harness.sentMessages.clear();
-        Message asking = new Message(Message.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * MS);
+        PeerMessage asking = new PeerMessage(PeerMessage.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * MS);
         harness.dispatcher.peerMessage(harness.now, 1, asking.bytes());
         assertEquals(1, harness.sentMessages.size());
-        assertTrue(Message.read(harness.sentMessages.get(0), 0).entries > 0);
+        assertTrue(PeerMessage.read(harness.sentMessages.get(0), 0).entries > 0);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
         }
         harness.advance(500 * MS);
-        Message lastSent = Message.read(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
+        PeerMessage lastSent = PeerMessage.read(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
         assertTrue(lastSent.entries == 0 && lastSent.p < 1);
     }
 
@@ -637,7 +637,7 @@
                 })) {
             harness.dispatcher.peerMessage(harness.now, 1, bytes);
         }
-        harness.dispatcher.peerMessage(harness.now, 99, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
+        harness.dispatcher.peerMessage(harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
         harness.request(1);
         assertFalse(harness.sends.isEmpty());
     }
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -43,7 +43,7 @@
     }
 
     private static byte[] hello(double p, double rate) {
-        return new Message(Message.Type.OFFERS, 0, p, p, rate, 50 * MS).bytes();
+        return new PeerMessage(PeerMessage.Type.OFFERS, 0, p, p, rate, 50 * MS).bytes();
     }
 
     // ---- counters ----
@@ -105,7 +105,7 @@
     @Test
     void runningTimesStayFiniteHoweverManyJobsEnded() throws Exception {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
-        Lessons estimates = (Lessons) get(harness.dispatcher, "estimates");
+        LearnedEstimates estimates = (LearnedEstimates) get(harness.dispatcher, "estimates");
         estimates.ended[0] = Integer.MAX_VALUE - 3;
         for (long id = 1; id <= 10; id++) {
             harness.request(id);
@@ -155,7 +155,7 @@
             for (double r : edges) {
                 double w = Dispatcher.spillWeight(p, r);
                 assertTrue(w >= 0 && w <= 1, p + ", " + r + ": " + w);
-                Message m = Message.read(new Message(Message.Type.OFFERS, 0, p, r, 0, 0).bytes(), 0);
+                PeerMessage m = PeerMessage.read(new PeerMessage(PeerMessage.Type.OFFERS, 0, p, r, 0, 0).bytes(), 0);
                 assertTrue(Math.abs(m.p - p) <= 1 / 255.0 && Math.abs(m.r - r) <= 1 / 510.0 + 1e-9, p + ", " + r);
             }
         }
@@ -167,9 +167,9 @@
     @Test
     void aPJustBelowOneStaysBelowOneInAMessage() {
         for (double p : new double[] {0.99, 0.999, 1 - 1e-9}) {
-            assertTrue(Message.read(hello(p, 1), 0).p < 1, "P " + p);
+            assertTrue(PeerMessage.read(hello(p, 1), 0).p < 1, "P " + p);
         }
-        assertEquals(1, Message.read(hello(1, 1), 0).p);
+        assertEquals(1, PeerMessage.read(hello(1, 1), 0).p);
     }
 
     private void traffic(DispatcherHarness harness, int perSecond, long span) {
@@ -289,7 +289,7 @@
     }
 
     private static void borrow(DispatcherHarness harness, int slots) {
-        Message m = new Message(Message.Type.BORROWS, 0, 1, 1, 5, 50 * MS);
+        PeerMessage m = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 5, 50 * MS);
         IntStream.range(0, 8).forEach(i -> m.add(new DispatcherState.Worker("w" + i, 0).hash, slots));
         harness.dispatcher.peerMessage(harness.now, 1, m.bytes());
     }
@@ -350,7 +350,7 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        byte[] hello = new Message(Message.Type.OFFERS, 1, 1, 1, 5, 50 * MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 5, 50 * MS).bytes();
         for (int i = 0; i < 6; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, hello);
             harness.advance(500 * MS);
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -89,7 +89,7 @@
             dispatcher.peerMessage(
                     now,
                     peer,
-                    new Message(Message.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * MS).bytes());
+                    new PeerMessage(PeerMessage.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * MS).bytes());
         }
     }
 
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -46,7 +46,7 @@
         options.tellsStart = true;
         options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-        harness.dispatcher.peerMessage(harness.now, 1, new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
@@ -55,7 +55,7 @@
                 .filter(w -> harness.sendCount(w) == 0)
                 .findFirst()
                 .orElseThrow();
-        Message offer = new Message(Message.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
+        PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         DispatcherHarness.Send borrowed = harness.sends.stream()
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -116,8 +116,8 @@
             } else if (event < 90) {
                 harness.change(put("w" + random.nextInt(14), WorkerState.IN_SERVICE, harness.now - random.nextLong(500_000)));
             } else if (event < 93) {
-                Message m = new Message(
-                        Message.Type.values()[random.nextInt(2)],
+                PeerMessage m = new PeerMessage(
+                        PeerMessage.Type.values()[random.nextInt(2)],
                         random.nextInt(options.zones),
                         random.nextDouble(),
                         random.nextDouble(),
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -34,10 +34,10 @@
     @Test
     void repeatsOfAFleetAreBounded() {
         for (int n : new int[] {1, 2, 4, 16, 100}) {
-            RepeatBudget[] all = new RepeatBudget[n];
+            RetryBudget[] all = new RetryBudget[n];
             int taken = 0;
             for (int i = 0; i < n; i++) {
-                all[i] = new RepeatBudget(n);
+                all[i] = new RetryBudget(n);
                 all[i].share(i % 2 + 1); // while two processes run, each has half
                 all[i].share(1);
                 for (int t = 0; t < 100; t++) {
@@ -65,7 +65,7 @@
         assertEquals(0.25, harness.dispatcher.sharing().part());
         for (int peer : new int[] {1, 2}) {
             harness.dispatcher.peerMessage(
-                    harness.now, peer, new Message(Message.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).bytes());
+                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).bytes());
         }
         Sharing sharing = harness.dispatcher.sharing();
         assertEquals(Sharing.Fallback.PARTS, sharing.fallback());
@@ -73,8 +73,8 @@
         assertTrue(sharing.guarded() == 0 || sharing.part() == 1 / 3.0, "one is in another zone: " + sharing);
     }
 
-    private static final Lessons ESTIMATES =
-            new Lessons(2, List.of(DispatcherHarness.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
+    private static final LearnedEstimates ESTIMATES =
+            new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
 
     /** Ownership of a single dispatcher, with zones that keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
