--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -8,7 +8,7 @@
 import saffronferry.ops.Call;
 import saffronferry.ops.ControlSpend;
 import saffronferry.ops.Figures;
-import saffronferry.state.Ledger;
+import saffronferry.state.RpcCoordinator;
 import saffronferry.wire.ConsoleServer;
 
 /** Does what operators call for, and takes over what the bans' file says. For the event loop. */
@@ -24,7 +24,7 @@
     }
 
     private final Vertx vertx;
-    private final Ledger<?> ledger;
+    private final RpcCoordinator<?> ledger;
     private final Figures figures;
     private final ControlSpend spend;
     private final BanFile file;
@@ -34,7 +34,7 @@
 
     Console(
             Vertx vertx,
-            Ledger<?> ledger,
+            RpcCoordinator<?> ledger,
             Figures figures,
             ControlSpend spend,
             BanFile file,
--- a/src/main/java/saffronferry/state/Channel.java
+++ b/src/main/java/saffronferry/state/Channel.java
@@ -1,6 +1,6 @@
 package saffronferry.state;
 
-/** The client's side of one RPC. {@link Ledger} calls exactly one of these, once. */
+/** The client's side of one RPC. {@link RpcCoordinator} calls exactly one of these, once. */
 public interface Channel {
     void served(String result);
 
--- a/src/main/java/saffronferry/state/Ports.java
+++ b/src/main/java/saffronferry/state/Ports.java
@@ -1,7 +1,7 @@
 package saffronferry.state;
 
 /**
- * What {@link Ledger} has done outside of memory.
+ * What {@link RpcCoordinator} has done outside of memory.
  *
  * @param <M> a client's message in the form of its protocol, passed on unread
  */
--- a/src/main/java/saffronferry/state/Rpc.java
+++ b/src/main/java/saffronferry/state/Rpc.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One open RPC. Only {@link Ledger} changes it. */
+/** One open RPC. Only {@link RpcCoordinator} changes it. */
 public final class Rpc<M> {
     final long id;
     final String name;
--- a/src/main/java/saffronferry/state/Ledger.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -29,7 +29,7 @@
  *
  * @param <M> a client's message in the form of its protocol
  */
-public final class Ledger<M> implements CallAttempt.Listener {
+public final class RpcCoordinator<M> implements CallAttempt.Listener {
     /** After a failure inside a tick the balancer is woken again: without ticks nothing held would leave. */
     private static final long TICK_AGAIN = 25_000;
 
@@ -47,7 +47,7 @@
     private int unanswered;
 
     /** Counts answers and attempts in the figures, by class. */
-    public Ledger(Balancer balancer, Clock clock, Ports<M> ports, Figures figures) {
+    public RpcCoordinator(Balancer balancer, Clock clock, Ports<M> ports, Figures figures) {
         this.balancer = balancer;
         this.clock = clock;
         this.ports = ports;
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -15,7 +15,7 @@
 import saffronferry.ops.Drain.Phase;
 import saffronferry.ops.Figures;
 import saffronferry.state.Channel;
-import saffronferry.state.Ledger;
+import saffronferry.state.RpcCoordinator;
 import saffronferry.state.RpcInfo;
 
 /** Serves clients: reads whole requests, opens an RPC for each and writes its answer. */
@@ -26,7 +26,7 @@
 
     private final HttpServer server;
     private final RpcParser parser;
-    private final Ledger<HttpMessage> ledger;
+    private final RpcCoordinator<HttpMessage> ledger;
     private final Admission admission;
     private final Figures figures;
     private final BoundedLog log;
@@ -39,7 +39,7 @@
     ChannelServer(
             Vertx vertx,
             RpcParser parser,
-            Ledger<HttpMessage> ledger,
+            RpcCoordinator<HttpMessage> ledger,
             BoundedTransport transport,
             Figures figures,
             BoundedLog log) {
--- a/src/main/java/saffronferry/wire/Wire.java
+++ b/src/main/java/saffronferry/wire/Wire.java
@@ -18,9 +18,9 @@
 import saffronferry.ops.Figures;
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Clock;
-import saffronferry.state.Ledger;
 import saffronferry.state.ListUpdate;
 import saffronferry.state.Ports;
+import saffronferry.state.RpcCoordinator;
 
 /** Joins what is spoken on the sockets with what is kept in memory. */
 public final class Wire implements Ports<HttpMessage> {
@@ -49,7 +49,7 @@
     private final PeerSocket peers;
     private final Address peerListen;
     private final boolean pushed;
-    private final Ledger<HttpMessage> ledger;
+    private final RpcCoordinator<HttpMessage> ledger;
     private final ChannelServer server;
     private BiConsumer<Integer, byte[]> settings;
 
@@ -66,7 +66,7 @@
         this.transport = transport;
         peerListen = o.peerListen();
         pushed = o.pushed();
-        ledger = new Ledger<>(balancer, new Clock(), this, figures);
+        ledger = new RpcCoordinator<>(balancer, new Clock(), this, figures);
         AttemptRoom room = new AttemptRoom(descriptors, open -> ledger.report(new News.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
         subchannels =
@@ -171,7 +171,7 @@
         return server;
     }
 
-    public Ledger<?> ledger() {
+    public RpcCoordinator<?> ledger() {
         return ledger;
     }
 
--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -22,9 +22,9 @@
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Channel;
 import saffronferry.state.Clock;
-import saffronferry.state.Ledger;
 import saffronferry.state.ListUpdate;
 import saffronferry.state.Ports;
+import saffronferry.state.RpcCoordinator;
 import saffronferry.state.RpcInfo;
 
 /** The program's own ledgers and balancers in virtual time; writes down what crosses their wires. */
@@ -211,7 +211,7 @@
     /** One dispatcher: the real ledger and balancer behind ports of ours. */
     private final class Front implements Ports<String> {
         private final int number;
-        private final Ledger<String> ledger;
+        private final RpcCoordinator<String> ledger;
         private final Map<Long, Long> timers = new HashMap<>();
         private final Map<String, Long> ids = new HashMap<>();
         private final Map<String, List<CallAttempt>> attempts = new HashMap<>();
@@ -235,7 +235,7 @@
                             -1))
                     .toList();
             Scenario.Rules r = scenario.rules();
-            ledger = new Ledger<>(
+            ledger = new RpcCoordinator<>(
                     new Balancer(new Settings(
                             dice.nextLong(),
                             number,
--- a/src/test/java/saffronferry/state/LedgerTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -18,7 +18,7 @@
 import saffronferry.settings.SettingsReader;
 
 /** The ledger without sockets: one final answer whatever fails, and nothing kept of what is over. */
-public class LedgerTest {
+public class RpcCoordinatorTest {
     private final List<String> answers = new ArrayList<>();
     private final List<CallAttempt> started = new ArrayList<>();
     private final List<String> logged = new ArrayList<>();
@@ -26,7 +26,7 @@
     private boolean broken;
     private Error error;
     private final Figures figures = new Figures(List.of("directory-page", "record-gift"));
-    private Ledger<String> ledger;
+    private RpcCoordinator<String> ledger;
 
     private final Channel channel = new Channel() {
         @Override
@@ -88,7 +88,7 @@
 
     private void begin() throws Exception {
         JSONObject config = new JSONObject(Files.readString(Path.of("examples/config.json")));
-        ledger = new Ledger<>(
+        ledger = new RpcCoordinator<>(
                 new Balancer(new SettingsReader(1, config.getJSONObject("settings")).settings),
                 new Clock(),
                 ports,
