--- a/src/main/java/saffronferry/state/Ports.java
+++ b/src/main/java/saffronferry/state/OutboundOperations.java
@@ -5,7 +5,7 @@
  *
  * @param <M> a client's message in the form of its protocol, passed on unread
  */
-public interface Ports<M> {
+public interface OutboundOperations<M> {
     /** Starts a call attempt, of which the attempt is told; running the result gives it up. */
     Runnable start(M message, String address, long remaining, CallAttempt attempt);
 
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -35,7 +35,7 @@
 
     private final Balancer balancer;
     private final Clock clock;
-    private final Ports<M> ports;
+    private final OutboundOperations<M> ports;
     private final Figures figures;
     private final ResolverResult resolved = new ResolverResult();
     private final Map<Long, Rpc<M>> open = new HashMap<>();
@@ -47,7 +47,7 @@
     private int unanswered;
 
     /** Counts answers and attempts in the figures, by class. */
-    public RpcCoordinator(Balancer balancer, Clock clock, Ports<M> ports, Figures figures) {
+    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> ports, Figures figures) {
         this.balancer = balancer;
         this.clock = clock;
         this.ports = ports;
--- a/src/main/java/saffronferry/wire/Wire.java
+++ b/src/main/java/saffronferry/wire/Wire.java
@@ -19,11 +19,11 @@
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Clock;
 import saffronferry.state.ListUpdate;
-import saffronferry.state.Ports;
+import saffronferry.state.OutboundOperations;
 import saffronferry.state.RpcCoordinator;
 
 /** Joins what is spoken on the sockets with what is kept in memory. */
-public final class Wire implements Ports<HttpMessage> {
+public final class Wire implements OutboundOperations<HttpMessage> {
     /** Names and figures that the speakers need. */
     public record Options(
             Address discovery,
--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -23,7 +23,7 @@
 import saffronferry.state.Channel;
 import saffronferry.state.Clock;
 import saffronferry.state.ListUpdate;
-import saffronferry.state.Ports;
+import saffronferry.state.OutboundOperations;
 import saffronferry.state.RpcCoordinator;
 import saffronferry.state.RpcInfo;
 
@@ -209,7 +209,7 @@
     }
 
     /** One dispatcher: the real ledger and balancer behind ports of ours. */
-    private final class Front implements Ports<String> {
+    private final class Front implements OutboundOperations<String> {
         private final int number;
         private final RpcCoordinator<String> ledger;
         private final Map<Long, Long> timers = new HashMap<>();
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -45,7 +45,7 @@
         }
     };
 
-    private final Ports<String> ports = new Ports<>() {
+    private final OutboundOperations<String> ports = new OutboundOperations<>() {
         private long last;
 
         @Override
