--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -204,7 +204,7 @@
                 unanswered,
                 resolved.size(),
                 resolved.banned() + balancer.avoided(),
-                Shared.figures(balancer.sharing()));
+                SharingMetrics.figures(balancer.sharing()));
     }
 
     @Override
--- a/src/main/java/saffronferry/state/Shared.java
+++ b/src/main/java/saffronferry/state/SharingMetrics.java
@@ -5,8 +5,8 @@
 import saffronferry.ops.Figures.More;
 
 /** What a dispatcher shares with others, as operators' figures. */
-final class Shared {
-    private Shared() {}
+final class SharingMetrics {
+    private SharingMetrics() {}
 
     static List<More> figures(Sharing s) {
         return List.of(
