--- a/src/test/java/saffronferry/state/AttemptProbe.java
+++ b/src/test/java/saffronferry/state/RecordingAttempt.java
@@ -4,7 +4,7 @@
 import saffronferry.Contract.Report;
 
 /** A call attempt that writes down what it was told. */
-public final class AttemptProbe implements CallAttempt.Listener {
+public final class RecordingAttempt implements CallAttempt.Listener {
     public final CallAttempt attempt = new CallAttempt(1, 0, 0, 0, null, this);
     public String heard = "";
 
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -23,8 +23,8 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.log.BoundedLog;
-import saffronferry.state.AttemptProbe;
 import saffronferry.state.ListUpdate;
+import saffronferry.state.RecordingAttempt;
 import saffronferry.state.RpcInfo;
 
 /** Tables of cases for what comes off the wire. */
@@ -123,7 +123,7 @@
             {429, null, Outcome.ERROR}, {404, null, Outcome.NOT_SENT}, {400, null, Outcome.NOT_SENT},
         };
         for (Object[] c : statuses) {
-            AttemptProbe p = new AttemptProbe();
+            RecordingAttempt p = new RecordingAttempt();
             answers.status(p.attempt, (int) c[0], (String) c[1], null);
             assertEquals(c[2] + " once", p.heard);
         }
@@ -139,11 +139,11 @@
             {"", ""},
         };
         for (String[] c : lines) {
-            AttemptProbe p = new AttemptProbe();
+            RecordingAttempt p = new RecordingAttempt();
             answers.line(p.attempt, c[0]);
             assertEquals(c[0], c[1], p.heard);
         }
-        AttemptProbe p = new AttemptProbe();
+        RecordingAttempt p = new RecordingAttempt();
         assertThrows(IllegalArgumentException.class, () -> answers.line(p.attempt, "nonsense"));
         assertEquals("", p.heard);
     }
