--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -25,7 +25,7 @@
 import saffronferry.state.RpcInfo;
 import saffronferry.wire.BoundedTransport;
 import saffronferry.wire.ConsoleServer;
-import saffronferry.wire.Wire;
+import saffronferry.wire.DispatcherNetwork;
 
 /** One real dispatcher, from start to the end of its drain. Everything runs on one event loop. */
 final class Node {
@@ -62,7 +62,7 @@
     private final Figures figures;
     private final Drain drain = new Drain();
     private final CountDownLatch drained = new CountDownLatch(1);
-    private Wire wire;
+    private DispatcherNetwork wire;
     /** Null where settings hold as they were read at the start. */
     private SettingsInForce inForce;
 
@@ -167,9 +167,9 @@
         SettingsReader s = config.settings;
         config.unreadable.forEach(bad -> log.line("list entry left out", bad));
         inForce = config.agree == null ? null : new SettingsInForce(config, log);
-        wire = new Wire(
+        wire = new DispatcherNetwork(
                 vertx,
-                new Wire.Options(
+                new DispatcherNetwork.Options(
                         config.discovery,
                         config.peerListen,
                         config.peers,
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -21,7 +21,7 @@
 import saffronferry.ops.Figures;
 import saffronferry.ops.Figures.More;
 import saffronferry.state.Clock;
-import saffronferry.wire.Wire;
+import saffronferry.wire.DispatcherNetwork;
 
 /**
  * The settings that hold now: those of the file, and over them what dispatchers have agreed upon since. For
@@ -38,7 +38,7 @@
     private final List<String> names = new ArrayList<>();
     private final Set<String> known = new HashSet<>();
     private List<Tenant> tenants;
-    private Wire wire;
+    private DispatcherNetwork wire;
     private Agreement.State state;
 
     SettingsInForce(Config config, BoundedLog log) {
@@ -76,7 +76,7 @@
         return Collections.unmodifiableList(names);
     }
 
-    void start(Vertx vertx, Wire wire, Figures figures) {
+    void start(Vertx vertx, DispatcherNetwork wire, Figures figures) {
         this.wire = wire;
         figures.also(this::figures);
         wire.onSettings((peer, bytes) -> gossip.hear(clock.now(), peer, bytes));
--- a/src/main/java/saffronferry/wire/Wire.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -23,7 +23,7 @@
 import saffronferry.state.RpcCoordinator;
 
 /** Joins what is spoken on the sockets with what is kept in memory. */
-public final class Wire implements OutboundOperations<HttpMessage> {
+public final class DispatcherNetwork implements OutboundOperations<HttpMessage> {
     /** Names and figures that the speakers need. */
     public record Options(
             Address discovery,
@@ -53,7 +53,7 @@
     private final ChannelServer server;
     private BiConsumer<Integer, byte[]> settings;
 
-    public Wire(
+    public DispatcherNetwork(
             Vertx vertx,
             Options o,
             Balancer balancer,
