--- a/src/main/java/saffronferry/wire/Admission.java
+++ b/src/main/java/saffronferry/wire/Admission.java
@@ -24,7 +24,7 @@
 
     private final Vertx vertx;
     private final AcceptGate gate;
-    private final Lobby lobby;
+    private final PendingConnections lobby;
     private final Map<HttpConnection, Visit> visits = new HashMap<>();
     /** Those that have begun their first request and not finished it, the oldest first. */
     private final Set<Visit> unfinished = new LinkedHashSet<>();
--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -49,9 +49,9 @@
     private Runnable onListenerLost = () -> {};
 
     /** By which connections of one purpose come in: who may, and where they wait for their first byte. */
-    record Door(AcceptGate gate, Lobby lobby) {
+    record Door(AcceptGate gate, PendingConnections lobby) {
         Door(AcceptGate gate) {
-            this(gate, new Lobby(gate));
+            this(gate, new PendingConnections(gate));
         }
     }
 
@@ -158,7 +158,7 @@
     /** The listening socket. */
     private final class Acceptor extends NioServerSocketChannel {
         private final AcceptGate gate;
-        private final Lobby lobby;
+        private final PendingConnections lobby;
         /** The one that the library set up, and through which it hears of connections. */
         private final Acceptor home;
 
--- a/src/main/java/saffronferry/wire/Lobby.java
+++ b/src/main/java/saffronferry/wire/PendingConnections.java
@@ -20,7 +20,7 @@
  * is its descriptor and a timer: what the library sets up for each connection takes far longer, and a crowd
  * that connects, says nothing and comes again would leave no time for those that do speak.
  */
-final class Lobby {
+final class PendingConnections {
     /** Takes over a connection that has spoken, with what it said so far. */
     interface Entrance {
         void speaks(SocketChannel socket, long since, ByteBuf said);
@@ -35,7 +35,7 @@
 
     private Runnable onSilent = () -> {};
 
-    Lobby(AcceptGate gate) {
+    PendingConnections(AcceptGate gate) {
         this.gate = gate;
     }
 
