--- a/src/main/java/saffronferry/wire/PendingConnections.java
+++ b/src/main/java/saffronferry/wire/PendingConnections.java
@@ -31,7 +31,7 @@
     private final AcceptGate gate;
     private final ByteBuffer buffer = ByteBuffer.allocate(MOST_AT_FIRST);
     /** Those that have had a turn in which they could be read, the oldest first. */
-    private final Set<Guest> silent = new LinkedHashSet<>();
+    private final Set<PendingConnection> silent = new LinkedHashSet<>();
 
     private Runnable onSilent = () -> {};
 
@@ -46,7 +46,7 @@
 
     /** Takes a connection in that has just been accepted. */
     void enter(NioEventLoop loop, SocketChannel socket, Entrance entrance) {
-        Guest guest = new Guest(loop, socket, entrance);
+        PendingConnection guest = new PendingConnection(loop, socket, entrance);
         try {
             socket.configureBlocking(false);
             loop.register(socket, SelectionKey.OP_READ, guest);
@@ -72,7 +72,7 @@
     }
 
     /** One connection that has said nothing yet. */
-    private final class Guest implements NioTask<SelectableChannel> {
+    private final class PendingConnection implements NioTask<SelectableChannel> {
         private final NioEventLoop loop;
         private final SocketChannel socket;
         private final Entrance entrance;
@@ -80,7 +80,7 @@
         private final Future<?> timer;
         private boolean gone;
 
-        Guest(NioEventLoop loop, SocketChannel socket, Entrance entrance) {
+        PendingConnection(NioEventLoop loop, SocketChannel socket, Entrance entrance) {
             this.loop = loop;
             this.socket = socket;
             this.entrance = entrance;
