--- a/src/main/java/saffronferry/wire/PendingConnections.java
+++ b/src/main/java/saffronferry/wire/PendingConnections.java
@@ -22,7 +22,7 @@
  */
 final class PendingConnections {
     /** Takes over a connection that has spoken, with what it said so far. */
-    interface Entrance {
+    interface FirstBytesHandler {
         void speaks(SocketChannel socket, long since, ByteBuf said);
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** Takes a connection in that has just been accepted. */
-    void enter(NioEventLoop loop, SocketChannel socket, Entrance entrance) {
+    void enter(NioEventLoop loop, SocketChannel socket, FirstBytesHandler entrance) {
         PendingConnection guest = new PendingConnection(loop, socket, entrance);
         try {
             socket.configureBlocking(false);
@@ -75,12 +75,12 @@
     private final class PendingConnection implements NioTask<SelectableChannel> {
         private final NioEventLoop loop;
         private final SocketChannel socket;
-        private final Entrance entrance;
+        private final FirstBytesHandler entrance;
         private final long since = System.nanoTime();
         private final Future<?> timer;
         private boolean gone;
 
-        PendingConnection(NioEventLoop loop, SocketChannel socket, Entrance entrance) {
+        PendingConnection(NioEventLoop loop, SocketChannel socket, FirstBytesHandler entrance) {
             this.loop = loop;
             this.socket = socket;
             this.entrance = entrance;
