--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -192,7 +192,7 @@
                 info.name(),
                 request.getHeader("Idempotency-Key"),
                 body,
-                (System.nanoTime() - Turnstile.of(request.connection()).firstByteAt()) / 1000);
+                (System.nanoTime() - PipeliningHandler.of(request.connection()).firstByteAt()) / 1000);
         long[] id = {0};
         response.closeHandler(v -> ledger.clientGone(id[0]));
         response.exceptionHandler(e -> {});
--- a/src/main/java/saffronferry/wire/Turnstile.java
+++ b/src/main/java/saffronferry/wire/PipeliningHandler.java
@@ -21,7 +21,7 @@
  * comes behind an open request waits here, so much at most; what comes beyond that is dropped, and the
  * connection closes when those that wait have their answers.
  */
-final class Turnstile extends ChannelDuplexHandler {
+final class PipeliningHandler extends ChannelDuplexHandler {
     /** Clients send one request at a time; some more are served, in turn. */
     static final int MOST_WAITING = 32;
 
@@ -39,8 +39,8 @@
     private boolean dropping;
 
     /** The one in a server's connection. */
-    static Turnstile of(HttpConnection connection) {
-        return ((HttpServerConnection) connection).channel().pipeline().get(Turnstile.class);
+    static PipeliningHandler of(HttpConnection connection) {
+        return ((HttpServerConnection) connection).channel().pipeline().get(PipeliningHandler.class);
     }
 
     /** A request's head is whole, and the next object to be read here. */
--- a/src/main/java/saffronferry/wire/StrictDecoder.java
+++ b/src/main/java/saffronferry/wire/StrictDecoder.java
@@ -17,19 +17,19 @@
  * And notes when the first byte of each request came: the library tells of one once its head is whole.
  */
 final class StrictDecoder extends VertxHttpRequestDecoder {
-    private final Turnstile turnstile;
+    private final PipeliningHandler turnstile;
     private long firstByteAt;
     private boolean inRequest;
 
-    private StrictDecoder(HttpServerOptions options, Turnstile turnstile) {
+    private StrictDecoder(HttpServerOptions options, PipeliningHandler turnstile) {
         super(options);
         this.turnstile = turnstile;
     }
 
-    /** Puts this and the {@link Turnstile} in, before the connection's first bytes are read. */
+    /** Puts this and the {@link PipeliningHandler} in, before the connection's first bytes are read. */
     static void install(HttpConnection connection, HttpServerOptions options) {
         ChannelHandlerContext library = ((HttpServerConnection) connection).channelHandlerContext();
-        Turnstile turnstile = new Turnstile();
+        PipeliningHandler turnstile = new PipeliningHandler();
         library.pipeline()
                 .replace(VertxHttpRequestDecoder.class, "strictDecoder", new StrictDecoder(options, turnstile));
         library.pipeline().addBefore(library.name(), "turnstile", turnstile);
