--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -12,7 +12,7 @@
 import saffronferry.wire.ConsoleServer;
 
 /** Does what operators call for, and takes over what the bans' file says. For the event loop. */
-final class Console implements ConsoleServer.Desk {
+final class Console implements ConsoleServer.CallHandler {
     /** What the node itself does for a call. */
     interface Floor {
         boolean ready();
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -37,7 +37,7 @@
 /** Speaks HTTP with operators, one call a connection. What is called, and what it does, others know. */
 public final class ConsoleServer {
     /** Answers one call; the answer may come later, but on the event loop. */
-    public interface Desk {
+    public interface CallHandler {
         void called(String method, String path, Reply reply);
     }
 
@@ -55,11 +55,11 @@
     private final EventLoop loop;
     private final BoundedTransport transport;
     private final BoundedTransport.Door door;
-    private final Desk desk;
+    private final CallHandler desk;
     /** Calls that are not whole yet, the oldest first. */
     private final Set<Conversation> unfinished = new LinkedHashSet<>();
 
-    public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, Desk desk) {
+    public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, CallHandler desk) {
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.transport = transport;
         this.desk = desk;
