--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -57,7 +57,7 @@
     private final BoundedTransport.Door door;
     private final CallHandler desk;
     /** Calls that are not whole yet, the oldest first. */
-    private final Set<Conversation> unfinished = new LinkedHashSet<>();
+    private final Set<CallConnection> unfinished = new LinkedHashSet<>();
 
     public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, CallHandler desk) {
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
@@ -83,7 +83,7 @@
                                 .addLast(
                                         new HttpRequestDecoder(MOST_LINE, MOST_HEAD, MOST_BODY),
                                         new HttpResponseEncoder(),
-                                        new Conversation(channel));
+                                        new CallConnection(channel));
                     }
                 })
                 .bind(at.host(), at.port())
@@ -106,7 +106,7 @@
             return;
         }
         Long silentSince = door.lobby().oldestSince();
-        Conversation half = unfinished.isEmpty() ? null : unfinished.iterator().next();
+        CallConnection half = unfinished.isEmpty() ? null : unfinished.iterator().next();
         if (half != null && (silentSince == null || half.since - silentSince < 0)) {
             half.close();
         } else {
@@ -115,7 +115,7 @@
     }
 
     /** One call, from its first byte to its answer. */
-    private final class Conversation extends SimpleChannelInboundHandler<HttpObject> implements Reply {
+    private final class CallConnection extends SimpleChannelInboundHandler<HttpObject> implements Reply {
         private final Channel channel;
         private final long since;
         private final Future<?> timer;
@@ -124,7 +124,7 @@
         private boolean called;
         private boolean answered;
 
-        Conversation(Channel channel) {
+        CallConnection(Channel channel) {
             this.channel = channel;
             since = ((BoundedTransport.Accepted) channel).since();
             timer = loop.schedule(this::tooLate, CALL_MS, TimeUnit.MILLISECONDS);
