--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -41,7 +41,7 @@
 
     private static final long HAND_OVER_AGAIN_MS = 20;
 
-    private final Door clients;
+    private final ListenerAdmission clients;
     private final BoundedLog log;
     private final ControlSpend control = new ControlSpend();
     private final List<Acceptor> acceptors = new ArrayList<>();
@@ -49,15 +49,15 @@
     private Runnable onListenerLost = () -> {};
 
     /** By which connections of one purpose come in: who may, and where they wait for their first byte. */
-    record Door(AcceptGate gate, PendingConnections lobby) {
-        Door(AcceptGate gate) {
+    record ListenerAdmission(AcceptGate gate, PendingConnections lobby) {
+        ListenerAdmission(AcceptGate gate) {
             this(gate, new PendingConnections(gate));
         }
     }
 
     /** With the gate of the clients' connections. */
     public BoundedTransport(AcceptGate gate, BoundedLog log) {
-        clients = new Door(gate);
+        clients = new ListenerAdmission(gate);
         this.log = log;
     }
 
@@ -66,7 +66,7 @@
         return control;
     }
 
-    Door clients() {
+    ListenerAdmission clients() {
         return clients;
     }
 
@@ -144,7 +144,7 @@
     }
 
     /** A listening socket, yet to be bound, for what comes in by this door. */
-    ServerChannel listener(Door door) {
+    ServerChannel listener(ListenerAdmission door) {
         Acceptor acceptor = new Acceptor(door, null);
         acceptors.add(acceptor);
         return acceptor;
@@ -166,7 +166,7 @@
         private boolean paused;
         private int taken;
 
-        Acceptor(Door door, Acceptor home) {
+        Acceptor(ListenerAdmission door, Acceptor home) {
             this.home = home == null ? this : home;
             gate = door.gate;
             lobby = door.lobby;
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -54,7 +54,7 @@
 
     private final EventLoop loop;
     private final BoundedTransport transport;
-    private final BoundedTransport.Door door;
+    private final BoundedTransport.ListenerAdmission door;
     private final CallHandler desk;
     /** Calls that are not whole yet, the oldest first. */
     private final Set<CallConnection> unfinished = new LinkedHashSet<>();
@@ -63,7 +63,7 @@
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.transport = transport;
         this.desk = desk;
-        door = new BoundedTransport.Door(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
+        door = new BoundedTransport.ListenerAdmission(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
         door.lobby().onSilent(this::makeRoomIfTight);
     }
 
