--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -27,7 +27,7 @@
     private final HttpServer server;
     private final RpcParser parser;
     private final RpcCoordinator<HttpMessage> ledger;
-    private final Admission admission;
+    private final ClientConnections admission;
     private final Figures figures;
     private final BoundedLog log;
     private boolean ready;
@@ -47,7 +47,7 @@
         this.ledger = ledger;
         this.figures = figures;
         this.log = log;
-        admission = new Admission(vertx, transport);
+        admission = new ClientConnections(vertx, transport);
         // guards against silent connections that nobody counts: where HTTP/2 may be spoken too, a
         // connection is announced only once its first bytes are here
         HttpServerOptions options = new HttpServerOptions()
--- a/src/main/java/saffronferry/wire/Admission.java
+++ b/src/main/java/saffronferry/wire/ClientConnections.java
@@ -18,7 +18,7 @@
  * requests, then those idle longest; one at work on a request never does. A connection idle between requests
  * has no time limit.
  */
-final class Admission {
+final class ClientConnections {
     /** A client that says nothing, or half a request, is owed an end within 3 s of connecting. */
     static final long REQUEST_MS = 2_000;
 
@@ -46,7 +46,7 @@
         }
     }
 
-    Admission(Vertx vertx, BoundedTransport transport) {
+    ClientConnections(Vertx vertx, BoundedTransport transport) {
         this.vertx = vertx;
         gate = transport.clients().gate();
         lobby = transport.clients().lobby();
--- a/src/main/java/saffronferry/wire/PendingConnections.java
+++ b/src/main/java/saffronferry/wire/PendingConnections.java
@@ -84,7 +84,7 @@
             this.loop = loop;
             this.socket = socket;
             this.entrance = entrance;
-            timer = loop.schedule(this::close, Admission.REQUEST_MS, TimeUnit.MILLISECONDS);
+            timer = loop.schedule(this::close, ClientConnections.REQUEST_MS, TimeUnit.MILLISECONDS);
         }
 
         void hadATurn() {
