--- a/src/main/java/saffronferry/wire/ClientConnections.java
+++ b/src/main/java/saffronferry/wire/ClientConnections.java
@@ -25,14 +25,14 @@
     private final Vertx vertx;
     private final AcceptGate gate;
     private final PendingConnections lobby;
-    private final Map<HttpConnection, Visit> visits = new HashMap<>();
+    private final Map<HttpConnection, ClientConnection> visits = new HashMap<>();
     /** Those that have begun their first request and not finished it, the oldest first. */
-    private final Set<Visit> unfinished = new LinkedHashSet<>();
+    private final Set<ClientConnection> unfinished = new LinkedHashSet<>();
 
-    private final Set<Visit> idle = new LinkedHashSet<>();
+    private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
     /** One connection, from its start to its end. */
-    private static final class Visit {
+    private static final class ClientConnection {
         final HttpConnection connection;
         /** Runs out when a request has taken too long; -1 while none is under way. */
         long timer = -1;
@@ -40,7 +40,7 @@
         Runnable onTooLate;
         boolean doomed;
 
-        Visit(HttpConnection connection) {
+        ClientConnection(HttpConnection connection) {
             this.connection = connection;
             onTooLate = connection::close;
         }
@@ -54,7 +54,7 @@
     }
 
     void connected(HttpConnection connection) {
-        Visit visit = new Visit(connection);
+        ClientConnection visit = new ClientConnection(connection);
         visits.put(connection, visit);
         await(visit, Math.max(1, REQUEST_MS - waited(connection)));
         connection.closeHandler(v -> forget(visit));
@@ -75,29 +75,29 @@
         if (!gate.tight() || lobby.closeOldest()) {
             return;
         }
-        Set<Visit> candidates = unfinished.isEmpty() ? idle : unfinished;
+        Set<ClientConnection> candidates = unfinished.isEmpty() ? idle : unfinished;
         if (!candidates.isEmpty()) {
-            Visit loser = candidates.iterator().next();
+            ClientConnection loser = candidates.iterator().next();
             forget(loser); // at once: the next newcomer must not find the same one again
             loser.connection.close();
         }
     }
 
-    private void forget(Visit visit) {
+    private void forget(ClientConnection visit) {
         visits.remove(visit.connection);
         unfinished.remove(visit);
         idle.remove(visit);
         arrived(visit);
     }
 
-    private void await(Visit visit, long ms) {
+    private void await(ClientConnection visit, long ms) {
         visit.timer = vertx.setTimer(ms, t -> {
             visit.timer = -1;
             visit.onTooLate.run();
         });
     }
 
-    private void arrived(Visit visit) {
+    private void arrived(ClientConnection visit) {
         if (visit.timer >= 0) {
             vertx.cancelTimer(visit.timer);
             visit.timer = -1;
@@ -106,7 +106,7 @@
 
     /** A request's head has arrived; false if nothing more is taken from this connection. */
     boolean begin(HttpConnection connection, Runnable onTooLate) {
-        Visit visit = visits.get(connection);
+        ClientConnection visit = visits.get(connection);
         if (visit == null || visit.doomed) {
             return false;
         }
@@ -120,7 +120,7 @@
 
     /** The request has arrived whole: how long it now takes is not the client's doing. */
     void whole(HttpConnection connection) {
-        Visit visit = visits.get(connection);
+        ClientConnection visit = visits.get(connection);
         if (visit != null) {
             unfinished.remove(visit);
             arrived(visit);
@@ -129,7 +129,7 @@
 
     /** The request has its answer. */
     void answered(HttpConnection connection) {
-        Visit visit = visits.get(connection);
+        ClientConnection visit = visits.get(connection);
         if (visit != null && !visit.doomed) {
             idle.add(visit);
             makeRoomIfTight(); // newcomers wait outside, and no other moment might come to let them in
@@ -138,7 +138,7 @@
 
     /** What else the connection holds is left unread: it may be part of the request that was turned away. */
     void doom(HttpConnection connection) {
-        Visit visit = visits.get(connection);
+        ClientConnection visit = visits.get(connection);
         if (visit != null) {
             visit.doomed = true;
         }
