--- a/src/main/java/saffronferry/wire/DiscoveryWatch.java
+++ b/src/main/java/saffronferry/wire/DiscoveryWatch.java
@@ -107,7 +107,7 @@
     }
 
     private final class Watch {
-        private final Lines lines = new Lines(MOST_LINE, this::line);
+        private final LineSplitter lines = new LineSplitter(MOST_LINE, this::line);
         private HttpClientRequest request;
         private boolean over;
         /** None yet: the library counts timers from 0, and another one may have that number. */
--- a/src/main/java/saffronferry/wire/Lines.java
+++ b/src/main/java/saffronferry/wire/LineSplitter.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 
 /** Cuts a chunked answer into lines, however its chunks fall. */
-final class Lines {
+final class LineSplitter {
     private static final byte LINE_FEED = '\n';
     /** What a usual line takes; a larger buffer goes with the line that needed it. */
     private static final int USUAL = 64 * 1024;
@@ -18,7 +18,7 @@
     private ByteBuf rest = Unpooled.buffer();
 
     /** A line longer than so many bytes is an {@link IllegalArgumentException}: memory is bounded. */
-    Lines(int most, Consumer<String> sink) {
+    LineSplitter(int most, Consumer<String> sink) {
         this.most = most;
         this.sink = sink;
     }
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -184,7 +184,7 @@
                         response.getHeader("X-Turned-Away"),
                         response.getHeader("X-Pressure"));
             }
-            Lines lines = new Lines(MOST_LINE, line -> answers.line(attempt, line));
+            LineSplitter lines = new LineSplitter(MOST_LINE, line -> answers.line(attempt, line));
             response.handler(chunk -> tolerant(() -> feed(lines, chunk)));
             response.endHandler(v -> {
                 tolerant(lines::end);
@@ -194,7 +194,7 @@
             closeSoonIfOver();
         }
 
-        private void feed(Lines lines, Buffer chunk) {
+        private void feed(LineSplitter lines, Buffer chunk) {
             read += chunk.length();
             if (read > MOST_ANSWER) {
                 throw new IllegalArgumentException("an answer of more than " + MOST_ANSWER + " bytes");
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -264,7 +264,7 @@
     @Test
     public void linesHoweverTheChunksFall() {
         List<String> got = new ArrayList<>();
-        Lines lines = new Lines(8, got::add);
+        LineSplitter lines = new LineSplitter(8, got::add);
         for (String chunk : new String[] {"on", "e\ntwo\n\nth", "ree\r\n", "end"}) {
             lines.feed(Buffer.buffer(chunk));
         }
@@ -281,7 +281,7 @@
         List<String> whole = List.of("eins", "", "zw\u00f6lf", "\u20ac".repeat(30_000), "last");
         for (int size : new int[] {1, 2, 3, 7, 100, 8_192, 70_000, bytes.length}) {
             List<String> got = new ArrayList<>();
-            Lines lines = new Lines(100_000, got::add);
+            LineSplitter lines = new LineSplitter(100_000, got::add);
             for (int i = 0; i < bytes.length; i += size) {
                 lines.feed(Buffer.buffer(Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + size))));
             }
@@ -289,7 +289,7 @@
             assertEquals("cut each " + size, whole, got);
         }
         List<String> got = new ArrayList<>();
-        Lines bounded = new Lines(10, got::add);
+        LineSplitter bounded = new LineSplitter(10, got::add);
         bounded.feed(Buffer.buffer("1234567890"));
         bounded.feed(Buffer.buffer("\n123456789"));
         assertThrows(IllegalArgumentException.class, () -> bounded.feed(Buffer.buffer("01")));
