--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -38,7 +38,7 @@
     private final Dialer attempts;
     private final Dialer probes;
     private final AttemptRoom room;
-    private final AnswerParser answers;
+    private final SubchannelResponseParser answers;
     private final LoadParser loads;
     private final BoundedLog log;
     private final long dialMs;
@@ -58,7 +58,7 @@
         this.loads = loads;
         this.room = room;
         this.log = log;
-        answers = new AnswerParser(loads);
+        answers = new SubchannelResponseParser(loads);
         int connectMs = (int) Math.max(1, Math.round(connectTimeout * 1000));
         dialMs = connectMs + DIAL_SLACK_MS;
         HttpClient client = vertx.httpClientBuilder()
--- a/src/main/java/saffronferry/wire/AnswerParser.java
+++ b/src/main/java/saffronferry/wire/SubchannelResponseParser.java
@@ -6,10 +6,10 @@
 import saffronferry.state.CallAttempt;
 
 /** What a subchannel's answer means for the call attempt: the outcome table of the protocol. */
-final class AnswerParser {
+final class SubchannelResponseParser {
     private final LoadParser loads;
 
-    AnswerParser(LoadParser loads) {
+    SubchannelResponseParser(LoadParser loads) {
         this.loads = loads;
     }
 
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -116,7 +116,7 @@
     /** The outcome table of the protocol. */
     @Test
     public void answersOfSubchannels() {
-        AnswerParser answers = new AnswerParser(LOADS);
+        SubchannelResponseParser answers = new SubchannelResponseParser(LOADS);
         Object[][] statuses = {
             {500, null, Outcome.ERROR}, {503, null, Outcome.ERROR}, {503, "1", Outcome.FULL},
             {504, "1", Outcome.FULL}, {504, "0", Outcome.ERROR}, {500, "1", Outcome.ERROR},
