--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -106,7 +106,7 @@
         heard = true;
         HttpConnection connection = request.connection();
         request.exceptionHandler(e -> {});
-        if (!admission.begin(connection, () -> reject(request, new BadRequest(408, "too slow")))) {
+        if (!admission.begin(connection, () -> reject(request, new RejectedRequestException(408, "too slow")))) {
             return;
         }
         request.response().headersEndHandler(v -> {
@@ -130,27 +130,27 @@
                 return;
             }
             if (request.method() != HttpMethod.POST) {
-                throw new BadRequest(405, "jobs arrive by POST");
+                throw new RejectedRequestException(405, "jobs arrive by POST");
             }
             RpcInfo info = parser.parse(request);
             receive(request, info);
-        } catch (BadRequest e) {
+        } catch (RejectedRequestException e) {
             reject(request, e);
         } catch (RuntimeException e) {
             // guards a client against waiting for an answer that an error of ours has swallowed
-            reject(request, new BadRequest(500, "internal error: " + e));
+            reject(request, new RejectedRequestException(500, "internal error: " + e));
         }
     }
 
     /** Guards against a request that hides another in its body, and against reading what is too long. */
-    private static void framing(HttpServerRequest request) throws BadRequest {
+    private static void framing(HttpServerRequest request) throws RejectedRequestException {
         String length = request.getHeader("Content-Length");
         List<String> encodings = request.headers().getAll("Transfer-Encoding");
         if (!encodings.isEmpty() && (length != null || !List.of("chunked").equals(encodings))) {
-            throw new BadRequest(400, "a body is framed by Content-Length, or else it is chunked");
+            throw new RejectedRequestException(400, "a body is framed by Content-Length, or else it is chunked");
         }
         if (length != null && Long.parseLong(length) > MOST_BODY) {
-            throw new BadRequest(413, TOO_LONG);
+            throw new RejectedRequestException(413, TOO_LONG);
         }
     }
 
@@ -162,7 +162,7 @@
         Buffer body = Buffer.buffer();
         request.handler(chunk -> {
             if (body.length() + chunk.length() > MOST_BODY) {
-                reject(request, new BadRequest(413, TOO_LONG));
+                reject(request, new RejectedRequestException(413, TOO_LONG));
             } else {
                 body.appendBuffer(chunk);
             }
@@ -177,12 +177,12 @@
         if (ending && phase == Phase.EMPTY) {
             // a whole answer to a request read whole, or the close would reset it over its unread rest
             figures.answered(info.rpcClass(), Figures.Result.SHED);
-            reject(request, new BadRequest(503, "shutting down"));
+            reject(request, new RejectedRequestException(503, "shutting down"));
             return;
         }
         // guards an open RPC against a newcomer of the same name: workers would take the two for one
         if (ledger.holds(info.name())) {
-            reject(request, new BadRequest(409, "a request with this X-Txn is open"));
+            reject(request, new RejectedRequestException(409, "a request with this X-Txn is open"));
             return;
         }
         HttpServerResponse response = request.response();
@@ -199,7 +199,7 @@
         id[0] = ledger.open(info, message, new HttpChannel(request));
     }
 
-    private void reject(HttpServerRequest request, BadRequest bad) {
+    private void reject(HttpServerRequest request, RejectedRequestException bad) {
         if (ready) {
             log.line("request rejected", bad.getMessage());
         }
--- a/src/main/java/saffronferry/wire/RpcParser.java
+++ b/src/main/java/saffronferry/wire/RpcParser.java
@@ -27,31 +27,31 @@
         this.tenants = tenants;
     }
 
-    RpcInfo parse(HttpServerRequest request) throws BadRequest {
+    RpcInfo parse(HttpServerRequest request) throws RejectedRequestException {
         return parse(request.path(), request.headers()::getAll);
     }
 
     /** The values of a header may be none. */
-    RpcInfo parse(String path, Function<String, List<String>> headers) throws BadRequest {
+    RpcInfo parse(String path, Function<String, List<String>> headers) throws RejectedRequestException {
         String lane = one(headers, "X-Lane");
         String place = firstPart(path);
         int rpcClass = classes.indexOf(place);
         if (rpcClass < 0) {
-            throw new BadRequest(404, "unknown class in the path");
+            throw new RejectedRequestException(404, "unknown class in the path");
         }
         if (lane != null && !lane.equals(place)) {
-            throw new BadRequest(400, "X-Lane and path name different classes");
+            throw new RejectedRequestException(400, "X-Lane and path name different classes");
         }
         String name = one(headers, "X-Txn");
         if (name == null || !NAME.matcher(name).matches()) {
-            throw new BadRequest(400, "X-Txn must be an id of at most 64 letters, digits and -._:");
+            throw new RejectedRequestException(400, "X-Txn must be an id of at most 64 letters, digits and -._:");
         }
         String key = one(headers, "Idempotency-Key");
         if (key != null && !KEY.matcher(key).matches()) {
-            throw new BadRequest(400, "Idempotency-Key must be at most 128 printable characters");
+            throw new RejectedRequestException(400, "Idempotency-Key must be at most 128 printable characters");
         }
         if (key == null && keyed.get(rpcClass)) {
-            throw new BadRequest(400, "Idempotency-Key is missing");
+            throw new RejectedRequestException(400, "Idempotency-Key is missing");
         }
         String org = one(headers, "X-Org");
         int slots = 1;
@@ -59,7 +59,7 @@
         for (String label : labels == null || labels.isBlank() ? new String[0] : labels.split(",")) {
             int at = label.indexOf('=');
             if (at < 0) {
-                throw new BadRequest(400, "X-Labels must be name=value,name=value");
+                throw new RejectedRequestException(400, "X-Labels must be name=value,name=value");
             }
             String value = label.substring(at + 1);
             switch (label.substring(0, at).trim()) {
@@ -77,10 +77,10 @@
     }
 
     /** Guards against a header given twice, of which a worker may read the other one. */
-    private static String one(Function<String, List<String>> headers, String name) throws BadRequest {
+    private static String one(Function<String, List<String>> headers, String name) throws RejectedRequestException {
         List<String> values = headers.apply(name);
         if (values.size() > 1) {
-            throw new BadRequest(400, name + " is given more than once");
+            throw new RejectedRequestException(400, name + " is given more than once");
         }
         return values.isEmpty() ? null : values.get(0);
     }
@@ -91,18 +91,18 @@
         return path.substring(from, to < 0 ? path.length() : to);
     }
 
-    private long remaining(String ms, int rpcClass) throws BadRequest {
+    private long remaining(String ms, int rpcClass) throws RejectedRequestException {
         if (ms == null || !DIGITS.matcher(ms).matches()) {
-            throw new BadRequest(400, "X-Remaining-Ms must be a whole number of milliseconds");
+            throw new RejectedRequestException(400, "X-Remaining-Ms must be a whole number of milliseconds");
         }
         long micros = Long.parseLong(ms) * 1000;
         if (micros > longest.get(rpcClass)) {
-            throw new BadRequest(400, "X-Remaining-Ms is far beyond the deadline of the class");
+            throw new RejectedRequestException(400, "X-Remaining-Ms is far beyond the deadline of the class");
         }
         return micros;
     }
 
-    private static double number(String what, String text, double least, double most) throws BadRequest {
+    private static double number(String what, String text, double least, double most) throws RejectedRequestException {
         try {
             double value = Double.parseDouble(text.trim());
             if (value >= least && value <= most) {
@@ -111,6 +111,6 @@
         } catch (NumberFormatException e) {
             // said below
         }
-        throw new BadRequest(400, what + " must be a number from " + (long) least + " to " + (long) most);
+        throw new RejectedRequestException(400, what + " must be a number from " + (long) least + " to " + (long) most);
     }
 }
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -38,7 +38,7 @@
     }
 
     /** Headers as {@code name:value;name:value}. */
-    private static RpcInfo rpc(String path, String headers) throws BadRequest {
+    private static RpcInfo rpc(String path, String headers) throws RejectedRequestException {
         Map<String, List<String>> map = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
         for (String h : headers.split(";")) {
             map.computeIfAbsent(h.substring(0, h.indexOf(':')), n -> new ArrayList<>())
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void requestsThatAreWellFormed() throws BadRequest {
+    public void requestsThatAreWellFormed() throws RejectedRequestException {
         Object[][] cases = {
             // path, headers, class, tenant, microseconds, slots, repeat
             {"/page", "X-Txn:1;X-Lane:page;X-Org:acme;X-Remaining-Ms:480", 0, 0, 480_000L, 1, false},
@@ -94,7 +94,7 @@
             {"400", "/page", "X-Txn:1;X-Remaining-Ms:5;X-Labels:slots=0"},
         };
         for (String[] c : cases) {
-            BadRequest e = assertThrows(c[2], BadRequest.class, () -> rpc(c[1], c[2]));
+            RejectedRequestException e = assertThrows(c[2], RejectedRequestException.class, () -> rpc(c[1], c[2]));
             assertEquals(c[2], Integer.parseInt(c[0]), e.status);
         }
     }
