--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -26,7 +26,7 @@
 
     private final HttpServer server;
     private final RpcParser parser;
-    private final RpcCoordinator<HttpMessage> ledger;
+    private final RpcCoordinator<ForwardedRequest> ledger;
     private final ClientConnections admission;
     private final Figures figures;
     private final BoundedLog log;
@@ -39,7 +39,7 @@
     ChannelServer(
             Vertx vertx,
             RpcParser parser,
-            RpcCoordinator<HttpMessage> ledger,
+            RpcCoordinator<ForwardedRequest> ledger,
             BoundedTransport transport,
             Figures figures,
             BoundedLog log) {
@@ -186,7 +186,7 @@
             return;
         }
         HttpServerResponse response = request.response();
-        HttpMessage message = new HttpMessage(
+        ForwardedRequest message = new ForwardedRequest(
                 request.method(),
                 request.uri(),
                 info.name(),
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -23,7 +23,7 @@
 import saffronferry.state.RpcCoordinator;
 
 /** Joins what is spoken on the sockets with what is kept in memory. */
-public final class DispatcherNetwork implements OutboundOperations<HttpMessage> {
+public final class DispatcherNetwork implements OutboundOperations<ForwardedRequest> {
     /** Names and figures that the speakers need. */
     public record Options(
             Address discovery,
@@ -49,7 +49,7 @@
     private final PeerSocket peers;
     private final Address peerListen;
     private final boolean pushed;
-    private final RpcCoordinator<HttpMessage> ledger;
+    private final RpcCoordinator<ForwardedRequest> ledger;
     private final ChannelServer server;
     private BiConsumer<Integer, byte[]> settings;
 
@@ -119,7 +119,7 @@
     }
 
     private void warmUp(Address self, Promise<Void> done, int left) {
-        HttpMessage message = new HttpMessage(HttpMethod.POST, "/", "warm-up", null, Buffer.buffer(), 0);
+        ForwardedRequest message = new ForwardedRequest(HttpMethod.POST, "/", "warm-up", null, Buffer.buffer(), 0);
         subchannels.start(message, self.toString(), 0, CallAttempt.unheard(() -> {
             // guards against a start that is cold since the process to be replaced has had the request
             if (server.heard() || left <= 1) {
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public Runnable start(HttpMessage message, String address, long remaining, CallAttempt attempt) {
+    public Runnable start(ForwardedRequest message, String address, long remaining, CallAttempt attempt) {
         return subchannels.start(message, address, remaining, attempt);
     }
 
--- a/src/main/java/saffronferry/wire/HttpMessage.java
+++ b/src/main/java/saffronferry/wire/ForwardedRequest.java
@@ -8,4 +8,4 @@
  * arriving}: microseconds from its first byte to its last one. A client counts how long it will wait from
  * when it sent the request, while the time in which it is owed an answer counts from the last byte.
  */
-record HttpMessage(HttpMethod method, String uri, String txn, String idempotencyKey, Buffer body, long arriving) {}
+record ForwardedRequest(HttpMethod method, String uri, String txn, String idempotencyKey, Buffer body, long arriving) {}
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -84,7 +84,7 @@
      * Starts a call attempt and tells it what comes. Running the result closes its connection. {@code
      * remaining}: microseconds from now until the client is owed an answer.
      */
-    Runnable start(HttpMessage message, String address, long remaining, CallAttempt attempt) {
+    Runnable start(ForwardedRequest message, String address, long remaining, CallAttempt attempt) {
         Exchange exchange = new Exchange(message, remaining, attempt);
         attempts.dial(message.method(), Address.parse(address), message.uri(), exchange::connected, exchange::unopened);
         room.look(now());
@@ -93,7 +93,7 @@
 
     /** One call attempt on its connection. */
     private final class Exchange {
-        private final HttpMessage message;
+        private final ForwardedRequest message;
         private final long remaining;
         private final CallAttempt attempt;
         private final long dialledAt = now();
@@ -102,7 +102,7 @@
         private long tail = -1;
         private int read;
 
-        Exchange(HttpMessage message, long remaining, CallAttempt attempt) {
+        Exchange(ForwardedRequest message, long remaining, CallAttempt attempt) {
             this.message = message;
             this.remaining = remaining;
             this.attempt = attempt;
