--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -70,7 +70,7 @@
         AttemptRoom room = new AttemptRoom(descriptors, open -> ledger.report(new News.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
         subchannels =
-                new SubchannelClient(vertx, o.connectTimeout(), new LoadParser(o.freeSlots()), descriptors, room, log);
+                new SubchannelClient(vertx, o.connectTimeout(), new LoadReportParser(o.freeSlots()), descriptors, room, log);
         discovery = new DiscoveryWatch(
                 vertx,
                 o.discovery(),
--- a/src/main/java/saffronferry/wire/LoadParser.java
+++ b/src/main/java/saffronferry/wire/LoadReportParser.java
@@ -6,11 +6,11 @@
 import saffronferry.Contract.Report;
 
 /** Reads load reports: {@code inflight=7,queue=2} in a header or body, or an object of a worker's line. */
-final class LoadParser {
+final class LoadReportParser {
     private final String freeSlots;
 
     /** The name of the field that holds free slots; null where there is none. */
-    LoadParser(String freeSlots) {
+    LoadReportParser(String freeSlots) {
         this.freeSlots = freeSlots;
     }
 
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -39,7 +39,7 @@
     private final Dialer probes;
     private final AttemptRoom room;
     private final SubchannelResponseParser answers;
-    private final LoadParser loads;
+    private final LoadReportParser loads;
     private final BoundedLog log;
     private final long dialMs;
 
@@ -50,7 +50,7 @@
     SubchannelClient(
             Vertx vertx,
             double connectTimeout,
-            LoadParser loads,
+            LoadReportParser loads,
             Descriptors descriptors,
             AttemptRoom room,
             BoundedLog log) {
--- a/src/main/java/saffronferry/wire/SubchannelResponseParser.java
+++ b/src/main/java/saffronferry/wire/SubchannelResponseParser.java
@@ -7,9 +7,9 @@
 
 /** What a subchannel's answer means for the call attempt: the outcome table of the protocol. */
 final class SubchannelResponseParser {
-    private final LoadParser loads;
+    private final LoadReportParser loads;
 
-    SubchannelResponseParser(LoadParser loads) {
+    SubchannelResponseParser(LoadReportParser loads) {
         this.loads = loads;
     }
 
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -31,7 +31,7 @@
 public class ParsersTest {
     private static final RpcParser RPCS =
             new RpcParser(List.of(jobClass("page", Effect.SAFE), jobClass("gift", Effect.KEYED)), List.of("acme"));
-    private static final LoadParser LOADS = new LoadParser("x0");
+    private static final LoadReportParser LOADS = new LoadReportParser("x0");
 
     private static JobClass jobClass(String name, Effect effect) {
         return new JobClass(name, 0, 0, 6_000_000, 1, 0, effect, Group.CELL, 0, -1);
