--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -245,7 +245,7 @@
         }
 
         private void speaks(SocketChannel socket, long since, ByteBuf said) {
-            Accepted connection = new Accepted(home, socket, since, gate);
+            AcceptedConnection connection = new AcceptedConnection(home, socket, since, gate);
             home.pipeline().fireChannelRead(connection); // the library registers it and sets it up, now
             if (connection.isRegistered()) {
                 connection.pipeline().fireChannelRead(said);
@@ -282,12 +282,12 @@
     }
 
     /** A connection that has spoken. */
-    final class Accepted extends NioSocketChannel {
+    final class AcceptedConnection extends NioSocketChannel {
         private final long since;
         private final AcceptGate gate;
         private boolean gone;
 
-        Accepted(Channel parent, SocketChannel socket, long since, AcceptGate gate) {
+        AcceptedConnection(Channel parent, SocketChannel socket, long since, AcceptGate gate) {
             super(parent, socket);
             this.gate = gate;
             this.since = since;
--- a/src/main/java/saffronferry/wire/ClientConnections.java
+++ b/src/main/java/saffronferry/wire/ClientConnections.java
@@ -64,7 +64,7 @@
 
     private static long waited(HttpConnection connection) {
         Channel channel = ((HttpServerConnection) connection).channel();
-        return channel instanceof BoundedTransport.Accepted accepted ? accepted.waitedMs() : 0;
+        return channel instanceof BoundedTransport.AcceptedConnection accepted ? accepted.waitedMs() : 0;
     }
 
     /**
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -126,7 +126,7 @@
 
         CallConnection(Channel channel) {
             this.channel = channel;
-            since = ((BoundedTransport.Accepted) channel).since();
+            since = ((BoundedTransport.AcceptedConnection) channel).since();
             timer = loop.schedule(this::tooLate, CALL_MS, TimeUnit.MILLISECONDS);
             unfinished.add(this);
             makeRoomIfTight();
