--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -54,7 +54,7 @@
         Call call = Call.read(method, path);
         switch (call.kind()) {
             case READINESS -> reply.say(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
-            case STATS -> reply.say(200, figures.text(ledger.now()) + spend.text());
+            case STATS -> reply.say(200, figures.text(ledger.snapshot()) + spend.text());
             case WORKER_DOWN -> ban(call.worker(), bans -> bans.with(call.worker()), "is out", reply);
             case WORKER_UP -> ban(call.worker(), bans -> bans.without(call.worker()), "is back", reply);
             case DRAIN_START -> {
@@ -71,12 +71,12 @@
     }
 
     private void ban(String worker, UnaryOperator<Bans> how, String done, ConsoleServer.Reply reply) {
-        if (!ledger.knows(worker)) {
+        if (!ledger.isKnownSubchannel(worker)) {
             reply.say(404, "no worker has this id\n");
             return;
         }
         Bans before = ledger.bans();
-        ledger.ban(how.apply(before)); // at once; yes is said when it will also outlive this process
+        ledger.setBans(how.apply(before)); // at once; yes is said when it will also outlive this process
         changing++;
         vertx.<Bans>executeBlocking(() -> file.change(how)).onComplete(written -> {
             changing--;
@@ -86,7 +86,7 @@
                 reply.say(200, worker + " " + done + "\n");
             } else {
                 // a no means that nothing has changed
-                ledger.ban(before);
+                ledger.setBans(before);
                 log.line("bans not written", String.valueOf(written.cause()));
                 reply.say(500, "the bans cannot be written: " + written.cause().getMessage() + "\n");
             }
@@ -96,7 +96,7 @@
     /** What the file says holds, unless a change of ours is yet to reach it. */
     void follow(Bans bans) {
         if (changing == 0 && !bans.equals(ledger.bans())) {
-            ledger.ban(bans);
+            ledger.setBans(bans);
         }
     }
 
--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -186,7 +186,7 @@
                 log);
         Future<Void> console = Future.succeededFuture();
         if (config.console != null) {
-            wire.ledger().ban(bans); // before the first decision
+            wire.ledger().setBans(bans); // before the first decision
             console = openConsole();
         }
         if (inForce != null) {
@@ -320,13 +320,13 @@
      */
     private void drain(boolean elsewhere) {
         long counted = Math.max(STILL_LISTEN_MS, Math.min(longest(JobClass::deadline), LONGEST_MS));
-        log.line("draining", wire.ledger().unanswered() + " RPCs are open");
+        log.line("draining", wire.ledger().unansweredCount() + " RPCs are open");
         if (drain.elsewhere() != elsewhere) {
             leave(elsewhere);
         }
         drain.end(now(), counted - LAST_INTAKE_MS, elsewhere);
         followDrain();
-        vertx.setTimer(STILL_LISTEN_MS, t -> wire.ledger().endWithin(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
+        vertx.setTimer(STILL_LISTEN_MS, t -> wire.ledger().capDeadlines(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
     }
 
     /** Has clients treated as the drain's phase says, now and whenever it changes by itself. */
@@ -342,7 +342,7 @@
             wire.takeTheLast();
             long until = now() + HALF_MS;
             vertx.setPeriodic(LOOK_MS, look -> {
-                if (wire.ledger().unanswered() == 0
+                if (wire.ledger().unansweredCount() == 0
                         && (now() >= until || wire.server().settled())) {
                     vertx.cancelTimer(look);
                     vertx.setTimer(FLUSH_MS, t -> drained.countDown());
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -31,20 +31,20 @@
  */
 public final class RpcCoordinator<M> implements CallAttempt.Listener {
     /** After a failure inside a tick the balancer is woken again: without ticks nothing held would leave. */
-    private static final long TICK_AGAIN = 25_000;
+    private static final long TICK_RETRY_DELAY_US = 25_000;
 
     private final Balancer balancer;
     private final Clock clock;
     private final OutboundOperations<M> ports;
     private final Figures figures;
-    private final ResolverResult resolved = new ResolverResult();
-    private final Map<Long, Rpc<M>> open = new HashMap<>();
-    private final Set<String> names = new HashSet<>();
-    private final ArrayDeque<Supplier<List<Step>>> waiting = new ArrayDeque<>();
-    private boolean running;
+    private final ResolverResult resolverResult = new ResolverResult();
+    private final Map<Long, Rpc<M>> openRpcs = new HashMap<>();
+    private final Set<String> namesInUse = new HashSet<>();
+    private final ArrayDeque<Supplier<List<Step>>> pendingWork = new ArrayDeque<>();
+    private boolean processing;
     private long lastId;
     private long lastDeadline = Long.MAX_VALUE;
-    private int unanswered;
+    private int unansweredCount;
 
     /** Counts answers and attempts in the figures, by class. */
     public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> ports, Figures figures) {
@@ -57,25 +57,25 @@
     // ---- the client's side ----
 
     /** Whether an RPC of this name is open, or a call attempt of one that has had its answer. */
-    public boolean holds(String name) {
-        return names.contains(name);
+    public boolean isNameInUse(String name) {
+        return namesInUse.contains(name);
     }
 
     /**
      * Takes an RPC in, of a name that is not held; the channel will get its one final answer. The id is for
-     * {@link #clientGone}.
+     * {@link #clientDisconnected}.
      */
     public long open(RpcInfo info, M message, Channel channel) {
         long id = ++lastId;
         long now = clock.now();
         long deadline = Math.min(now + info.remaining(), lastDeadline);
         Rpc<M> rpc = new Rpc<>(id, info.name(), info.rpcClass(), message, deadline, channel);
-        open.put(id, rpc);
-        names.add(rpc.name);
-        unanswered++;
+        openRpcs.put(id, rpc);
+        namesInUse.add(rpc.name);
+        unansweredCount++;
         rpc.timer = ports.wake(Math.max(0, deadline - now), () -> expire(rpc));
         Request request = new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(), info.repeat());
-        run(() -> {
+        process(() -> {
             try {
                 return balancer.pick(clock.now(), request);
             } catch (RuntimeException | Error e) {
@@ -88,13 +88,13 @@
     }
 
     /** RPCs opened from now on have their answers within so many milliseconds, whatever clients allow. */
-    public void endWithin(long ms) {
+    public void capDeadlines(long ms) {
         lastDeadline = clock.now() + ms * 1000;
     }
 
     /** The client has closed its connection. */
-    public void clientGone(long id) {
-        Rpc<M> rpc = open.get(id);
+    public void clientDisconnected(long id) {
+        Rpc<M> rpc = openRpcs.get(id);
         if (rpc != null && !rpc.answered()) {
             answer(rpc, null, channel -> {});
             report(new News.ClientGone(id));
@@ -102,16 +102,16 @@
     }
 
     /** RPCs that still await their final answer. */
-    public int unanswered() {
-        return unanswered;
+    public int unansweredCount() {
+        return unansweredCount;
     }
 
     private void expire(Rpc<M> rpc) {
         for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
-            giveUp(a, Outcome.TIMEOUT);
+            cancel(a, Outcome.TIMEOUT);
         }
         // guards against an RPC left without an answer at its deadline, whatever the balancer made of it
-        run(() -> {
+        process(() -> {
             answer(rpc, Result.ERRORS, Channel::failed);
             return List.of();
         });
@@ -128,60 +128,60 @@
         // guards against an attempt that begins for nobody, also where none may be cancelled once begun
         for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
             if (!a.hasBegun()) {
-                giveUp(a, Outcome.NOT_SENT);
+                cancel(a, Outcome.NOT_SENT);
             }
         }
-        forgetIfDone(rpc);
-        unanswered--;
+        removeIfDone(rpc);
+        unansweredCount--;
         if (result != null) {
             figures.answered(rpc.rpcClass, result);
         }
         how.accept(channel);
     }
 
-    private void forgetIfDone(Rpc<M> rpc) {
+    private void removeIfDone(Rpc<M> rpc) {
         if (rpc.answered() && rpc.outstanding == 0) {
-            open.remove(rpc.id);
-            names.remove(rpc.name);
+            openRpcs.remove(rpc.id);
+            namesInUse.remove(rpc.name);
         }
     }
 
     // ---- news ----
 
-    public void resolved(ListUpdate update, boolean warmCopy) {
-        List<WorkerInfo> shown = resolved.take(update);
+    public void onListUpdate(ListUpdate update, boolean warmCopy) {
+        List<WorkerInfo> shown = resolverResult.take(update);
         ListKind kind = warmCopy ? ListKind.WARM_COPY : update.complete() ? ListKind.WHOLE : ListKind.CHANGES;
         report(new News.Resolved(kind, shown));
         // guards the rule on drains against a connection's time: the first byte would go out that much later
-        giveUpUnbegun(subchannel -> !resolved.inService(subchannel));
+        cancelUnsentAttempts(subchannel -> !resolverResult.inService(subchannel));
     }
 
     /** Gives up, at subchannels of which this holds, attempts of which nothing has been sent. */
-    private void giveUpUnbegun(Predicate<String> where) {
-        for (Rpc<M> rpc : new ArrayList<>(open.values())) {
+    private void cancelUnsentAttempts(Predicate<String> where) {
+        for (Rpc<M> rpc : new ArrayList<>(openRpcs.values())) {
             for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
                 if (!a.hasBegun() && where.test(a.subchannel)) {
-                    giveUp(a, Outcome.NOT_SENT);
+                    cancel(a, Outcome.NOT_SENT);
                 }
             }
         }
     }
 
     public void report(News news) {
-        run(() -> balancer.report(clock.now(), news));
+        process(() -> balancer.report(clock.now(), news));
     }
 
     // ---- the operators' side ----
 
     /** From now on nothing more goes to these subchannels; what runs there goes on. */
-    public void ban(Bans next) {
-        Bans before = resolved.bans();
-        List<WorkerInfo> changed = resolved.ban(next, clock.now());
+    public void setBans(Bans next) {
+        Bans before = resolverResult.bans();
+        List<WorkerInfo> changed = resolverResult.ban(next, clock.now());
         if (!changed.isEmpty()) {
             report(new News.Resolved(ListKind.CHANGES, changed));
         }
         // guards against what the balancer cannot recall: an attempt whose connection is yet to come up
-        giveUpUnbegun(subchannel -> next.has(subchannel) && !before.has(subchannel));
+        cancelUnsentAttempts(subchannel -> next.has(subchannel) && !before.has(subchannel));
     }
 
     /** What another process of this dispatcher should know while it runs beside this one. */
@@ -190,20 +190,20 @@
     }
 
     public Bans bans() {
-        return resolved.bans();
+        return resolverResult.bans();
     }
 
     /** Whether anybody has, or had, a subchannel of this id. */
-    public boolean knows(String subchannel) {
-        return resolved.knows(subchannel);
+    public boolean isKnownSubchannel(String subchannel) {
+        return resolverResult.knows(subchannel);
     }
 
     /** What holds now, beside what is counted. */
-    public Figures.Now now() {
+    public Figures.Now snapshot() {
         return new Figures.Now(
-                unanswered,
-                resolved.size(),
-                resolved.banned() + balancer.avoided(),
+                unansweredCount,
+                resolverResult.size(),
+                resolverResult.banned() + balancer.avoided(),
                 SharingMetrics.figures(balancer.sharing()));
     }
 
@@ -219,7 +219,7 @@
 
     @Override
     public void ended(CallAttempt a, Outcome outcome, String result, Report load) {
-        Rpc<M> rpc = open.get(a.rpc);
+        Rpc<M> rpc = openRpcs.get(a.rpc);
         rpc.outstanding--;
         if (outcome == Outcome.OK) {
             answer(rpc, Result.OK, channel -> channel.served(result));
@@ -228,11 +228,11 @@
             answer(rpc, Result.ERRORS, Channel::failed);
         }
         boolean answered = rpc.answered();
-        forgetIfDone(rpc);
+        removeIfDone(rpc);
         report(new News.AttemptEnded(a.rpc, a.number, outcome, clock.now() - a.sentAt, answered, load));
     }
 
-    private void giveUp(CallAttempt a, Outcome outcome) {
+    private void cancel(CallAttempt a, Outcome outcome) {
         if (!a.over()) {
             a.giveUp.run();
             a.ended(outcome, null);
@@ -242,24 +242,24 @@
     // ---- what the balancer asks for ----
 
     /** Carries steps out; news that they make waits its turn, so that the balancer is never entered twice. */
-    private void run(Supplier<List<Step>> work) {
-        waiting.add(work);
-        if (running) {
+    private void process(Supplier<List<Step>> work) {
+        pendingWork.add(work);
+        if (processing) {
             return;
         }
-        running = true;
-        for (Supplier<List<Step>> next = waiting.poll(); next != null; next = waiting.poll()) {
+        processing = true;
+        for (Supplier<List<Step>> next = pendingWork.poll(); next != null; next = pendingWork.poll()) {
             Supplier<List<Step>> current = next;
-            guarded(() -> current.get().forEach(step -> guarded(() -> perform(step))));
+            runLoggingErrors(() -> current.get().forEach(step -> runLoggingErrors(() -> execute(step))));
         }
-        running = false;
+        processing = false;
     }
 
     /**
      * Guards against one RPC's exception ending the process or what is to be done for the others. Errors too:
-     * one that left {@link #run} would leave the ledger waiting for itself for good.
+     * one that left {@link #process} would leave the ledger waiting for itself for good.
      */
-    private void guarded(Runnable what) {
+    private void runLoggingErrors(Runnable what) {
         try {
             what.run();
         } catch (RuntimeException | Error e) {
@@ -268,31 +268,31 @@
         }
     }
 
-    private void perform(Step step) {
+    private void execute(Step step) {
         if (step instanceof Step.StartAttempt s) {
             start(s);
         } else if (step instanceof Step.CancelAttempt c) {
-            Rpc<M> rpc = open.get(c.rpc());
+            Rpc<M> rpc = openRpcs.get(c.rpc());
             if (rpc != null) {
-                giveUp(rpc.attempts.get(c.attempt()), Outcome.CANCELLED);
+                cancel(rpc.attempts.get(c.attempt()), Outcome.CANCELLED);
             }
         } else if (step instanceof Step.Refuse r) {
-            finish(r.rpc(), Result.SHED, channel -> channel.refused(r.retryAfter()));
+            answerIfOpen(r.rpc(), Result.SHED, channel -> channel.refused(r.retryAfter()));
         } else if (step instanceof Step.Fail f) {
-            finish(f.rpc(), Result.ERRORS, Channel::failed);
+            answerIfOpen(f.rpc(), Result.ERRORS, Channel::failed);
         } else if (step instanceof Step.Probe p) {
             probe(p.subchannel());
         } else if (step instanceof Step.TellPeer t) {
             ports.tell(t.peer(), t.bytes());
         } else if (step instanceof Step.Watch) {
-            ports.watch(resolved.revision());
+            ports.watch(resolverResult.revision());
         } else if (step instanceof Step.WakeAfter w) {
             ports.wake(w.delay(), () -> tick(w.token()));
         }
     }
 
     private void start(Step.StartAttempt s) {
-        Rpc<M> rpc = open.get(s.rpc());
+        Rpc<M> rpc = openRpcs.get(s.rpc());
         if (rpc == null) {
             throw new IllegalStateException("an attempt for an RPC that is over");
         }
@@ -300,10 +300,10 @@
         CallAttempt a = new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, s.subchannel(), this);
         rpc.attempts.add(a);
         rpc.outstanding++;
-        String address = resolved.address(s.subchannel());
+        String address = resolverResult.address(s.subchannel());
         if (rpc.answered() || now >= rpc.deadline) {
             a.ended(Outcome.NOT_SENT, null);
-        } else if (resolved.bans().has(s.subchannel())) {
+        } else if (resolverResult.bans().has(s.subchannel())) {
             // guards the ban against a step that was decided before it
             a.ended(Outcome.NOT_SENT, null);
         } else if (address == null) {
@@ -319,15 +319,15 @@
         }
     }
 
-    private void finish(long id, Result result, Consumer<Channel> how) {
-        Rpc<M> rpc = open.get(id);
+    private void answerIfOpen(long id, Result result, Consumer<Channel> how) {
+        Rpc<M> rpc = openRpcs.get(id);
         if (rpc != null) {
             answer(rpc, result, how);
         }
     }
 
     private void probe(String subchannel) {
-        String address = resolved.bans().has(subchannel) ? null : resolved.address(subchannel);
+        String address = resolverResult.bans().has(subchannel) ? null : resolverResult.address(subchannel);
         if (address == null) {
             report(new News.Probed(subchannel, Outcome.CONNECT_FAILED, null));
         } else {
@@ -336,11 +336,11 @@
     }
 
     private void tick(long token) {
-        run(() -> {
+        process(() -> {
             try {
                 return balancer.tick(clock.now(), token);
             } catch (RuntimeException | Error e) {
-                ports.wake(TICK_AGAIN, () -> tick(token));
+                ports.wake(TICK_RETRY_DELAY_US, () -> tick(token));
                 throw e;
             }
         });
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -181,7 +181,7 @@
             return;
         }
         // guards an open RPC against a newcomer of the same name: workers would take the two for one
-        if (ledger.holds(info.name())) {
+        if (ledger.isNameInUse(info.name())) {
             reject(request, new RejectedRequestException(409, "a request with this X-Txn is open"));
             return;
         }
@@ -194,7 +194,7 @@
                 body,
                 (System.nanoTime() - PipeliningHandler.of(request.connection()).firstByteAt()) / 1000);
         long[] id = {0};
-        response.closeHandler(v -> ledger.clientGone(id[0]));
+        response.closeHandler(v -> ledger.clientDisconnected(id[0]));
         response.exceptionHandler(e -> {});
         id[0] = ledger.open(info, message, new HttpChannel(request));
     }
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -75,7 +75,7 @@
                 vertx,
                 o.discovery(),
                 o.lists(),
-                u -> ledger.resolved(u, false),
+                u -> ledger.onListUpdate(u, false),
                 how -> ledger.report(new News.WatchLost(how)),
                 descriptors,
                 log);
@@ -87,7 +87,7 @@
     public Future<?> begin(ListUpdate known) {
         Future<?> open = peerListen == null ? Future.succeededFuture() : peers.listen(peerListen);
         return open.onSuccess(v -> {
-            ledger.resolved(known, true);
+            ledger.onListUpdate(known, true);
             if (pushed) {
                 // nobody asks for what is pushed, but on sockets it comes on a watch, too
                 discovery.start(known.revision());
--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -273,7 +273,7 @@
 
         void ban(String worker, boolean out) {
             write((out ? "ban" : "back") + " %d %s", number, worker);
-            ledger.ban(out ? ledger.bans().with(worker) : ledger.bans().without(worker));
+            ledger.setBans(out ? ledger.bans().with(worker) : ledger.bans().without(worker));
         }
 
         void told(List<WorkerInfo> entries, boolean whole) {
@@ -290,7 +290,7 @@
                             .append(w.cell())
                             .append(w.startedAt() > 0 ? "+" + w.startedAt() / 1e6 : ""));
             write("list %d %s%s", number, whole ? "whole" : "changes", text);
-            ledger.resolved(
+            ledger.onListUpdate(
                     new ListUpdate(
                             ++revision,
                             whole,
@@ -327,7 +327,7 @@
 
         void left(String rpc) {
             write("gone %d %s", number, rpc);
-            ledger.clientGone(ids.getOrDefault(rpc, 0L));
+            ledger.clientDisconnected(ids.getOrDefault(rpc, 0L));
         }
 
         /** A worker's word; none where the real code made no such attempt, or gave it up. */
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -17,7 +17,7 @@
 import saffronferry.ops.Figures;
 import saffronferry.settings.SettingsReader;
 
-/** The ledger without sockets: one final answer whatever fails, and nothing kept of what is over. */
+/** The coordinator without sockets: one final answer whatever fails, and nothing kept of what is over. */
 public class RpcCoordinatorTest {
     private final List<String> answers = new ArrayList<>();
     private final List<CallAttempt> started = new ArrayList<>();
@@ -26,7 +26,7 @@
     private boolean broken;
     private Error error;
     private final Figures figures = new Figures(List.of("directory-page", "record-gift"));
-    private RpcCoordinator<String> ledger;
+    private RpcCoordinator<String> coordinator;
 
     private final Channel channel = new Channel() {
         @Override
@@ -88,12 +88,12 @@
 
     private void begin() throws Exception {
         JSONObject config = new JSONObject(Files.readString(Path.of("examples/config.json")));
-        ledger = new RpcCoordinator<>(
+        coordinator = new RpcCoordinator<>(
                 new Balancer(new SettingsReader(1, config.getJSONObject("settings")).settings),
                 new Clock(),
                 ports,
                 figures);
-        ledger.resolved(
+        coordinator.onListUpdate(
                 new ListUpdate(
                         1,
                         true,
@@ -104,7 +104,7 @@
     }
 
     private void open() {
-        ledger.open(new RpcInfo("t", 0, 0, 3_000_000, 1, false), "m", channel);
+        coordinator.open(new RpcInfo("t", 0, 0, 3_000_000, 1, false), "m", channel);
     }
 
     @Test
@@ -115,7 +115,7 @@
         started.get(0).served("again", null);
         started.get(0).ended(Outcome.RESET, null);
         assertEquals(List.of("r"), answers);
-        assertEquals(0, ledger.unanswered());
+        assertEquals(0, coordinator.unansweredCount());
         assertEquals("the deadline's timer is cancelled", 0, timers.size());
     }
 
@@ -128,10 +128,10 @@
         assertEquals(1, logged.size());
         timers.firstEntry().getValue().run();
         assertEquals(1, answers.size());
-        assertEquals(0, ledger.unanswered());
+        assertEquals(0, coordinator.unansweredCount());
     }
 
-    /** An Error on the way must not leave the ledger waiting for itself: later RPCs are served. */
+    /** An Error on the way must not leave the coordinator waiting for itself: later RPCs are served. */
     @Test
     public void anErrorOfTheVirtualMachineEndsOneAttemptOnly() throws Exception {
         begin();
@@ -140,8 +140,8 @@
         assertEquals(1, logged.size());
         assertEquals("tried at the next worker or told, never left", 0, started.size());
         error = null;
-        ledger.open(new RpcInfo("v", 0, 0, 3_000_000, 1, false), "m", channel);
-        ledger.report(new News.Room(true));
+        coordinator.open(new RpcInfo("v", 0, 0, 3_000_000, 1, false), "m", channel);
+        coordinator.report(new News.Room(true));
         timers.values().stream().toList().forEach(Runnable::run);
         assertEquals("each has its one answer", 2, answers.size());
     }
@@ -150,11 +150,11 @@
     @Test
     public void withoutRoomNothingIsSentUntilThereIsSome() throws Exception {
         begin();
-        ledger.report(new News.Room(false));
+        coordinator.report(new News.Room(false));
         open();
         assertEquals(0, started.size());
         assertEquals(List.of(), answers);
-        ledger.report(new News.Room(true));
+        coordinator.report(new News.Room(true));
         assertEquals(1, started.size());
         started.get(0).served("r", null);
         assertEquals(List.of("r"), answers);
@@ -164,7 +164,7 @@
     @Test
     public void anErrorInTheBalancerFailsTheRpcAtOnce() throws Exception {
         begin();
-        ledger.open(new RpcInfo("u", 99, 0, 3_000_000, 1, false), "m", channel);
+        coordinator.open(new RpcInfo("u", 99, 0, 3_000_000, 1, false), "m", channel);
         assertEquals(List.of("failed"), answers);
         open();
         started.get(0).served("r", null);
@@ -175,9 +175,9 @@
     public void aClientThatIsGoneIsOwedNothing() throws Exception {
         begin();
         open();
-        ledger.clientGone(1);
-        ledger.clientGone(1);
+        coordinator.clientDisconnected(1);
+        coordinator.clientDisconnected(1);
         assertEquals(List.of(), answers);
-        assertEquals(0, ledger.unanswered());
+        assertEquals(0, coordinator.unansweredCount());
     }
 }
