--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -186,7 +186,7 @@
                 log);
         Future<Void> console = Future.succeededFuture();
         if (config.console != null) {
-            wire.ledger().setBans(bans); // before the first decision
+            wire.coordinator().setBans(bans); // before the first decision
             console = openConsole();
         }
         if (inForce != null) {
@@ -208,10 +208,10 @@
 
     private void keepCompany() {
         if (company != null) {
-            company.keep(wire.ledger()::beside, new Company.Listener() {
+            company.keep(wire.coordinator()::beside, new Company.Listener() {
                 @Override
                 public void told(Beside beside) {
-                    wire.ledger().report(new News.RunsBeside(beside));
+                    wire.coordinator().report(new News.RunsBeside(beside));
                 }
 
                 @Override
@@ -245,7 +245,7 @@
     private Future<Void> openConsole() {
         desk = new Console(
                 vertx,
-                wire.ledger(),
+                wire.coordinator(),
                 figures,
                 transport.control(),
                 banFile,
@@ -320,13 +320,13 @@
      */
     private void drain(boolean elsewhere) {
         long counted = Math.max(STILL_LISTEN_MS, Math.min(longest(JobClass::deadline), LONGEST_MS));
-        log.line("draining", wire.ledger().unansweredCount() + " RPCs are open");
+        log.line("draining", wire.coordinator().unansweredCount() + " RPCs are open");
         if (drain.elsewhere() != elsewhere) {
             leave(elsewhere);
         }
         drain.end(now(), counted - LAST_INTAKE_MS, elsewhere);
         followDrain();
-        vertx.setTimer(STILL_LISTEN_MS, t -> wire.ledger().capDeadlines(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
+        vertx.setTimer(STILL_LISTEN_MS, t -> wire.coordinator().capDeadlines(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
     }
 
     /** Has clients treated as the drain's phase says, now and whenever it changes by itself. */
@@ -342,7 +342,7 @@
             wire.takeTheLast();
             long until = now() + HALF_MS;
             vertx.setPeriodic(LOOK_MS, look -> {
-                if (wire.ledger().unansweredCount() == 0
+                if (wire.coordinator().unansweredCount() == 0
                         && (now() >= until || wire.server().settled())) {
                     vertx.cancelTimer(look);
                     vertx.setTimer(FLUSH_MS, t -> drained.countDown());
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -147,7 +147,7 @@
                 .toList();
         if (!next.equals(tenants)) {
             tenants = next;
-            wire.ledger().report(new News.AllowancesChanged(next));
+            wire.coordinator().report(new News.AllowancesChanged(next));
         }
     }
 
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -26,7 +26,7 @@
 
     private final HttpServer server;
     private final RpcParser parser;
-    private final RpcCoordinator<ForwardedRequest> ledger;
+    private final RpcCoordinator<ForwardedRequest> coordinator;
     private final ClientConnections admission;
     private final Figures figures;
     private final BoundedLog log;
@@ -39,12 +39,12 @@
     ChannelServer(
             Vertx vertx,
             RpcParser parser,
-            RpcCoordinator<ForwardedRequest> ledger,
+            RpcCoordinator<ForwardedRequest> coordinator,
             BoundedTransport transport,
             Figures figures,
             BoundedLog log) {
         this.parser = parser;
-        this.ledger = ledger;
+        this.coordinator = coordinator;
         this.figures = figures;
         this.log = log;
         admission = new ClientConnections(vertx, transport);
@@ -181,7 +181,7 @@
             return;
         }
         // guards an open RPC against a newcomer of the same name: workers would take the two for one
-        if (ledger.isNameInUse(info.name())) {
+        if (coordinator.isNameInUse(info.name())) {
             reject(request, new RejectedRequestException(409, "a request with this X-Txn is open"));
             return;
         }
@@ -194,9 +194,9 @@
                 body,
                 (System.nanoTime() - PipeliningHandler.of(request.connection()).firstByteAt()) / 1000);
         long[] id = {0};
-        response.closeHandler(v -> ledger.clientDisconnected(id[0]));
+        response.closeHandler(v -> coordinator.clientDisconnected(id[0]));
         response.exceptionHandler(e -> {});
-        id[0] = ledger.open(info, message, new HttpChannel(request));
+        id[0] = coordinator.open(info, message, new HttpChannel(request));
     }
 
     private void reject(HttpServerRequest request, RejectedRequestException bad) {
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -49,7 +49,7 @@
     private final PeerSocket peers;
     private final Address peerListen;
     private final boolean pushed;
-    private final RpcCoordinator<ForwardedRequest> ledger;
+    private final RpcCoordinator<ForwardedRequest> coordinator;
     private final ChannelServer server;
     private BiConsumer<Integer, byte[]> settings;
 
@@ -66,8 +66,8 @@
         this.transport = transport;
         peerListen = o.peerListen();
         pushed = o.pushed();
-        ledger = new RpcCoordinator<>(balancer, new Clock(), this, figures);
-        AttemptRoom room = new AttemptRoom(descriptors, open -> ledger.report(new News.Room(open)));
+        coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
+        AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new News.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
         subchannels =
                 new SubchannelClient(vertx, o.connectTimeout(), new LoadReportParser(o.freeSlots()), descriptors, room, log);
@@ -75,19 +75,19 @@
                 vertx,
                 o.discovery(),
                 o.lists(),
-                u -> ledger.onListUpdate(u, false),
-                how -> ledger.report(new News.WatchLost(how)),
+                u -> coordinator.onListUpdate(u, false),
+                how -> coordinator.report(new News.WatchLost(how)),
                 descriptors,
                 log);
         peers = new PeerSocket(vertx, o.peers(), (peer, bytes) -> heard(peer, bytes), transport.control(), log);
-        server = new ChannelServer(vertx, new RpcParser(o.classes(), o.tenants()), ledger, transport, figures, log);
+        server = new ChannelServer(vertx, new RpcParser(o.classes(), o.tenants()), coordinator, transport, figures, log);
     }
 
     /** Opens the peers' socket, which the first decisions already use; then takes the known list in. */
     public Future<?> begin(ListUpdate known) {
         Future<?> open = peerListen == null ? Future.succeededFuture() : peers.listen(peerListen);
         return open.onSuccess(v -> {
-            ledger.onListUpdate(known, true);
+            coordinator.onListUpdate(known, true);
             if (pushed) {
                 // nobody asks for what is pushed, but on sockets it comes on a watch, too
                 discovery.start(known.revision());
@@ -158,7 +158,7 @@
         if (settings != null && Gossip.speaksOfSettings(bytes)) {
             settings.accept(peer, bytes);
         } else {
-            ledger.report(new News.PeerSaid(peer, bytes));
+            coordinator.report(new News.PeerSaid(peer, bytes));
         }
     }
 
@@ -171,8 +171,8 @@
         return server;
     }
 
-    public RpcCoordinator<?> ledger() {
-        return ledger;
+    public RpcCoordinator<?> coordinator() {
+        return coordinator;
     }
 
     @Override
@@ -184,8 +184,8 @@
     public void probe(String subchannel, String address) {
         subchannels.probe(
                 address,
-                () -> !ledger.bans().has(subchannel),
-                (outcome, load) -> ledger.report(new News.Probed(subchannel, outcome, load)));
+                () -> !coordinator.bans().has(subchannel),
+                (outcome, load) -> coordinator.report(new News.Probed(subchannel, outcome, load)));
     }
 
     @Override
