--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -58,7 +58,7 @@
                 new Gossip.Out() {
                     @Override
                     public void tell(int peer, byte[] bytes) {
-                        wire.tell(peer, bytes);
+                        wire.sendToPeer(peer, bytes);
                     }
 
                     @Override
--- a/src/main/java/saffronferry/state/OutboundOperations.java
+++ b/src/main/java/saffronferry/state/OutboundOperations.java
@@ -7,20 +7,20 @@
  */
 public interface OutboundOperations<M> {
     /** Starts a call attempt, of which the attempt is told; running the result gives it up. */
-    Runnable start(M message, String address, long remaining, CallAttempt attempt);
+    Runnable startAttempt(M message, String address, long remaining, CallAttempt attempt);
 
     /** Asks for a load; the ledger is told of the end. */
-    void probe(String subchannel, String address);
+    void probeLoad(String subchannel, String address);
 
-    void tell(int peer, byte[] bytes);
+    void sendToPeer(int peer, byte[] bytes);
 
     /** Watches the list from a revision on; a watch that is under way goes on. */
-    void watch(long revision);
+    void watchList(long revision);
 
-    /** Runs something once after so many microseconds; the result is for {@link #unwake}. */
-    long wake(long delay, Runnable what);
+    /** Runs something once after so many microseconds; the result is for {@link #cancelTimer}. */
+    long schedule(long delay, Runnable what);
 
-    void unwake(long timer);
+    void cancelTimer(long timer);
 
     void log(String line);
 }
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -35,7 +35,7 @@
 
     private final Balancer balancer;
     private final Clock clock;
-    private final OutboundOperations<M> ports;
+    private final OutboundOperations<M> outbound;
     private final Figures figures;
     private final ResolverResult resolverResult = new ResolverResult();
     private final Map<Long, Rpc<M>> openRpcs = new HashMap<>();
@@ -47,10 +47,10 @@
     private int unansweredCount;
 
     /** Counts answers and attempts in the figures, by class. */
-    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> ports, Figures figures) {
+    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> outbound, Figures figures) {
         this.balancer = balancer;
         this.clock = clock;
-        this.ports = ports;
+        this.outbound = outbound;
         this.figures = figures;
     }
 
@@ -73,7 +73,7 @@
         openRpcs.put(id, rpc);
         namesInUse.add(rpc.name);
         unansweredCount++;
-        rpc.timer = ports.wake(Math.max(0, deadline - now), () -> expire(rpc));
+        rpc.timer = outbound.schedule(Math.max(0, deadline - now), () -> expire(rpc));
         Request request = new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(), info.repeat());
         process(() -> {
             try {
@@ -124,7 +124,7 @@
             return;
         }
         rpc.channel = null;
-        ports.unwake(rpc.timer);
+        outbound.cancelTimer(rpc.timer);
         // guards against an attempt that begins for nobody, also where none may be cancelled once begun
         for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
             if (!a.hasBegun()) {
@@ -264,7 +264,7 @@
             what.run();
         } catch (RuntimeException | Error e) {
             StackTraceElement[] trace = e.getStackTrace();
-            ports.log("internal error: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
+            outbound.log("internal error: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
@@ -283,11 +283,11 @@
         } else if (step instanceof Step.Probe p) {
             probe(p.subchannel());
         } else if (step instanceof Step.TellPeer t) {
-            ports.tell(t.peer(), t.bytes());
+            outbound.sendToPeer(t.peer(), t.bytes());
         } else if (step instanceof Step.Watch) {
-            ports.watch(resolverResult.revision());
+            outbound.watchList(resolverResult.revision());
         } else if (step instanceof Step.WakeAfter w) {
-            ports.wake(w.delay(), () -> tick(w.token()));
+            outbound.schedule(w.delay(), () -> tick(w.token()));
         }
     }
 
@@ -310,7 +310,7 @@
             a.ended(Outcome.CONNECT_FAILED, null);
         } else {
             try {
-                a.giveUp = ports.start(rpc.message, address, rpc.deadline - now, a);
+                a.giveUp = outbound.startAttempt(rpc.message, address, rpc.deadline - now, a);
             } catch (RuntimeException | Error e) {
                 // guards against an attempt that never began and so would never end
                 a.ended(Outcome.CONNECT_FAILED, null);
@@ -331,7 +331,7 @@
         if (address == null) {
             report(new News.Probed(subchannel, Outcome.CONNECT_FAILED, null));
         } else {
-            ports.probe(subchannel, address);
+            outbound.probeLoad(subchannel, address);
         }
     }
 
@@ -340,7 +340,7 @@
             try {
                 return balancer.tick(clock.now(), token);
             } catch (RuntimeException | Error e) {
-                ports.wake(TICK_RETRY_DELAY_US, () -> tick(token));
+                outbound.schedule(TICK_RETRY_DELAY_US, () -> tick(token));
                 throw e;
             }
         });
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -176,12 +176,12 @@
     }
 
     @Override
-    public Runnable start(ForwardedRequest message, String address, long remaining, CallAttempt attempt) {
+    public Runnable startAttempt(ForwardedRequest message, String address, long remaining, CallAttempt attempt) {
         return subchannels.start(message, address, remaining, attempt);
     }
 
     @Override
-    public void probe(String subchannel, String address) {
+    public void probeLoad(String subchannel, String address) {
         subchannels.probe(
                 address,
                 () -> !coordinator.bans().has(subchannel),
@@ -189,22 +189,22 @@
     }
 
     @Override
-    public void tell(int peer, byte[] bytes) {
+    public void sendToPeer(int peer, byte[] bytes) {
         peers.tell(peer, bytes);
     }
 
     @Override
-    public void watch(long revision) {
+    public void watchList(long revision) {
         discovery.start(revision);
     }
 
     @Override
-    public long wake(long delay, Runnable what) {
+    public long schedule(long delay, Runnable what) {
         return vertx.setTimer(Math.max(1, (delay + 999) / 1000), t -> what.run());
     }
 
     @Override
-    public void unwake(long timer) {
+    public void cancelTimer(long timer) {
         vertx.cancelTimer(timer);
     }
 
--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -351,7 +351,7 @@
         }
 
         @Override
-        public Runnable start(String rpc, String address, long remaining, CallAttempt attempt) {
+        public Runnable startAttempt(String rpc, String address, long remaining, CallAttempt attempt) {
             write("reaches %d %s %s", number, rpc, address);
             attempt.begun();
             List<CallAttempt> all = attempts.computeIfAbsent(rpc, x -> new ArrayList<>());
@@ -365,7 +365,7 @@
         }
 
         @Override
-        public void probe(String worker, String address) {
+        public void probeLoad(String worker, String address) {
             at(
                     now + 1_000,
                     () -> ledger.report(
@@ -373,7 +373,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] bytes) {
+        public void sendToPeer(int peer, byte[] bytes) {
             if (dice.nextInt(20) > 0) {
                 at(now + 1_000 + dice.nextLong(30_000), () -> {
                     if (fronts.containsKey(peer)) {
@@ -384,14 +384,14 @@
         }
 
         @Override
-        public void watch(long from) {
+        public void watchList(long from) {
             if (dice.nextInt(4) == 0) {
                 at(now + 300_000, () -> ledger.report(new News.WatchLost(WatchEnd.ENDED)));
             }
         }
 
         @Override
-        public long wake(long delay, Runnable what) {
+        public long schedule(long delay, Runnable what) {
             long id = ++lastTimer;
             long key = now + Math.max(1, delay) << 20 | order++ & 0xFFFFF;
             timers.put(id, key);
@@ -400,7 +400,7 @@
         }
 
         @Override
-        public void unwake(long timer) {
+        public void cancelTimer(long timer) {
             queue.remove(timers.remove(timer));
         }
 
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -45,11 +45,11 @@
         }
     };
 
-    private final OutboundOperations<String> ports = new OutboundOperations<>() {
+    private final OutboundOperations<String> outbound = new OutboundOperations<>() {
         private long last;
 
         @Override
-        public Runnable start(String message, String address, long remaining, CallAttempt attempt) {
+        public Runnable startAttempt(String message, String address, long remaining, CallAttempt attempt) {
             if (broken) {
                 throw new IllegalStateException("no socket");
             }
@@ -61,22 +61,22 @@
         }
 
         @Override
-        public void probe(String subchannel, String address) {}
+        public void probeLoad(String subchannel, String address) {}
 
         @Override
-        public void tell(int peer, byte[] bytes) {}
+        public void sendToPeer(int peer, byte[] bytes) {}
 
         @Override
-        public void watch(long revision) {}
+        public void watchList(long revision) {}
 
         @Override
-        public long wake(long delay, Runnable what) {
+        public long schedule(long delay, Runnable what) {
             timers.put(++last, what);
             return last;
         }
 
         @Override
-        public void unwake(long timer) {
+        public void cancelTimer(long timer) {
             timers.remove(timer);
         }
 
@@ -91,7 +91,7 @@
         coordinator = new RpcCoordinator<>(
                 new Balancer(new SettingsReader(1, config.getJSONObject("settings")).settings),
                 new Clock(),
-                ports,
+                outbound,
                 figures);
         coordinator.onListUpdate(
                 new ListUpdate(
