--- a/src/main/java/saffronferry/state/CallAttempt.java
+++ b/src/main/java/saffronferry/state/CallAttempt.java
@@ -7,7 +7,7 @@
 public final class CallAttempt {
     /** Who hears of attempts. */
     interface Listener {
-        void moved(CallAttempt attempt, boolean started);
+        void progressed(CallAttempt attempt, boolean started);
 
         /** The attempt is written whole. */
         void written(CallAttempt attempt);
@@ -15,33 +15,33 @@
         void ended(CallAttempt attempt, Outcome outcome, String result, Report load);
     }
 
-    final long rpc;
+    final long rpcId;
     final int rpcClass;
-    final int number;
-    final long sentAt;
+    final int index;
+    final long createdAt;
     final String subchannel;
     private final Listener listener;
-    private boolean over;
-    private boolean begun;
+    private boolean ended;
+    private boolean sendStarted;
     /** Whether the subchannel found fault with the RPC itself. */
     boolean rejected;
     /** Gives the attempt up on the wire. */
-    Runnable giveUp = () -> {};
+    Runnable onCancel = () -> {};
 
-    CallAttempt(long rpc, int rpcClass, int number, long sentAt, String subchannel, Listener listener) {
-        this.rpc = rpc;
+    CallAttempt(long rpcId, int rpcClass, int index, long createdAt, String subchannel, Listener listener) {
+        this.rpcId = rpcId;
         this.rpcClass = rpcClass;
-        this.number = number;
-        this.sentAt = sentAt;
+        this.index = index;
+        this.createdAt = createdAt;
         this.subchannel = subchannel;
         this.listener = listener;
     }
 
     /** An attempt of no RPC: only its end is told. */
-    public static CallAttempt unheard(Runnable onEnd) {
+    public static CallAttempt withoutRpc(Runnable onEnd) {
         return new CallAttempt(0, 0, 0, 0, null, new Listener() {
             @Override
-            public void moved(CallAttempt attempt, boolean started) {}
+            public void progressed(CallAttempt attempt, boolean started) {}
 
             @Override
             public void written(CallAttempt attempt) {}
@@ -53,39 +53,39 @@
         });
     }
 
-    public boolean over() {
-        return over;
+    public boolean isEnded() {
+        return ended;
     }
 
     /** Its connection is up and the first byte is about to be written. */
-    public void begun() {
-        begun = true;
+    public void sendStarted() {
+        sendStarted = true;
     }
 
     /** Whether another attempt of its RPC came before, so that only a window is left for it. */
     public boolean isRepeat() {
-        return number > 0;
+        return index > 0;
     }
 
     /** Whether any of it may have been sent. */
-    boolean hasBegun() {
-        return begun;
+    boolean mayHaveBeenSent() {
+        return sendStarted;
     }
 
-    /** Its last byte is written; told though the attempt may be over by now. */
+    /** Its last byte is written; told though the attempt may be ended by now. */
     public void written() {
         listener.written(this);
     }
 
-    public void started() {
-        if (!over) {
-            listener.moved(this, true);
+    public void jobStarted() {
+        if (!ended) {
+            listener.progressed(this, true);
         }
     }
 
-    public void progressed() {
-        if (!over) {
-            listener.moved(this, false);
+    public void jobProgressed() {
+        if (!ended) {
+            listener.progressed(this, false);
         }
     }
 
@@ -104,8 +104,8 @@
     }
 
     private void end(Outcome outcome, String result, Report load) {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             listener.ended(this, outcome, result, load);
         }
     }
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -127,7 +127,7 @@
         outbound.cancelTimer(rpc.timer);
         // guards against an attempt that begins for nobody, also where none may be cancelled once begun
         for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
-            if (!a.hasBegun()) {
+            if (!a.mayHaveBeenSent()) {
                 cancel(a, Outcome.NOT_SENT);
             }
         }
@@ -160,7 +160,7 @@
     private void cancelUnsentAttempts(Predicate<String> where) {
         for (Rpc<M> rpc : new ArrayList<>(openRpcs.values())) {
             for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
-                if (!a.hasBegun() && where.test(a.subchannel)) {
+                if (!a.mayHaveBeenSent() && where.test(a.subchannel)) {
                     cancel(a, Outcome.NOT_SENT);
                 }
             }
@@ -213,13 +213,13 @@
     }
 
     @Override
-    public void moved(CallAttempt a, boolean started) {
-        report(new News.AttemptMoved(a.rpc, a.number, started));
+    public void progressed(CallAttempt a, boolean started) {
+        report(new News.AttemptMoved(a.rpcId, a.index, started));
     }
 
     @Override
     public void ended(CallAttempt a, Outcome outcome, String result, Report load) {
-        Rpc<M> rpc = openRpcs.get(a.rpc);
+        Rpc<M> rpc = openRpcs.get(a.rpcId);
         rpc.outstanding--;
         if (outcome == Outcome.OK) {
             answer(rpc, Result.OK, channel -> channel.served(result));
@@ -229,12 +229,12 @@
         }
         boolean answered = rpc.answered();
         removeIfDone(rpc);
-        report(new News.AttemptEnded(a.rpc, a.number, outcome, clock.now() - a.sentAt, answered, load));
+        report(new News.AttemptEnded(a.rpcId, a.index, outcome, clock.now() - a.createdAt, answered, load));
     }
 
     private void cancel(CallAttempt a, Outcome outcome) {
-        if (!a.over()) {
-            a.giveUp.run();
+        if (!a.isEnded()) {
+            a.onCancel.run();
             a.ended(outcome, null);
         }
     }
@@ -310,7 +310,7 @@
             a.ended(Outcome.CONNECT_FAILED, null);
         } else {
             try {
-                a.giveUp = outbound.startAttempt(rpc.message, address, rpc.deadline - now, a);
+                a.onCancel = outbound.startAttempt(rpc.message, address, rpc.deadline - now, a);
             } catch (RuntimeException | Error e) {
                 // guards against an attempt that never began and so would never end
                 a.ended(Outcome.CONNECT_FAILED, null);
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -120,7 +120,7 @@
 
     private void warmUp(Address self, Promise<Void> done, int left) {
         ForwardedRequest message = new ForwardedRequest(HttpMethod.POST, "/", "warm-up", null, Buffer.buffer(), 0);
-        subchannels.start(message, self.toString(), 0, CallAttempt.unheard(() -> {
+        subchannels.start(message, self.toString(), 0, CallAttempt.withoutRpc(() -> {
             // guards against a start that is cold since the process to be replaced has had the request
             if (server.heard() || left <= 1) {
                 done.tryComplete();
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -127,7 +127,7 @@
                 attempt.ended(Outcome.NOT_SENT, null);
                 return;
             }
-            attempt.begun();
+            attempt.sendStarted();
             r.putHeader("X-Txn", message.txn());
             r.putHeader("X-Remaining-Ms", Long.toString(left()));
             if (message.idempotencyKey() != null) {
@@ -199,7 +199,7 @@
             if (read > MOST_ANSWER) {
                 throw new IllegalArgumentException("an answer of more than " + MOST_ANSWER + " bytes");
             }
-            if (!attempt.over()) {
+            if (!attempt.isEnded()) {
                 lines.feed(chunk);
                 closeSoonIfOver();
             }
@@ -207,7 +207,7 @@
 
         /** Guards our descriptors and the subchannel's against answers that go on after their end. */
         private void closeSoonIfOver() {
-            if (attempt.over() && tail < 0) {
+            if (attempt.isEnded() && tail < 0) {
                 tail = vertx.setTimer(TAIL_MS, t -> Dialer.drop(request));
             }
         }
--- a/src/main/java/saffronferry/wire/SubchannelResponseParser.java
+++ b/src/main/java/saffronferry/wire/SubchannelResponseParser.java
@@ -26,7 +26,7 @@
 
     /** One line of a 200 answer. */
     void line(CallAttempt attempt, String line) {
-        if (line.isEmpty() || attempt.over()) {
+        if (line.isEmpty() || attempt.isEnded()) {
             return;
         }
         JSONObject o;
@@ -36,8 +36,8 @@
             throw new IllegalArgumentException("a line that is no JSON object: " + e.getMessage());
         }
         switch (o.optString("state")) {
-            case "started" -> attempt.started();
-            case "running" -> attempt.progressed();
+            case "started" -> attempt.jobStarted();
+            case "running" -> attempt.jobProgressed();
             case "done" -> attempt.served(o.optString("result"), loads.parse(o.optJSONObject("load")));
             case "failed" -> attempt.ended(Outcome.ERROR, loads.parse(o.optJSONObject("load")));
             case "returned" -> attempt.ended(Outcome.FULL, loads.parse(o.optJSONObject("load")));
--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -333,7 +333,7 @@
         /** A worker's word; none where the real code made no such attempt, or gave it up. */
         void answered(String rpc, int attempt, Outcome outcome) {
             List<CallAttempt> all = attempts.getOrDefault(rpc, List.of());
-            if (attempt < all.size() && !all.get(attempt).over()) {
+            if (attempt < all.size() && !all.get(attempt).isEnded()) {
                 write("worker %d %s %d %s", number, rpc, attempt, outcome);
                 if (outcome == Outcome.OK) {
                     all.get(attempt).served("done", null);
@@ -346,14 +346,14 @@
         /** A worker's process ended. */
         void breaks(String worker) {
             attempts.forEach((rpc, all) -> all.stream()
-                    .filter(a -> !a.over() && worker.equals(places.get(a)))
+                    .filter(a -> !a.isEnded() && worker.equals(places.get(a)))
                     .forEach(a -> at(now + 1, () -> answered(rpc, all.indexOf(a), Outcome.RESET))));
         }
 
         @Override
         public Runnable startAttempt(String rpc, String address, long remaining, CallAttempt attempt) {
             write("reaches %d %s %s", number, rpc, address);
-            attempt.begun();
+            attempt.sendStarted();
             List<CallAttempt> all = attempts.computeIfAbsent(rpc, x -> new ArrayList<>());
             all.add(attempt);
             places.put(attempt, address);
--- a/src/test/java/saffronferry/state/RecordingAttempt.java
+++ b/src/test/java/saffronferry/state/RecordingAttempt.java
@@ -6,20 +6,20 @@
 /** A call attempt that writes down what it was told. */
 public final class RecordingAttempt implements CallAttempt.Listener {
     public final CallAttempt attempt = new CallAttempt(1, 0, 0, 0, null, this);
-    public String heard = "";
+    public String events = "";
 
     @Override
-    public void moved(CallAttempt a, boolean started) {
-        heard += started ? "started" : "running";
+    public void progressed(CallAttempt a, boolean started) {
+        events += started ? "started" : "running";
     }
 
     @Override
     public void written(CallAttempt a) {
-        heard += "written ";
+        events += "written ";
     }
 
     @Override
     public void ended(CallAttempt a, Outcome outcome, String result, Report load) {
-        heard += outcome + " once" + (result == null ? "" : " " + result);
+        events += outcome + " once" + (result == null ? "" : " " + result);
     }
 }
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -125,7 +125,7 @@
         for (Object[] c : statuses) {
             RecordingAttempt p = new RecordingAttempt();
             answers.status(p.attempt, (int) c[0], (String) c[1], null);
-            assertEquals(c[2] + " once", p.heard);
+            assertEquals(c[2] + " once", p.events);
         }
         String[][] lines = {
             {"{\"state\":\"started\"}", "started"},
@@ -141,11 +141,11 @@
         for (String[] c : lines) {
             RecordingAttempt p = new RecordingAttempt();
             answers.line(p.attempt, c[0]);
-            assertEquals(c[0], c[1], p.heard);
+            assertEquals(c[0], c[1], p.events);
         }
         RecordingAttempt p = new RecordingAttempt();
         assertThrows(IllegalArgumentException.class, () -> answers.line(p.attempt, "nonsense"));
-        assertEquals("", p.heard);
+        assertEquals("", p.events);
     }
 
     @Test
