--- a/src/main/java/saffronferry/state/ResolverResult.java
+++ b/src/main/java/saffronferry/state/ResolverResult.java
@@ -12,57 +12,57 @@
 
 /**
  * The list of subchannels as last told, the revision to go on from, and the operators' bans, which lie over
- * it: the balancer is shown a banned subchannel as draining, whatever the list says of it, and one whose ban
+ * it: the balancer is changes a banned subchannel as draining, whatever the list says of it, and one whose ban
  * has ended as just started, since operators restart it meanwhile and the list may not tell of that yet.
  */
 final class ResolverResult {
     /**
-     * Ids are remembered beyond their time on the list, for operators know a worker that the list has lost.
+     * Ids are remembered beyond their time on the list, for operators know a worker that the list has removedIds.
      * So many, whatever the length of the list: those that are on it need no remembering.
      */
-    private static final int MOST_LOST = 4096;
+    private static final int MAX_REMOVED_IDS = 4096;
 
     private final Map<String, ListUpdate.Entry> entries = new HashMap<>();
-    /** Ids that were on the list, those lost first at the beginning. */
-    private final Set<String> lost = new LinkedHashSet<>();
+    /** Ids that were on the list, those removedIds first at the beginning. */
+    private final Set<String> removedIds = new LinkedHashSet<>();
 
     private Bans bans = Bans.NONE;
     private long revision;
 
     /** Takes news of the list in; the result is what the balancer is to see of it. */
-    List<WorkerInfo> take(ListUpdate update) {
+    List<WorkerInfo> apply(ListUpdate update) {
         Set<String> before = Set.of();
         if (update.complete()) {
             before = new LinkedHashSet<>(entries.keySet());
             entries.clear();
         }
-        List<WorkerInfo> shown = new ArrayList<>(update.entries().size());
+        List<WorkerInfo> changes = new ArrayList<>(update.entries().size());
         for (ListUpdate.Entry e : update.entries()) {
             String id = e.info().address();
             if (e.info().state() != WorkerState.GONE) {
                 entries.put(id, e);
-                lost.remove(id);
+                removedIds.remove(id);
             } else if (entries.remove(id) != null) {
-                remember(id);
+                rememberRemoved(id);
             }
-            shown.add(shown(e.info()));
+            changes.add(withBanApplied(e.info()));
         }
         for (String id : before) {
             if (!entries.containsKey(id)) {
-                remember(id);
+                rememberRemoved(id);
             }
         }
         revision = update.revision();
-        return shown;
+        return changes;
     }
 
-    private void remember(String id) {
-        if (lost.add(id) && lost.size() > MOST_LOST) {
-            lost.remove(lost.iterator().next());
+    private void rememberRemoved(String id) {
+        if (removedIds.add(id) && removedIds.size() > MAX_REMOVED_IDS) {
+            removedIds.remove(removedIds.iterator().next());
         }
     }
 
-    private WorkerInfo shown(WorkerInfo w) {
+    private WorkerInfo withBanApplied(WorkerInfo w) {
         return bans.has(w.address()) && w.state() == WorkerState.IN_SERVICE
                 ? with(w, WorkerState.DRAINING, w.startedAt())
                 : w;
@@ -73,14 +73,14 @@
     }
 
     /** From now on these bans hold; the result is what changes by that in the balancer's eyes. */
-    List<WorkerInfo> ban(Bans next, long now) {
+    List<WorkerInfo> setBans(Bans next, long now) {
         Bans before = bans;
         bans = next;
         List<WorkerInfo> changed = new ArrayList<>();
         for (ListUpdate.Entry e : entries.values()) {
             WorkerInfo w = e.info();
             if (w.state() == WorkerState.IN_SERVICE && before.has(w.address()) != next.has(w.address())) {
-                changed.add(next.has(w.address()) ? shown(w) : with(w, w.state(), now));
+                changed.add(next.has(w.address()) ? withBanApplied(w) : with(w, w.state(), now));
             }
         }
         return changed;
@@ -91,8 +91,8 @@
     }
 
     /** Whether anybody has, or had, a subchannel of this id. */
-    boolean knows(String subchannel) {
-        return entries.containsKey(subchannel) || lost.contains(subchannel) || bans.has(subchannel);
+    boolean isKnown(String subchannel) {
+        return entries.containsKey(subchannel) || removedIds.contains(subchannel) || bans.has(subchannel);
     }
 
     int size() {
@@ -100,7 +100,7 @@
     }
 
     /** How many of the list are banned, those left out that it shows as draining by itself. */
-    int banned() {
+    int bannedCount() {
         int n = 0;
         for (String id : bans.workers()) {
             n += entries.containsKey(id) ? 1 : 0;
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -149,7 +149,7 @@
     // ---- news ----
 
     public void onListUpdate(ListUpdate update, boolean warmCopy) {
-        List<WorkerInfo> shown = resolverResult.take(update);
+        List<WorkerInfo> shown = resolverResult.apply(update);
         ListKind kind = warmCopy ? ListKind.WARM_COPY : update.complete() ? ListKind.WHOLE : ListKind.CHANGES;
         report(new News.Resolved(kind, shown));
         // guards the rule on drains against a connection's time: the first byte would go out that much later
@@ -176,7 +176,7 @@
     /** From now on nothing more goes to these subchannels; what runs there goes on. */
     public void setBans(Bans next) {
         Bans before = resolverResult.bans();
-        List<WorkerInfo> changed = resolverResult.ban(next, clock.now());
+        List<WorkerInfo> changed = resolverResult.setBans(next, clock.now());
         if (!changed.isEmpty()) {
             report(new News.Resolved(ListKind.CHANGES, changed));
         }
@@ -195,7 +195,7 @@
 
     /** Whether anybody has, or had, a subchannel of this id. */
     public boolean isKnownSubchannel(String subchannel) {
-        return resolverResult.knows(subchannel);
+        return resolverResult.isKnown(subchannel);
     }
 
     /** What holds now, beside what is counted. */
@@ -203,7 +203,7 @@
         return new Figures.Now(
                 unansweredCount,
                 resolverResult.size(),
-                resolverResult.banned() + balancer.avoided(),
+                resolverResult.bannedCount() + balancer.avoided(),
                 SharingMetrics.figures(balancer.sharing()));
     }
 
--- a/src/test/java/saffronferry/state/ResolverResultTest.java
+++ b/src/test/java/saffronferry/state/ResolverResultTest.java
@@ -31,32 +31,32 @@
     @Test
     void eachWorkerOfALongListCanBeNamed() {
         ResolverResult result = new ResolverResult();
-        result.take(whole(1, 0, MANY));
+        result.apply(whole(1, 0, MANY));
         for (int i = 0; i < MANY; i++) {
-            assertTrue(result.knows("w" + i), "w" + i);
+            assertTrue(result.isKnown("w" + i), "w" + i);
         }
-        assertFalse(result.knows("w" + MANY));
-        assertEquals(1, result.ban(Bans.NONE.with("w0"), 5).size());
-        assertEquals(1, result.banned());
+        assertFalse(result.isKnown("w" + MANY));
+        assertEquals(1, result.setBans(Bans.NONE.with("w0"), 5).size());
+        assertEquals(1, result.bannedCount());
     }
 
     /** Operators know a worker that the list has lost, by a whole list, by a change, or never had in service. */
     @Test
     void whatHasLeftIsRememberedAndNotForEver() {
         ResolverResult result = new ResolverResult();
-        result.take(whole(1, 0, 10));
-        result.take(whole(2, 2, 10));
-        result.take(new ListUpdate(3, false, List.of(entry("w2", WorkerState.GONE), entry("d", WorkerState.DRAINING))));
+        result.apply(whole(1, 0, 10));
+        result.apply(whole(2, 2, 10));
+        result.apply(new ListUpdate(3, false, List.of(entry("w2", WorkerState.GONE), entry("d", WorkerState.DRAINING))));
         for (String id : List.of("w0", "w1", "w2", "w9", "d")) {
-            assertTrue(result.knows(id), id);
+            assertTrue(result.isKnown(id), id);
         }
-        assertFalse(result.knows("x"));
+        assertFalse(result.isKnown("x"));
         assertEquals(8, result.size());
-        result.take(new ListUpdate(4, false, List.of(entry("w0", WorkerState.IN_SERVICE))));
+        result.apply(new ListUpdate(4, false, List.of(entry("w0", WorkerState.IN_SERVICE))));
         for (int round = 0; round < 10; round++) { // releases, each with new names
-            result.take(whole(5 + round, 1_000 * (round + 1), 1_000 * (round + 2)));
+            result.apply(whole(5 + round, 1_000 * (round + 1), 1_000 * (round + 2)));
         }
-        assertTrue(result.knows("w10999") && result.knows("w9999"), "the last one, and the one before");
-        assertFalse(result.knows("w0") || result.knows("w1"), "memory is bounded");
+        assertTrue(result.isKnown("w10999") && result.isKnown("w9999"), "the last one, and the one before");
+        assertFalse(result.isKnown("w0") || result.isKnown("w1"), "memory is bounded");
     }
 }
