--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -305,7 +305,7 @@
         context.runOnContext(v -> drain(elsewhere));
         try {
             // danger: to end before SIGKILL comes loses what was taken and is not answered yet
-            drained.await(longest(RpcInfo::longest) + DRAIN_SLACK_MS, TimeUnit.MILLISECONDS);
+            drained.await(longest(RpcInfo::maxRemaining) + DRAIN_SLACK_MS, TimeUnit.MILLISECONDS);
             if (company != null) {
                 company.ended();
             }
--- a/src/main/java/saffronferry/state/RpcInfo.java
+++ b/src/main/java/saffronferry/state/RpcInfo.java
@@ -9,12 +9,12 @@
  */
 public record RpcInfo(String name, int rpcClass, int tenant, long remaining, int slots, boolean repeat) {
     /** A client waits no longer than its class's deadline; some room is left for how it counts that. */
-    private static final int DEADLINES = 2;
+    private static final int MAX_DEADLINE_MULTIPLE = 2;
     /** Microseconds, where the class states no deadline. */
-    private static final long LONGEST = 3_600_000_000L;
+    private static final long MAX_REMAINING_WITHOUT_DEADLINE_US = 3_600_000_000L;
 
     /** The most that a client may say it will wait for an RPC of the class, in microseconds. */
-    public static long longest(JobClass c) {
-        return c.deadline() > 0 ? DEADLINES * c.deadline() : LONGEST;
+    public static long maxRemaining(JobClass c) {
+        return c.deadline() > 0 ? MAX_DEADLINE_MULTIPLE * c.deadline() : MAX_REMAINING_WITHOUT_DEADLINE_US;
     }
 }
--- a/src/main/java/saffronferry/wire/RpcParser.java
+++ b/src/main/java/saffronferry/wire/RpcParser.java
@@ -17,13 +17,13 @@
 
     private final List<String> classes;
     private final List<Boolean> keyed;
-    private final List<Long> longest;
+    private final List<Long> maxRemaining;
     private final List<String> tenants;
 
     RpcParser(List<JobClass> classes, List<String> tenants) {
         this.classes = classes.stream().map(JobClass::name).toList();
         keyed = classes.stream().map(c -> c.effect() == Effect.KEYED).toList();
-        longest = classes.stream().map(RpcInfo::longest).toList();
+        maxRemaining = classes.stream().map(RpcInfo::maxRemaining).toList();
         this.tenants = tenants;
     }
 
@@ -96,7 +96,7 @@
             throw new RejectedRequestException(400, "X-Remaining-Ms must be a whole number of milliseconds");
         }
         long micros = Long.parseLong(ms) * 1000;
-        if (micros > longest.get(rpcClass)) {
+        if (micros > maxRemaining.get(rpcClass)) {
             throw new RejectedRequestException(400, "X-Remaining-Ms is far beyond the deadline of the class");
         }
         return micros;
