--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -192,11 +192,11 @@
         if (inForce != null) {
             inForce.start(vertx, wire, figures);
         }
-        return console.compose(v -> wire.begin(config.takeKnown()))
+        return console.compose(v -> wire.start(config.takeKnown()))
                 .onSuccess(v -> keepCompany())
                 .compose(v -> wire.server().listen(config.listen))
                 .compose(v -> wire.warmUp(config.listen))
-                .compose(v -> wire.listed())
+                .compose(v -> wire.awaitFirstList())
                 .compose(v -> company == null ? Future.succeededFuture() : company.announce())
                 .onSuccess(v -> {
                     ready = true;
@@ -235,9 +235,9 @@
         log.line(served ? "replaced" : "not replaced any more", "at " + config.listen);
         drain.away(served);
         if (served) {
-            wire.handOver();
+            wire.handOverListeners();
         } else {
-            wire.takeBack(config.listen);
+            wire.resumeListening(config.listen);
         }
         followDrain();
     }
@@ -293,7 +293,7 @@
             if (inForce != null) {
                 inForce.follow(next);
             }
-            wire.follow(next.discovery);
+            wire.switchDiscovery(next.discovery);
         } catch (IllegalArgumentException e) {
             log.line("configuration not reloaded", e.getMessage());
         }
@@ -339,7 +339,7 @@
         } else if (drain.ending() && !lastIntake) {
             lastIntake = true;
             // guards a request in the system's queue, or one that would come there yet, against our end
-            wire.takeTheLast();
+            wire.stopAccepting();
             long until = now() + HALF_MS;
             vertx.setPeriodic(LOOK_MS, look -> {
                 if (wire.coordinator().unansweredCount() == 0
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -79,7 +79,7 @@
     void start(Vertx vertx, DispatcherNetwork wire, Figures figures) {
         this.wire = wire;
         figures.also(this::figures);
-        wire.onSettings((peer, bytes) -> gossip.hear(clock.now(), peer, bytes));
+        wire.onSettingsDatagram((peer, bytes) -> gossip.hear(clock.now(), peer, bytes));
         tick(vertx);
     }
 
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -34,7 +34,7 @@
             ListParser lists,
             String freeSlots,
             double connectTimeout,
-            boolean pushed) {}
+            boolean listPushed) {}
 
     private static final long WARM_UP_MS = 500;
     private static final int MOST_WARM_UPS = 8;
@@ -44,14 +44,14 @@
     private final Vertx vertx;
     private final BoundedLog log;
     private final BoundedTransport transport;
-    private final SubchannelClient subchannels;
-    private final DiscoveryWatch discovery;
-    private final PeerSocket peers;
+    private final SubchannelClient subchannelClient;
+    private final DiscoveryWatch discoveryWatch;
+    private final PeerSocket peerSocket;
     private final Address peerListen;
-    private final boolean pushed;
+    private final boolean listPushed;
     private final RpcCoordinator<ForwardedRequest> coordinator;
-    private final ChannelServer server;
-    private BiConsumer<Integer, byte[]> settings;
+    private final ChannelServer channelServer;
+    private BiConsumer<Integer, byte[]> settingsListener;
 
     public DispatcherNetwork(
             Vertx vertx,
@@ -65,13 +65,13 @@
         this.log = log;
         this.transport = transport;
         peerListen = o.peerListen();
-        pushed = o.pushed();
+        listPushed = o.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
         AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new News.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
-        subchannels =
+        subchannelClient =
                 new SubchannelClient(vertx, o.connectTimeout(), new LoadReportParser(o.freeSlots()), descriptors, room, log);
-        discovery = new DiscoveryWatch(
+        discoveryWatch = new DiscoveryWatch(
                 vertx,
                 o.discovery(),
                 o.lists(),
@@ -79,18 +79,18 @@
                 how -> coordinator.report(new News.WatchLost(how)),
                 descriptors,
                 log);
-        peers = new PeerSocket(vertx, o.peers(), (peer, bytes) -> heard(peer, bytes), transport.control(), log);
-        server = new ChannelServer(vertx, new RpcParser(o.classes(), o.tenants()), coordinator, transport, figures, log);
+        peerSocket = new PeerSocket(vertx, o.peers(), (peer, bytes) -> heard(peer, bytes), transport.control(), log);
+        channelServer = new ChannelServer(vertx, new RpcParser(o.classes(), o.tenants()), coordinator, transport, figures, log);
     }
 
     /** Opens the peers' socket, which the first decisions already use; then takes the known list in. */
-    public Future<?> begin(ListUpdate known) {
-        Future<?> open = peerListen == null ? Future.succeededFuture() : peers.listen(peerListen);
+    public Future<?> start(ListUpdate known) {
+        Future<?> open = peerListen == null ? Future.succeededFuture() : peerSocket.listen(peerListen);
         return open.onSuccess(v -> {
             coordinator.onListUpdate(known, true);
-            if (pushed) {
+            if (listPushed) {
                 // nobody asks for what is pushed, but on sockets it comes on a watch, too
-                discovery.start(known.revision());
+                discoveryWatch.start(known.revision());
             }
         });
     }
@@ -100,9 +100,9 @@
      * list that a process starts with may be as old as its machine was away: what changed meanwhile counts as
      * told from the first request on, so none should come before.
      */
-    public Future<Void> listed() {
+    public Future<Void> awaitFirstList() {
         Promise<Void> done = Promise.promise();
-        discovery.firstWord().onComplete(v -> done.tryComplete());
+        discoveryWatch.firstWord().onComplete(v -> done.tryComplete());
         vertx.setTimer(FIRST_LIST_MS, t -> done.tryComplete());
         return done.future();
     }
@@ -120,9 +120,9 @@
 
     private void warmUp(Address self, Promise<Void> done, int left) {
         ForwardedRequest message = new ForwardedRequest(HttpMethod.POST, "/", "warm-up", null, Buffer.buffer(), 0);
-        subchannels.start(message, self.toString(), 0, CallAttempt.withoutRpc(() -> {
+        subchannelClient.start(message, self.toString(), 0, CallAttempt.withoutRpc(() -> {
             // guards against a start that is cold since the process to be replaced has had the request
-            if (server.heard() || left <= 1) {
+            if (channelServer.heard() || left <= 1) {
                 done.tryComplete();
             } else {
                 warmUp(self, done, left - 1);
@@ -131,44 +131,44 @@
     }
 
     /** Another process serves at our addresses: takes what waits there, and leaves them to it. */
-    public void handOver() {
-        peers.close();
+    public void handOverListeners() {
+        peerSocket.close();
         transport.handOver();
     }
 
     /** This process ends: takes what waits at our address, and lets no further connection come. */
-    public void takeTheLast() {
+    public void stopAccepting() {
         transport.handOver();
     }
 
     /** The other process is gone: listens at our addresses again. */
-    public void takeBack(Address clients) {
+    public void resumeListening(Address clients) {
         transport.takeBack(new InetSocketAddress(clients.host(), clients.port()));
         if (peerListen != null) {
-            peers.listen(peerListen).onFailure(e -> log.line("peer socket", String.valueOf(e.getMessage())));
+            peerSocket.listen(peerListen).onFailure(e -> log.line("peer socket", String.valueOf(e.getMessage())));
         }
     }
 
     /** Has datagrams that speak of settings told; where nobody asks for them they are dropped unread. */
-    public void onSettings(BiConsumer<Integer, byte[]> listener) {
-        settings = listener;
+    public void onSettingsDatagram(BiConsumer<Integer, byte[]> listener) {
+        settingsListener = listener;
     }
 
     private void heard(int peer, byte[] bytes) {
-        if (settings != null && Gossip.speaksOfSettings(bytes)) {
-            settings.accept(peer, bytes);
+        if (settingsListener != null && Gossip.speaksOfSettings(bytes)) {
+            settingsListener.accept(peer, bytes);
         } else {
             coordinator.report(new News.PeerSaid(peer, bytes));
         }
     }
 
     /** Asks another discovery from now on; the list held, the subchannels and the RPCs stay. */
-    public void follow(Address next) {
-        discovery.follow(next);
+    public void switchDiscovery(Address next) {
+        discoveryWatch.follow(next);
     }
 
     public ChannelServer server() {
-        return server;
+        return channelServer;
     }
 
     public RpcCoordinator<?> coordinator() {
@@ -177,12 +177,12 @@
 
     @Override
     public Runnable startAttempt(ForwardedRequest message, String address, long remaining, CallAttempt attempt) {
-        return subchannels.start(message, address, remaining, attempt);
+        return subchannelClient.start(message, address, remaining, attempt);
     }
 
     @Override
     public void probeLoad(String subchannel, String address) {
-        subchannels.probe(
+        subchannelClient.probe(
                 address,
                 () -> !coordinator.bans().has(subchannel),
                 (outcome, load) -> coordinator.report(new News.Probed(subchannel, outcome, load)));
@@ -190,12 +190,12 @@
 
     @Override
     public void sendToPeer(int peer, byte[] bytes) {
-        peers.tell(peer, bytes);
+        peerSocket.tell(peer, bytes);
     }
 
     @Override
     public void watchList(long revision) {
-        discovery.start(revision);
+        discoveryWatch.start(revision);
     }
 
     @Override
