--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -93,7 +93,7 @@
         this.log = log;
         descriptors = descriptors(config);
         transport = transports.apply(new AcceptGate(descriptors), log);
-        descriptors.onFree(transport::freed);
+        descriptors.onFree(transport::onDescriptorFreed);
         figures = new Figures(
                 config.settings.settings.classes().stream().map(c -> c.name()).toList());
         vertx = new VertxBuilder(new VertxOptions()
@@ -247,7 +247,7 @@
                 vertx,
                 wire.coordinator(),
                 figures,
-                transport.control(),
+                transport.controlSpend(),
                 banFile,
                 new Console.Floor() {
                     @Override
@@ -269,7 +269,7 @@
                     }
                 },
                 log);
-        OwnUse.keep(vertx, transport.control());
+        OwnUse.keep(vertx, transport.controlSpend());
         return new ConsoleServer(vertx, descriptors, transport, desk).listen(config.console);
     }
 
--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -36,14 +36,14 @@
  * accepting closes the listening socket or ends the thread.
  */
 public class BoundedTransport extends JDKTransport {
-    /** How often, and when again, a queue of clients is tried that waits for descriptors. */
-    private static final int MOST_HAND_OVERS = 50;
+    /** How often, and when again, a queue of clientAdmission is tried that waits for descriptors. */
+    private static final int MAX_HAND_OVER_TRIES = 50;
 
-    private static final long HAND_OVER_AGAIN_MS = 20;
+    private static final long HAND_OVER_RETRY_DELAY_MS = 20;
 
-    private final ListenerAdmission clients;
+    private final ListenerAdmission clientAdmission;
     private final BoundedLog log;
-    private final ControlSpend control = new ControlSpend();
+    private final ControlSpend controlSpend = new ControlSpend();
     private final List<Acceptor> acceptors = new ArrayList<>();
     private EventLoopGroup loops;
     private Runnable onListenerLost = () -> {};
@@ -55,19 +55,19 @@
         }
     }
 
-    /** With the gate of the clients' connections. */
+    /** With the gate of the clientAdmission' connections. */
     public BoundedTransport(AcceptGate gate, BoundedLog log) {
-        clients = new ListenerAdmission(gate);
+        clientAdmission = new ListenerAdmission(gate);
         this.log = log;
     }
 
-    /** What goes over the sockets made here for control; those who open them count. */
-    public ControlSpend control() {
-        return control;
+    /** What goes over the sockets made here for controlSpend; those who open them count. */
+    public ControlSpend controlSpend() {
+        return controlSpend;
     }
 
-    ListenerAdmission clients() {
-        return clients;
+    ListenerAdmission clientAdmission() {
+        return clientAdmission;
     }
 
     /** Calls back when the listening socket is closed by anything but {@code Vertx.close}. */
@@ -76,22 +76,22 @@
     }
 
     /** To be called when a descriptor is free again, on the event loop. */
-    public void freed() {
+    public void onDescriptorFreed() {
         acceptors.forEach(Acceptor::resume);
     }
 
-    /** Gives the clients' address up to another process that listens there. */
-    void handOver() {
-        acceptors.stream().filter(a -> a.gate == clients.gate).forEach(Acceptor::giveUp);
+    /** Gives the clientAdmission' address up to another process that listens there. */
+    void handOverClientListener() {
+        acceptors.stream().filter(a -> a.gate == clientAdmission.gate).forEach(Acceptor::giveUp);
     }
 
     /** Listens there again, since the other process is gone. */
-    void takeBack(InetSocketAddress at) {
+    void resumeClientListener(InetSocketAddress at) {
         Acceptor first = acceptors.stream()
-                .filter(a -> a.gate == clients.gate)
+                .filter(a -> a.gate == clientAdmission.gate)
                 .findFirst()
                 .orElseThrow();
-        Acceptor heir = new Acceptor(clients, first);
+        Acceptor heir = new Acceptor(clientAdmission, first);
         heir.config().setBacklog(first.config().getBacklog());
         acceptors.removeIf(a -> a.home != a && !a.isOpen()); // heirs that were given up since
         acceptors.add(heir);
@@ -140,7 +140,7 @@
 
     @Override
     public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-        return () -> listener(clients);
+        return () -> listener(clientAdmission);
     }
 
     /** A listening socket, yet to be bound, for what comes in by this door. */
@@ -177,7 +177,7 @@
         void giveUp() {
             if (!given) {
                 given = true;
-                handOver(MOST_HAND_OVERS);
+                handOver(MAX_HAND_OVER_TRIES);
             }
         }
 
@@ -198,7 +198,7 @@
                 } while (taken > before);
                 if (paused && tries > 1) {
                     // for want of descriptors: until others end, newcomers wait on in the queue
-                    eventLoop().schedule(() -> handOver(tries - 1), HAND_OVER_AGAIN_MS, TimeUnit.MILLISECONDS);
+                    eventLoop().schedule(() -> handOver(tries - 1), HAND_OVER_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                     return;
                 }
                 try {
--- a/src/main/java/saffronferry/wire/ClientConnections.java
+++ b/src/main/java/saffronferry/wire/ClientConnections.java
@@ -48,8 +48,8 @@
 
     ClientConnections(Vertx vertx, BoundedTransport transport) {
         this.vertx = vertx;
-        gate = transport.clients().gate();
-        lobby = transport.clients().lobby();
+        gate = transport.clientAdmission().gate();
+        lobby = transport.clientAdmission().lobby();
         lobby.onSilent(this::makeRoomIfTight);
     }
 
--- a/src/main/java/saffronferry/wire/Dialer.java
+++ b/src/main/java/saffronferry/wire/Dialer.java
@@ -87,7 +87,7 @@
         counter = !counted || purpose == Purpose.WORKERS
                 ? null
                 : new ByteCounter(
-                        ((BoundedTransport) ((VertxInternal) vertx).transport()).control(),
+                        ((BoundedTransport) ((VertxInternal) vertx).transport()).controlSpend(),
                         purpose == Purpose.DISCOVERY ? Kind.LISTS : Kind.PROBES);
     }
 
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -79,7 +79,7 @@
                 how -> coordinator.report(new News.WatchLost(how)),
                 descriptors,
                 log);
-        peerSocket = new PeerSocket(vertx, o.peers(), (peer, bytes) -> heard(peer, bytes), transport.control(), log);
+        peerSocket = new PeerSocket(vertx, o.peers(), (peer, bytes) -> heard(peer, bytes), transport.controlSpend(), log);
         channelServer = new ChannelServer(vertx, new RpcParser(o.classes(), o.tenants()), coordinator, transport, figures, log);
     }
 
@@ -133,17 +133,17 @@
     /** Another process serves at our addresses: takes what waits there, and leaves them to it. */
     public void handOverListeners() {
         peerSocket.close();
-        transport.handOver();
+        transport.handOverClientListener();
     }
 
     /** This process ends: takes what waits at our address, and lets no further connection come. */
     public void stopAccepting() {
-        transport.handOver();
+        transport.handOverClientListener();
     }
 
     /** The other process is gone: listens at our addresses again. */
     public void resumeListening(Address clients) {
-        transport.takeBack(new InetSocketAddress(clients.host(), clients.port()));
+        transport.resumeClientListener(new InetSocketAddress(clients.host(), clients.port()));
         if (peerListen != null) {
             peerSocket.listen(peerListen).onFailure(e -> log.line("peer socket", String.valueOf(e.getMessage())));
         }
