--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -50,29 +50,29 @@
     }
 
     @Override
-    public void called(String method, String path, ConsoleServer.Reply reply) {
+    public void handle(String method, String path, ConsoleServer.Reply reply) {
         Call call = Call.read(method, path);
         switch (call.kind()) {
-            case READINESS -> reply.say(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
-            case STATS -> reply.say(200, figures.text(ledger.snapshot()) + spend.text());
+            case READINESS -> reply.send(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
+            case STATS -> reply.send(200, figures.text(ledger.snapshot()) + spend.text());
             case WORKER_DOWN -> ban(call.worker(), bans -> bans.with(call.worker()), "is out", reply);
             case WORKER_UP -> ban(call.worker(), bans -> bans.without(call.worker()), "is back", reply);
             case DRAIN_START -> {
                 floor.drain();
-                reply.say(200, "draining\n");
+                reply.send(200, "draining\n");
             }
             case DRAIN_STOP -> {
                 boolean open = floor.undrain();
-                reply.say(open ? 200 : 409, open ? "taking clients\n" : "the process is ending\n");
+                reply.send(open ? 200 : 409, open ? "taking clients\n" : "the process is ending\n");
             }
-            case WRONG_METHOD -> reply.say(405, "another method is wanted here\n");
-            default -> reply.say(404, "no such call\n");
+            case WRONG_METHOD -> reply.send(405, "another method is wanted here\n");
+            default -> reply.send(404, "no such call\n");
         }
     }
 
     private void ban(String worker, UnaryOperator<Bans> how, String done, ConsoleServer.Reply reply) {
         if (!ledger.isKnownSubchannel(worker)) {
-            reply.say(404, "no worker has this id\n");
+            reply.send(404, "no worker has this id\n");
             return;
         }
         Bans before = ledger.bans();
@@ -83,12 +83,12 @@
             if (written.succeeded()) {
                 follow(written.result());
                 log.line("worker " + done, worker);
-                reply.say(200, worker + " " + done + "\n");
+                reply.send(200, worker + " " + done + "\n");
             } else {
                 // a no means that nothing has changed
                 ledger.setBans(before);
                 log.line("bans not written", String.valueOf(written.cause()));
-                reply.say(500, "the bans cannot be written: " + written.cause().getMessage() + "\n");
+                reply.send(500, "the bans cannot be written: " + written.cause().getMessage() + "\n");
             }
         });
     }
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -34,37 +34,37 @@
 import saffronferry.limit.Descriptors;
 import saffronferry.limit.Descriptors.Purpose;
 
-/** Speaks HTTP with operators, one call a connection. What is called, and what it does, others know. */
+/** Speaks HTTP with operators, one call a connection. What is handled, and what it does, others know. */
 public final class ConsoleServer {
     /** Answers one call; the answer may come later, but on the event loop. */
     public interface CallHandler {
-        void called(String method, String path, Reply reply);
+        void handle(String method, String path, Reply reply);
     }
 
     /** Takes the one answer of a call; a second one, or one after the caller has gone, has no effect. */
     public interface Reply {
-        void say(int status, String text);
+        void send(int status, String text);
     }
 
-    private static final int MOST_LINE = 2 * 1024;
-    private static final int MOST_HEAD = 8 * 1024;
-    private static final int MOST_BODY = 4 * 1024;
+    private static final int MAX_LINE_BYTES = 2 * 1024;
+    private static final int MAX_HEAD_BYTES = 8 * 1024;
+    private static final int MAX_BODY_BYTES = 4 * 1024;
     /** A call is answered within 1 s; one that is not whole by then, or not read by its caller, ends. */
-    private static final long CALL_MS = 2_000;
+    private static final long CALL_TIMEOUT_MS = 2_000;
 
     private final EventLoop loop;
     private final BoundedTransport transport;
-    private final BoundedTransport.ListenerAdmission door;
-    private final CallHandler desk;
+    private final BoundedTransport.ListenerAdmission admission;
+    private final CallHandler handler;
     /** Calls that are not whole yet, the oldest first. */
     private final Set<CallConnection> unfinished = new LinkedHashSet<>();
 
-    public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, CallHandler desk) {
+    public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, CallHandler handler) {
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.transport = transport;
-        this.desk = desk;
-        door = new BoundedTransport.ListenerAdmission(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
-        door.lobby().onSilent(this::makeRoomIfTight);
+        this.handler = handler;
+        admission = new BoundedTransport.ListenerAdmission(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
+        admission.lobby().onSilent(this::makeRoomIfTight);
     }
 
     /** Opens the listening socket; calls are answered from then on. */
@@ -72,7 +72,7 @@
         Promise<Void> bound = Promise.promise();
         new ServerBootstrap()
                 .group(loop)
-                .channelFactory(() -> transport.listener(door))
+                .channelFactory(() -> transport.listener(admission))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 128)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -81,7 +81,7 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new HttpRequestDecoder(MOST_LINE, MOST_HEAD, MOST_BODY),
+                                        new HttpRequestDecoder(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_BODY_BYTES),
                                         new HttpResponseEncoder(),
                                         new CallConnection(channel));
                     }
@@ -102,15 +102,15 @@
      * both kinds together, or a call whose first byte is on its way would go before half calls of long ago.
      */
     private void makeRoomIfTight() {
-        if (!door.gate().tight()) {
+        if (!admission.gate().tight()) {
             return;
         }
-        Long silentSince = door.lobby().oldestSince();
+        Long silentSince = admission.lobby().oldestSince();
         CallConnection half = unfinished.isEmpty() ? null : unfinished.iterator().next();
         if (half != null && (silentSince == null || half.since - silentSince < 0)) {
             half.close();
         } else {
-            door.lobby().closeOldest();
+            admission.lobby().closeOldest();
         }
     }
 
@@ -121,13 +121,13 @@
         private final Future<?> timer;
         private HttpRequest head;
         private int body;
-        private boolean called;
+        private boolean handled;
         private boolean answered;
 
         CallConnection(Channel channel) {
             this.channel = channel;
             since = ((BoundedTransport.AcceptedConnection) channel).since();
-            timer = loop.schedule(this::tooLate, CALL_MS, TimeUnit.MILLISECONDS);
+            timer = loop.schedule(this::onTimeout, CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             unfinished.add(this);
             makeRoomIfTight();
         }
@@ -135,7 +135,7 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part.decoderResult().isFailure()) {
-                say(400, "this is no call that can be read\n");
+                send(400, "this is no call that can be read\n");
                 return;
             }
             if (part instanceof HttpRequest request) {
@@ -143,10 +143,10 @@
             }
             if (part instanceof HttpContent content) {
                 body += content.content().readableBytes();
-                if (body > MOST_BODY) {
-                    say(413, "a call needs no body\n");
-                } else if (part instanceof LastHttpContent && !called && !answered) {
-                    called = true;
+                if (body > MAX_BODY_BYTES) {
+                    send(413, "a call needs no body\n");
+                } else if (part instanceof LastHttpContent && !handled && !answered) {
+                    handled = true;
                     unfinished.remove(this);
                     call();
                 }
@@ -155,14 +155,14 @@
 
         private void call() {
             try {
-                desk.called(head.method().name(), new QueryStringDecoder(head.uri()).path(), this);
+                handler.handle(head.method().name(), new QueryStringDecoder(head.uri()).path(), this);
             } catch (IllegalArgumentException e) {
-                say(400, "the path cannot be read: " + e.getMessage() + "\n");
+                send(400, "the path cannot be read: " + e.getMessage() + "\n");
             }
         }
 
         @Override
-        public void say(int status, String text) {
+        public void send(int status, String text) {
             if (answered || !channel.isActive()) {
                 return;
             }
@@ -179,11 +179,11 @@
             channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         }
 
-        private void tooLate() {
+        private void onTimeout() {
             if (answered) {
                 close(); // its caller does not read
             } else {
-                say(called ? 500 : 408, called ? "not done in time\n" : "the call did not come whole\n");
+                send(handled ? 500 : 408, handled ? "not done in time\n" : "the call did not come whole\n");
             }
         }
 
