--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -200,7 +200,7 @@
                 .compose(v -> company == null ? Future.succeededFuture() : company.announce())
                 .onSuccess(v -> {
                     ready = true;
-                    wire.server().ready();
+                    wire.server().markReady();
                     log.line("serving", config.listen.toString());
                 })
                 .mapEmpty();
@@ -332,7 +332,7 @@
     /** Has clients treated as the drain's phase says, now and whenever it changes by itself. */
     private void followDrain() {
         Drain.Phase phase = drain.phase(now());
-        wire.server().drain(phase, drain.ending(), drain.elsewhere());
+        wire.server().setDrainPhase(phase, drain.ending(), drain.elsewhere());
         long next = drain.untilNext(now());
         if (next >= 0) {
             vertx.setTimer(Math.max(1, next), t -> followDrain());
@@ -343,7 +343,7 @@
             long until = now() + HALF_MS;
             vertx.setPeriodic(LOOK_MS, look -> {
                 if (wire.coordinator().unansweredCount() == 0
-                        && (now() >= until || wire.server().settled())) {
+                        && (now() >= until || wire.server().isSettled())) {
                     vertx.cancelTimer(look);
                     vertx.setTimer(FLUSH_MS, t -> drained.countDown());
                 }
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -20,21 +20,21 @@
 
 /** Serves clients: reads whole requests, opens an RPC for each and writes its answer. */
 public final class ChannelServer {
-    static final int MOST_BODY = 64 * 1024;
-    private static final int MOST_HEAD = 16 * 1024;
-    private static final String TOO_LONG = "a body holds 64 KiB at most";
+    static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final String BODY_TOO_LONG = "a body holds 64 KiB at most";
 
     private final HttpServer server;
     private final RpcParser parser;
     private final RpcCoordinator<ForwardedRequest> coordinator;
-    private final ClientConnections admission;
+    private final ClientConnections clientConnections;
     private final Figures figures;
     private final BoundedLog log;
     private boolean ready;
     private Phase phase = Phase.OPEN;
-    private boolean ending;
-    private boolean elsewhere;
-    private boolean heard;
+    private boolean processEnding;
+    private boolean servedElsewhere;
+    private boolean requestReceived;
 
     ChannelServer(
             Vertx vertx,
@@ -47,7 +47,7 @@
         this.coordinator = coordinator;
         this.figures = figures;
         this.log = log;
-        admission = new ClientConnections(vertx, transport);
+        clientConnections = new ClientConnections(vertx, transport);
         // guards against silent connections that nobody counts: where HTTP/2 may be spoken too, a
         // connection is announced only once its first bytes are here
         HttpServerOptions options = new HttpServerOptions()
@@ -55,11 +55,11 @@
                 .setReuseAddress(true)
                 .setHttp2ClearTextEnabled(false)
                 .setAcceptBacklog(1024)
-                .setMaxHeaderSize(MOST_HEAD);
+                .setMaxHeaderSize(MAX_HEAD_BYTES);
         server = vertx.createHttpServer(options);
         server.connectionHandler(connection -> {
             StrictDecoder.install(connection, options);
-            admission.connected(connection);
+            clientConnections.connected(connection);
         });
         server.requestHandler(this::handle);
         server.exceptionHandler(e -> log.line("client connection broke", String.valueOf(e.getMessage())));
@@ -70,7 +70,7 @@
     }
 
     /** From now on {@code GET /up} answers 200. */
-    public void ready() {
+    public void markReady() {
         ready = true;
     }
 
@@ -78,12 +78,12 @@
      * How clients are treated from now on. Where the process ends, what comes at the very last is refused;
      * where another process serves at our address, {@code /up} goes on saying yes for it.
      */
-    public void drain(Phase next, boolean processEnds, boolean servedElsewhere) {
+    public void setDrainPhase(Phase next, boolean processEnds, boolean otherProcessServes) {
         phase = next;
-        ending = processEnds;
-        elsewhere = servedElsewhere;
+        processEnding = processEnds;
+        servedElsewhere = otherProcessServes;
         if (phase == Phase.EMPTY) {
-            admission.closeIdle();
+            clientConnections.closeIdle();
         }
     }
 
@@ -93,20 +93,20 @@
     }
 
     /** Whether no request is half here, and no answer still on its way out. */
-    public boolean settled() {
-        return admission.settled();
+    public boolean isSettled() {
+        return clientConnections.isSettled();
     }
 
     /** Whether any request has come. */
-    boolean heard() {
-        return heard;
+    boolean hasReceivedRequest() {
+        return requestReceived;
     }
 
     private void handle(HttpServerRequest request) {
-        heard = true;
+        requestReceived = true;
         HttpConnection connection = request.connection();
         request.exceptionHandler(e -> {});
-        if (!admission.begin(connection, () -> reject(request, new RejectedRequestException(408, "too slow")))) {
+        if (!clientConnections.begin(connection, () -> reject(request, new RejectedRequestException(408, "too slow")))) {
             return;
         }
         request.response().headersEndHandler(v -> {
@@ -116,16 +116,16 @@
             }
         });
         request.response().endHandler(v -> {
-            admission.answered(connection);
+            clientConnections.answered(connection);
             if ("close".equals(request.response().headers().get("Connection"))) {
                 connection.close();
             }
         });
         try {
-            framing(request);
+            checkFraming(request);
             if (request.method() == HttpMethod.GET && "/up".equals(request.path())) {
-                admission.whole(connection);
-                boolean up = ready && (phase == Phase.OPEN || elsewhere);
+                clientConnections.whole(connection);
+                boolean up = ready && (phase == Phase.OPEN || servedElsewhere);
                 request.response().setStatusCode(up ? 200 : 503).end(up ? "up\n" : "not up\n");
                 return;
             }
@@ -143,14 +143,14 @@
     }
 
     /** Guards against a request that hides another in its body, and against reading what is too long. */
-    private static void framing(HttpServerRequest request) throws RejectedRequestException {
+    private static void checkFraming(HttpServerRequest request) throws RejectedRequestException {
         String length = request.getHeader("Content-Length");
         List<String> encodings = request.headers().getAll("Transfer-Encoding");
         if (!encodings.isEmpty() && (length != null || !List.of("chunked").equals(encodings))) {
             throw new RejectedRequestException(400, "a body is framed by Content-Length, or else it is chunked");
         }
-        if (length != null && Long.parseLong(length) > MOST_BODY) {
-            throw new RejectedRequestException(413, TOO_LONG);
+        if (length != null && Long.parseLong(length) > MAX_BODY_BYTES) {
+            throw new RejectedRequestException(413, BODY_TOO_LONG);
         }
     }
 
@@ -161,20 +161,20 @@
         }
         Buffer body = Buffer.buffer();
         request.handler(chunk -> {
-            if (body.length() + chunk.length() > MOST_BODY) {
-                reject(request, new RejectedRequestException(413, TOO_LONG));
+            if (body.length() + chunk.length() > MAX_BODY_BYTES) {
+                reject(request, new RejectedRequestException(413, BODY_TOO_LONG));
             } else {
                 body.appendBuffer(chunk);
             }
         });
         request.endHandler(v -> {
-            admission.whole(request.connection());
+            clientConnections.whole(request.connection());
             open(request, info, body);
         });
     }
 
     private void open(HttpServerRequest request, RpcInfo info, Buffer body) {
-        if (ending && phase == Phase.EMPTY) {
+        if (processEnding && phase == Phase.EMPTY) {
             // a whole answer to a request read whole, or the close would reset it over its unread rest
             figures.answered(info.rpcClass(), Figures.Result.SHED);
             reject(request, new RejectedRequestException(503, "shutting down"));
@@ -205,7 +205,7 @@
         }
         request.handler(null);
         request.endHandler(null);
-        admission.doom(request.connection());
+        clientConnections.doom(request.connection());
         request.response()
                 .setStatusCode(bad.status)
                 .putHeader("Connection", "close")
--- a/src/main/java/saffronferry/wire/ClientConnections.java
+++ b/src/main/java/saffronferry/wire/ClientConnections.java
@@ -145,7 +145,7 @@
     }
 
     /** Whether no request is half here, and all that was answered has left. */
-    boolean settled() {
+    boolean isSettled() {
         return visits.values().stream().noneMatch(v -> v.timer >= 0 || unsent(v.connection));
     }
 
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -122,7 +122,7 @@
         ForwardedRequest message = new ForwardedRequest(HttpMethod.POST, "/", "warm-up", null, Buffer.buffer(), 0);
         subchannelClient.start(message, self.toString(), 0, CallAttempt.withoutRpc(() -> {
             // guards against a start that is cold since the process to be replaced has had the request
-            if (channelServer.heard() || left <= 1) {
+            if (channelServer.hasReceivedRequest() || left <= 1) {
                 done.tryComplete();
             } else {
                 warmUp(self, done, left - 1);
--- a/src/main/java/saffronferry/wire/PipeliningHandler.java
+++ b/src/main/java/saffronferry/wire/PipeliningHandler.java
@@ -25,7 +25,7 @@
     /** Clients send one request at a time; some more are served, in turn. */
     static final int MOST_WAITING = 32;
 
-    private static final int MOST_BYTES = ChannelServer.MOST_BODY;
+    private static final int MOST_BYTES = ChannelServer.MAX_BODY_BYTES;
 
     private final ArrayDeque<HttpObject> waiting = new ArrayDeque<>();
     /** When the first byte came of each request that is yet to be let through, as System.nanoTime counts. */
