--- a/src/main/java/saffronferry/lifecycle/Config.java
+++ b/src/main/java/saffronferry/lifecycle/Config.java
@@ -51,7 +51,7 @@
         }
         try {
             String text = Files.readString(Path.of(file));
-            int[] at = ListParser.find(text, "known");
+            int[] at = ListParser.findObject(text, "known");
             JSONObject json =
                     new JSONObject(at == null ? text : text.substring(0, at[0]) + "null" + text.substring(at[1]));
             standIn(json, "listen", environment.get("BALANCER_LISTEN"));
--- a/src/main/java/saffronferry/wire/ListParser.java
+++ b/src/main/java/saffronferry/wire/ListParser.java
@@ -63,7 +63,7 @@
      *
      * @return where its text begins and ends; null where there is none, or the text is no JSON
      */
-    public static int[] find(String json, String name) {
+    public static int[] findObject(String json, String name) {
         try (JsonParser in = JSON.createParser(json)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.FIELD_NAME) {
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -256,7 +256,7 @@
             {"{\"x\":\"}\"}", "{\"known\":{\"x\":\"}\"}}"},
         };
         for (String[] c : cases) {
-            int[] at = ListParser.find(c[1], "known");
+            int[] at = ListParser.findObject(c[1], "known");
             assertEquals(c[1], c[0], at == null ? null : c[1].substring(at[0], at[1]));
         }
     }
