--- a/src/main/java/saffronferry/state/CallAttempt.java
+++ b/src/main/java/saffronferry/state/CallAttempt.java
@@ -3,15 +3,20 @@
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 
-/** One call attempt. Who speaks with the subchannel tells it what comes; after its end nothing counts. */
+/**
+ * One call attempt of an RPC at a subchannel. The network code reports its events here. Events after the end of the
+ * attempt are ignored, except {@link #written()}.
+ */
 public final class CallAttempt {
-    /** Who hears of attempts. */
+    /** Receives the events of call attempts. */
     interface Listener {
+        /** The job started, or else made progress. */
         void progressed(CallAttempt attempt, boolean started);
 
-        /** The attempt is written whole. */
+        /** The whole request has been written. */
         void written(CallAttempt attempt);
 
+        /** The attempt ended; {@code result} and {@code load} may be null. */
         void ended(CallAttempt attempt, Outcome outcome, String result, Report load);
     }
 
@@ -23,9 +28,9 @@
     private final Listener listener;
     private boolean ended;
     private boolean sendStarted;
-    /** Whether the subchannel found fault with the RPC itself. */
+    /** Whether the subchannel reported that the request itself is invalid. */
     boolean rejected;
-    /** Gives the attempt up on the wire. */
+    /** Cancels the attempt in the network code. */
     Runnable onCancel = () -> {};
 
     CallAttempt(long rpcId, int rpcClass, int index, long createdAt, String subchannel, Listener listener) {
@@ -37,7 +42,7 @@
         this.listener = listener;
     }
 
-    /** An attempt of no RPC: only its end is told. */
+    /** Creates an attempt that belongs to no RPC; only its end is reported. */
     public static CallAttempt withoutRpc(Runnable onEnd) {
         return new CallAttempt(0, 0, 0, 0, null, new Listener() {
             @Override
@@ -57,22 +62,22 @@
         return ended;
     }
 
-    /** Its connection is up and the first byte is about to be written. */
+    /** The connection is established and the first byte is about to be written. */
     public void sendStarted() {
         sendStarted = true;
     }
 
-    /** Whether another attempt of its RPC came before, so that only a window is left for it. */
+    /** Whether the RPC had an earlier attempt, so that only a limited time window is left for this one. */
     public boolean isRepeat() {
         return index > 0;
     }
 
-    /** Whether any of it may have been sent. */
+    /** Whether any byte of the request may have been sent. */
     boolean mayHaveBeenSent() {
         return sendStarted;
     }
 
-    /** Its last byte is written; told though the attempt may be ended by now. */
+    /** The last byte of the request has been written; reported even if the attempt has ended meanwhile. */
     public void written() {
         listener.written(this);
     }
@@ -93,7 +98,7 @@
         end(Outcome.OK, result, load);
     }
 
-    /** The subchannel cannot use the RPC: no other one could, and it is no fault of the subchannel. */
+    /** The request is invalid: every subchannel would reject it, and this one is not to blame. */
     public void rejected() {
         rejected = true;
         end(Outcome.NOT_SENT, null, null);
--- a/src/main/java/saffronferry/state/Channel.java
+++ b/src/main/java/saffronferry/state/Channel.java
@@ -1,11 +1,11 @@
 package saffronferry.state;
 
-/** The client's side of one RPC. {@link RpcCoordinator} calls exactly one of these, once. */
+/** The client side of one RPC. {@link RpcCoordinator} calls exactly one of these methods, exactly once. */
 public interface Channel {
     void served(String result);
 
-    /** Trying again is harmless, best after so many microseconds; 0 gives no advice. */
-    void refused(long retryAfter);
+    /** A retry is safe, preferably after this many microseconds; 0 means no recommendation. */
+    void refused(long retryAfterMicros);
 
     void failed();
 }
--- a/src/main/java/saffronferry/state/Clock.java
+++ b/src/main/java/saffronferry/state/Clock.java
@@ -1,14 +1,14 @@
 package saffronferry.state;
 
 /**
- * Microseconds that never run backwards, counted so that the start of the process reads as Unix time: what
- * discovery says in Unix time then needs no more than a change of unit.
+ * A monotonic clock in microseconds whose origin is the Unix epoch, so that Unix timestamps from discovery only need a
+ * conversion of units.
  */
 public class Clock {
-    private final long start = System.currentTimeMillis() * 1000;
-    private final long nanos = System.nanoTime();
+    private final long startMicros = System.currentTimeMillis() * 1000;
+    private final long startNanos = System.nanoTime();
 
     public long now() {
-        return start + (System.nanoTime() - nanos) / 1000;
+        return startMicros + (System.nanoTime() - startNanos) / 1000;
     }
 }
--- a/src/main/java/saffronferry/state/OutboundOperations.java
+++ b/src/main/java/saffronferry/state/OutboundOperations.java
@@ -1,24 +1,32 @@
 package saffronferry.state;
 
 /**
- * What {@link RpcCoordinator} has done outside of memory.
+ * The operations with effects outside the process memory that {@link RpcCoordinator} requests.
  *
- * @param <M> a client's message in the form of its protocol, passed on unread
+ * @param <M> a client's message in the form of its protocol, passed on uninterpreted
  */
 public interface OutboundOperations<M> {
-    /** Starts a call attempt, of which the attempt is told; running the result gives it up. */
-    Runnable startAttempt(M message, String address, long remaining, CallAttempt attempt);
+    /**
+     * Starts a call attempt and reports its events to {@code attempt}.
+     *
+     * @return an action that cancels the attempt
+     */
+    Runnable startAttempt(M message, String address, long remainingMicros, CallAttempt attempt);
 
-    /** Asks for a load; the ledger is told of the end. */
+    /** Requests a load report from a subchannel; the outcome is reported to the coordinator. */
     void probeLoad(String subchannel, String address);
 
     void sendToPeer(int peer, byte[] bytes);
 
-    /** Watches the list from a revision on; a watch that is under way goes on. */
+    /** Watches the list from a revision on; has no effect while a watch is active. */
     void watchList(long revision);
 
-    /** Runs something once after so many microseconds; the result is for {@link #cancelTimer}. */
-    long schedule(long delay, Runnable what);
+    /**
+     * Runs an action once after a delay.
+     *
+     * @return the timer id for {@link #cancelTimer}
+     */
+    long schedule(long delayMicros, Runnable action);
 
     void cancelTimer(long timer);
 
--- a/src/main/java/saffronferry/state/ResolverResult.java
+++ b/src/main/java/saffronferry/state/ResolverResult.java
@@ -11,43 +11,43 @@
 import saffronferry.ops.Bans;
 
 /**
- * The list of subchannels as last told, the revision to go on from, and the operators' bans, which lie over
- * it: the balancer is changes a banned subchannel as draining, whatever the list says of it, and one whose ban
- * has ended as just started, since operators restart it meanwhile and the list may not tell of that yet.
+ * The latest list of subchannels, its revision, and the operators' bans, which take precedence over the list. The
+ * balancer sees a banned subchannel as draining, whatever its state in the list. A subchannel whose ban was lifted is
+ * shown as just started, because operators restart workers during a ban and the list may not reflect that yet.
  */
 final class ResolverResult {
     /**
-     * Ids are remembered beyond their time on the list, for operators know a worker that the list has removedIds.
-     * So many, whatever the length of the list: those that are on it need no remembering.
+     * Ids stay known after their removal from the list, since operators may name a worker that the list no longer has.
+     * The bound does not depend on the length of the list: ids on the list are not counted.
      */
     private static final int MAX_REMOVED_IDS = 4096;
 
     private final Map<String, ListUpdate.Entry> entries = new HashMap<>();
-    /** Ids that were on the list, those removedIds first at the beginning. */
+    /** Ids that were on the list, in the order of their removal. */
     private final Set<String> removedIds = new LinkedHashSet<>();
 
     private Bans bans = Bans.NONE;
     private long revision;
 
-    /** Takes news of the list in; the result is what the balancer is to see of it. */
+    /** Applies an update of the list and returns its entries as the balancer is to see them. */
     List<WorkerInfo> apply(ListUpdate update) {
-        Set<String> before = Set.of();
+        Set<String> previousIds = Set.of();
         if (update.complete()) {
-            before = new LinkedHashSet<>(entries.keySet());
+            previousIds = new LinkedHashSet<>(entries.keySet());
             entries.clear();
         }
         List<WorkerInfo> changes = new ArrayList<>(update.entries().size());
-        for (ListUpdate.Entry e : update.entries()) {
-            String id = e.info().address();
-            if (e.info().state() != WorkerState.GONE) {
-                entries.put(id, e);
+        for (ListUpdate.Entry entry : update.entries()) {
+            String id = entry.info().address();
+            if (entry.info().state() != WorkerState.GONE) {
+                entries.put(id, entry);
                 removedIds.remove(id);
             } else if (entries.remove(id) != null) {
                 rememberRemoved(id);
             }
-            changes.add(withBanApplied(e.info()));
+            changes.add(withBanApplied(entry.info()));
         }
-        for (String id : before) {
+        for (String id : previousIds) {
             if (!entries.containsKey(id)) {
                 rememberRemoved(id);
             }
@@ -62,25 +62,27 @@
         }
     }
 
-    private WorkerInfo withBanApplied(WorkerInfo w) {
-        return bans.has(w.address()) && w.state() == WorkerState.IN_SERVICE
-                ? with(w, WorkerState.DRAINING, w.startedAt())
-                : w;
+    private WorkerInfo withBanApplied(WorkerInfo worker) {
+        return bans.has(worker.address()) && worker.state() == WorkerState.IN_SERVICE
+                ? copyWith(worker, WorkerState.DRAINING, worker.startedAt())
+                : worker;
     }
 
-    private static WorkerInfo with(WorkerInfo w, WorkerState state, long startedAt) {
-        return new WorkerInfo(w.address(), state, w.kind(), w.zone(), startedAt, w.cell());
+    private static WorkerInfo copyWith(WorkerInfo worker, WorkerState state, long startedAt) {
+        return new WorkerInfo(worker.address(), state, worker.kind(), worker.zone(), startedAt, worker.cell());
     }
 
-    /** From now on these bans hold; the result is what changes by that in the balancer's eyes. */
+    /** Replaces the bans and returns the entries that change for the balancer. */
     List<WorkerInfo> setBans(Bans next, long now) {
-        Bans before = bans;
+        Bans previous = bans;
         bans = next;
         List<WorkerInfo> changed = new ArrayList<>();
-        for (ListUpdate.Entry e : entries.values()) {
-            WorkerInfo w = e.info();
-            if (w.state() == WorkerState.IN_SERVICE && before.has(w.address()) != next.has(w.address())) {
-                changed.add(next.has(w.address()) ? withBanApplied(w) : with(w, w.state(), now));
+        for (ListUpdate.Entry entry : entries.values()) {
+            WorkerInfo worker = entry.info();
+            if (worker.state() == WorkerState.IN_SERVICE
+                    && previous.has(worker.address()) != next.has(worker.address())) {
+                changed.add(
+                        next.has(worker.address()) ? withBanApplied(worker) : copyWith(worker, worker.state(), now));
             }
         }
         return changed;
@@ -90,7 +92,7 @@
         return bans;
     }
 
-    /** Whether anybody has, or had, a subchannel of this id. */
+    /** Whether the id is on the list, was removed from it recently, or is banned. */
     boolean isKnown(String subchannel) {
         return entries.containsKey(subchannel) || removedIds.contains(subchannel) || bans.has(subchannel);
     }
@@ -99,25 +101,25 @@
         return entries.size();
     }
 
-    /** How many of the list are banned, those left out that it shows as draining by itself. */
+    /** The number of banned subchannels that are on the list, whatever their state there. */
     int bannedCount() {
-        int n = 0;
+        int count = 0;
         for (String id : bans.workers()) {
-            n += entries.containsKey(id) ? 1 : 0;
+            count += entries.containsKey(id) ? 1 : 0;
         }
-        return n;
+        return count;
     }
 
-    /** Null for a subchannel that is not in the list. */
+    /** The address of a subchannel, or null if it is not on the list. */
     String address(String subchannel) {
-        ListUpdate.Entry e = entries.get(subchannel);
-        return e == null ? null : e.address();
+        ListUpdate.Entry entry = entries.get(subchannel);
+        return entry == null ? null : entry.address();
     }
 
-    /** Whether new attempts may go there, as far as told: on the list, in service, and not banned. */
+    /** Whether new attempts may go to the subchannel: it is on the list, in service, and not banned. */
     boolean inService(String subchannel) {
-        ListUpdate.Entry e = entries.get(subchannel);
-        return e != null && e.info().state() == WorkerState.IN_SERVICE && !bans.has(subchannel);
+        ListUpdate.Entry entry = entries.get(subchannel);
+        return entry != null && entry.info().state() == WorkerState.IN_SERVICE && !bans.has(subchannel);
     }
 
     long revision() {
--- a/src/main/java/saffronferry/state/Rpc.java
+++ b/src/main/java/saffronferry/state/Rpc.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One open RPC. Only {@link RpcCoordinator} changes it. */
+/** The state of one open RPC. Only {@link RpcCoordinator} modifies it. */
 public final class Rpc<M> {
     final long id;
     final String name;
@@ -11,9 +11,9 @@
     final M message;
     final long deadline;
     final List<CallAttempt> attempts = new ArrayList<>(1);
-    int outstanding;
-    long timer;
-    /** The client's side; null once it has its final answer or is gone. */
+    int openAttempts;
+    long deadlineTimer;
+    /** The client side; null once the client has its final answer or has disconnected. */
     Channel channel;
 
     Rpc(long id, String name, int rpcClass, M message, long deadline, Channel channel) {
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -24,13 +24,13 @@
 import saffronferry.ops.Figures.Result;
 
 /**
- * The one owner of all open RPCs: it asks the balancer, carries out what it says, and sees to it that each
- * RPC gets exactly one final answer, whatever fails. For one thread, the event loop's.
+ * Owns the state of all open RPCs. It consults the balancer, executes the steps the balancer returns, and ensures that
+ * each RPC gets exactly one final answer, whatever fails. Not thread-safe: confined to the event loop thread.
  *
  * @param <M> a client's message in the form of its protocol
  */
 public final class RpcCoordinator<M> implements CallAttempt.Listener {
-    /** After a failure inside a tick the balancer is woken again: without ticks nothing held would leave. */
+    /** The balancer is ticked again after a failed tick: without ticks, held requests would never be sent. */
     private static final long TICK_RETRY_DELAY_US = 25_000;
 
     private final Balancer balancer;
@@ -46,7 +46,7 @@
     private long lastDeadline = Long.MAX_VALUE;
     private int unansweredCount;
 
-    /** Counts answers and attempts in the figures, by class. */
+    /** Creates a coordinator that counts answers and attempts by class in {@code figures}. */
     public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> outbound, Figures figures) {
         this.balancer = balancer;
         this.clock = clock;
@@ -54,16 +54,17 @@
         this.figures = figures;
     }
 
-    // ---- the client's side ----
+    // ---- client side ----
 
-    /** Whether an RPC of this name is open, or a call attempt of one that has had its answer. */
+    /** Whether an RPC with this name is open, or answered with a call attempt still running. */
     public boolean isNameInUse(String name) {
         return namesInUse.contains(name);
     }
 
     /**
-     * Takes an RPC in, of a name that is not held; the channel will get its one final answer. The id is for
-     * {@link #clientDisconnected}.
+     * Opens an RPC whose name is not in use. The channel receives its single final answer.
+     *
+     * @return the id for {@link #clientDisconnected}
      */
     public long open(RpcInfo info, M message, Channel channel) {
         long id = ++lastId;
@@ -73,13 +74,13 @@
         openRpcs.put(id, rpc);
         namesInUse.add(rpc.name);
         unansweredCount++;
-        rpc.timer = outbound.schedule(Math.max(0, deadline - now), () -> expire(rpc));
+        rpc.deadlineTimer = outbound.schedule(Math.max(0, deadline - now), () -> expire(rpc));
         Request request = new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(), info.repeat());
         process(() -> {
             try {
                 return balancer.pick(clock.now(), request);
             } catch (RuntimeException | Error e) {
-                // guards against an RPC that the balancer dropped on an error: nobody else would answer it
+                // after an error in pick the balancer does not track the RPC, so it has to be answered here
                 answer(rpc, Result.ERRORS, Channel::failed);
                 throw e;
             }
@@ -87,12 +88,12 @@
         return id;
     }
 
-    /** RPCs opened from now on have their answers within so many milliseconds, whatever clients allow. */
+    /** Caps the deadlines of RPCs opened from now on at the given time from now, however long their clients wait. */
     public void capDeadlines(long ms) {
         lastDeadline = clock.now() + ms * 1000;
     }
 
-    /** The client has closed its connection. */
+    /** Reports that the client has closed its connection. */
     public void clientDisconnected(long id) {
         Rpc<M> rpc = openRpcs.get(id);
         if (rpc != null && !rpc.answered()) {
@@ -101,34 +102,38 @@
         }
     }
 
-    /** RPCs that still await their final answer. */
+    /** The number of RPCs that still await their final answer. */
     public int unansweredCount() {
         return unansweredCount;
     }
 
     private void expire(Rpc<M> rpc) {
-        for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
-            cancel(a, Outcome.TIMEOUT);
+        for (CallAttempt attempt : new ArrayList<>(rpc.attempts)) {
+            cancel(attempt, Outcome.TIMEOUT);
         }
-        // guards against an RPC left without an answer at its deadline, whatever the balancer made of it
+        // answers at the deadline even if the balancer decided nothing for the RPC
         process(() -> {
             answer(rpc, Result.ERRORS, Channel::failed);
             return List.of();
         });
     }
 
-    /** Every RPC ends here, once. The result is null where the client has gone, which counts as none. */
-    private void answer(Rpc<M> rpc, Result result, Consumer<Channel> how) {
+    /**
+     * Ends an RPC with its final answer; every RPC ends here, exactly once.
+     *
+     * @param result the result to count, or null if the client has disconnected, which is not counted
+     */
+    private void answer(Rpc<M> rpc, Result result, Consumer<Channel> answer) {
         Channel channel = rpc.channel;
         if (channel == null) {
             return;
         }
         rpc.channel = null;
-        outbound.cancelTimer(rpc.timer);
-        // guards against an attempt that begins for nobody, also where none may be cancelled once begun
-        for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
-            if (!a.mayHaveBeenSent()) {
-                cancel(a, Outcome.NOT_SENT);
+        outbound.cancelTimer(rpc.deadlineTimer);
+        // an unsent attempt would run without a client; it is cancelled even if running attempts may not be
+        for (CallAttempt attempt : new ArrayList<>(rpc.attempts)) {
+            if (!attempt.mayHaveBeenSent()) {
+                cancel(attempt, Outcome.NOT_SENT);
             }
         }
         removeIfDone(rpc);
@@ -136,32 +141,33 @@
         if (result != null) {
             figures.answered(rpc.rpcClass, result);
         }
-        how.accept(channel);
+        answer.accept(channel);
     }
 
     private void removeIfDone(Rpc<M> rpc) {
-        if (rpc.answered() && rpc.outstanding == 0) {
+        if (rpc.answered() && rpc.openAttempts == 0) {
             openRpcs.remove(rpc.id);
             namesInUse.remove(rpc.name);
         }
     }
 
-    // ---- news ----
+    // ---- events for the balancer ----
 
+    /** Applies an update of the list; {@code warmCopy}: the list as it was before a restart. */
     public void onListUpdate(ListUpdate update, boolean warmCopy) {
-        List<WorkerInfo> shown = resolverResult.apply(update);
+        List<WorkerInfo> entries = resolverResult.apply(update);
         ListKind kind = warmCopy ? ListKind.WARM_COPY : update.complete() ? ListKind.WHOLE : ListKind.CHANGES;
-        report(new News.Resolved(kind, shown));
-        // guards the rule on drains against a connection's time: the first byte would go out that much later
+        report(new News.Resolved(kind, entries));
+        // an attempt that is still connecting would send its first byte to a draining subchannel too late
         cancelUnsentAttempts(subchannel -> !resolverResult.inService(subchannel));
     }
 
-    /** Gives up, at subchannels of which this holds, attempts of which nothing has been sent. */
-    private void cancelUnsentAttempts(Predicate<String> where) {
+    /** Cancels attempts at matching subchannels of which nothing has been sent yet. */
+    private void cancelUnsentAttempts(Predicate<String> subchannels) {
         for (Rpc<M> rpc : new ArrayList<>(openRpcs.values())) {
-            for (CallAttempt a : new ArrayList<>(rpc.attempts)) {
-                if (!a.mayHaveBeenSent() && where.test(a.subchannel)) {
-                    cancel(a, Outcome.NOT_SENT);
+            for (CallAttempt attempt : new ArrayList<>(rpc.attempts)) {
+                if (!attempt.mayHaveBeenSent() && subchannels.test(attempt.subchannel)) {
+                    cancel(attempt, Outcome.NOT_SENT);
                 }
             }
         }
@@ -171,20 +177,20 @@
         process(() -> balancer.report(clock.now(), news));
     }
 
-    // ---- the operators' side ----
+    // ---- operator side ----
 
-    /** From now on nothing more goes to these subchannels; what runs there goes on. */
+    /** Replaces the bans: banned subchannels get no new attempts, while running attempts continue. */
     public void setBans(Bans next) {
-        Bans before = resolverResult.bans();
+        Bans previous = resolverResult.bans();
         List<WorkerInfo> changed = resolverResult.setBans(next, clock.now());
         if (!changed.isEmpty()) {
             report(new News.Resolved(ListKind.CHANGES, changed));
         }
-        // guards against what the balancer cannot recall: an attempt whose connection is yet to come up
-        cancelUnsentAttempts(subchannel -> next.has(subchannel) && !before.has(subchannel));
+        // the balancer cannot take back an attempt whose connection is still being established
+        cancelUnsentAttempts(subchannel -> next.has(subchannel) && !previous.has(subchannel));
     }
 
-    /** What another process of this dispatcher should know while it runs beside this one. */
+    /** The state for another process of this dispatcher that runs at the same time, during a replacement. */
     public Beside beside() {
         return balancer.beside();
     }
@@ -193,55 +199,56 @@
         return resolverResult.bans();
     }
 
-    /** Whether anybody has, or had, a subchannel of this id. */
+    /** Whether the id is on the list, was removed from it recently, or is banned. */
     public boolean isKnownSubchannel(String subchannel) {
         return resolverResult.isKnown(subchannel);
     }
 
-    /** What holds now, beside what is counted. */
+    /** The current values of the gauges; counters are kept in the figures. */
     public Figures.Now snapshot() {
         return new Figures.Now(
                 unansweredCount,
                 resolverResult.size(),
                 resolverResult.bannedCount() + balancer.avoided(),
-                SharingMetrics.figures(balancer.sharing()));
+                SharingMetrics.of(balancer.sharing()));
     }
 
     @Override
-    public void written(CallAttempt a) {
-        figures.tried(a.rpcClass);
+    public void written(CallAttempt attempt) {
+        figures.tried(attempt.rpcClass);
     }
 
     @Override
-    public void progressed(CallAttempt a, boolean started) {
-        report(new News.AttemptMoved(a.rpcId, a.index, started));
+    public void progressed(CallAttempt attempt, boolean started) {
+        report(new News.AttemptMoved(attempt.rpcId, attempt.index, started));
     }
 
     @Override
-    public void ended(CallAttempt a, Outcome outcome, String result, Report load) {
-        Rpc<M> rpc = openRpcs.get(a.rpcId);
-        rpc.outstanding--;
+    public void ended(CallAttempt attempt, Outcome outcome, String result, Report load) {
+        Rpc<M> rpc = openRpcs.get(attempt.rpcId);
+        rpc.openAttempts--;
         if (outcome == Outcome.OK) {
             answer(rpc, Result.OK, channel -> channel.served(result));
-        } else if (a.rejected) {
-            // guards healthy subchannels against the blame for what a bad client sent, one after the other
+        } else if (attempt.rejected) {
+            // retrying an invalid request would count as a failure of one healthy subchannel after the other
             answer(rpc, Result.ERRORS, Channel::failed);
         }
         boolean answered = rpc.answered();
         removeIfDone(rpc);
-        report(new News.AttemptEnded(a.rpcId, a.index, outcome, clock.now() - a.createdAt, answered, load));
+        report(new News.AttemptEnded(
+                attempt.rpcId, attempt.index, outcome, clock.now() - attempt.createdAt, answered, load));
     }
 
-    private void cancel(CallAttempt a, Outcome outcome) {
-        if (!a.isEnded()) {
-            a.onCancel.run();
-            a.ended(outcome, null);
+    private void cancel(CallAttempt attempt, Outcome outcome) {
+        if (!attempt.isEnded()) {
+            attempt.onCancel.run();
+            attempt.ended(outcome, null);
         }
     }
 
-    // ---- what the balancer asks for ----
+    // ---- steps requested by the balancer ----
 
-    /** Carries steps out; news that they make waits its turn, so that the balancer is never entered twice. */
+    /** Executes steps; events they cause are queued, so that calls into the balancer are never nested. */
     private void process(Supplier<List<Step>> work) {
         pendingWork.add(work);
         if (processing) {
@@ -256,12 +263,13 @@
     }
 
     /**
-     * Guards against one RPC's exception ending the process or what is to be done for the others. Errors too:
-     * one that left {@link #process} would leave the ledger waiting for itself for good.
+     * Logs an exception instead of passing it on, so that a failure in one RPC neither ends the process nor skips the
+     * work of the others. This includes errors: if one left {@link #process}, {@code processing} would stay true and
+     * no later work would ever run.
      */
-    private void runLoggingErrors(Runnable what) {
+    private void runLoggingErrors(Runnable action) {
         try {
-            what.run();
+            action.run();
         } catch (RuntimeException | Error e) {
             StackTraceElement[] trace = e.getStackTrace();
             outbound.log("internal error: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
@@ -269,60 +277,61 @@
     }
 
     private void execute(Step step) {
-        if (step instanceof Step.StartAttempt s) {
-            start(s);
-        } else if (step instanceof Step.CancelAttempt c) {
-            Rpc<M> rpc = openRpcs.get(c.rpc());
+        if (step instanceof Step.StartAttempt start) {
+            startAttempt(start);
+        } else if (step instanceof Step.CancelAttempt cancel) {
+            Rpc<M> rpc = openRpcs.get(cancel.rpc());
             if (rpc != null) {
-                cancel(rpc.attempts.get(c.attempt()), Outcome.CANCELLED);
+                cancel(rpc.attempts.get(cancel.attempt()), Outcome.CANCELLED);
             }
-        } else if (step instanceof Step.Refuse r) {
-            answerIfOpen(r.rpc(), Result.SHED, channel -> channel.refused(r.retryAfter()));
-        } else if (step instanceof Step.Fail f) {
-            answerIfOpen(f.rpc(), Result.ERRORS, Channel::failed);
-        } else if (step instanceof Step.Probe p) {
-            probe(p.subchannel());
-        } else if (step instanceof Step.TellPeer t) {
-            outbound.sendToPeer(t.peer(), t.bytes());
+        } else if (step instanceof Step.Refuse refuse) {
+            answerIfOpen(refuse.rpc(), Result.SHED, channel -> channel.refused(refuse.retryAfter()));
+        } else if (step instanceof Step.Fail fail) {
+            answerIfOpen(fail.rpc(), Result.ERRORS, Channel::failed);
+        } else if (step instanceof Step.Probe probe) {
+            probe(probe.subchannel());
+        } else if (step instanceof Step.TellPeer send) {
+            outbound.sendToPeer(send.peer(), send.bytes());
         } else if (step instanceof Step.Watch) {
             outbound.watchList(resolverResult.revision());
-        } else if (step instanceof Step.WakeAfter w) {
-            outbound.schedule(w.delay(), () -> tick(w.token()));
+        } else if (step instanceof Step.WakeAfter wake) {
+            outbound.schedule(wake.delay(), () -> tick(wake.token()));
         }
     }
 
-    private void start(Step.StartAttempt s) {
-        Rpc<M> rpc = openRpcs.get(s.rpc());
+    private void startAttempt(Step.StartAttempt step) {
+        Rpc<M> rpc = openRpcs.get(step.rpc());
         if (rpc == null) {
-            throw new IllegalStateException("an attempt for an RPC that is over");
+            throw new IllegalStateException("attempt for an RPC that is not open");
         }
         long now = clock.now();
-        CallAttempt a = new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, s.subchannel(), this);
-        rpc.attempts.add(a);
-        rpc.outstanding++;
-        String address = resolverResult.address(s.subchannel());
+        CallAttempt attempt =
+                new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, step.subchannel(), this);
+        rpc.attempts.add(attempt);
+        rpc.openAttempts++;
+        String address = resolverResult.address(step.subchannel());
         if (rpc.answered() || now >= rpc.deadline) {
-            a.ended(Outcome.NOT_SENT, null);
-        } else if (resolverResult.bans().has(s.subchannel())) {
-            // guards the ban against a step that was decided before it
-            a.ended(Outcome.NOT_SENT, null);
+            attempt.ended(Outcome.NOT_SENT, null);
+        } else if (resolverResult.bans().has(step.subchannel())) {
+            // the step may have been decided before the ban
+            attempt.ended(Outcome.NOT_SENT, null);
         } else if (address == null) {
-            a.ended(Outcome.CONNECT_FAILED, null);
+            attempt.ended(Outcome.CONNECT_FAILED, null);
         } else {
             try {
-                a.onCancel = outbound.startAttempt(rpc.message, address, rpc.deadline - now, a);
+                attempt.onCancel = outbound.startAttempt(rpc.message, address, rpc.deadline - now, attempt);
             } catch (RuntimeException | Error e) {
-                // guards against an attempt that never began and so would never end
-                a.ended(Outcome.CONNECT_FAILED, null);
+                // an attempt that was never started would not end by itself
+                attempt.ended(Outcome.CONNECT_FAILED, null);
                 throw e;
             }
         }
     }
 
-    private void answerIfOpen(long id, Result result, Consumer<Channel> how) {
+    private void answerIfOpen(long id, Result result, Consumer<Channel> answer) {
         Rpc<M> rpc = openRpcs.get(id);
         if (rpc != null) {
-            answer(rpc, result, how);
+            answer(rpc, result, answer);
         }
     }
 
--- a/src/test/java/saffronferry/state/ResolverResultTest.java
+++ b/src/test/java/saffronferry/state/ResolverResultTest.java
@@ -11,7 +11,7 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.ops.Bans;
 
-/** The list held, at the size of a large fleet: whom operators may name, and what bans change. */
+/** The resolver result at the size of a large fleet: which ids are known, and what bans change. */
 class ResolverResultTest {
     private static final int MANY = 21_000;
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void eachWorkerOfALongListCanBeNamed() {
+    void everyWorkerOfALongListIsKnown() {
         ResolverResult result = new ResolverResult();
         result.apply(whole(1, 0, MANY));
         for (int i = 0; i < MANY; i++) {
@@ -40,9 +40,9 @@
         assertEquals(1, result.bannedCount());
     }
 
-    /** Operators know a worker that the list has lost, by a whole list, by a change, or never had in service. */
+    /** Ids removed by a complete list or by a change stay known, and so do ids that were never in service. */
     @Test
-    void whatHasLeftIsRememberedAndNotForEver() {
+    void removedIdsStayKnownUpToALimit() {
         ResolverResult result = new ResolverResult();
         result.apply(whole(1, 0, 10));
         result.apply(whole(2, 2, 10));
@@ -53,10 +53,11 @@
         assertFalse(result.isKnown("x"));
         assertEquals(8, result.size());
         result.apply(new ListUpdate(4, false, List.of(entry("w0", WorkerState.IN_SERVICE))));
-        for (int round = 0; round < 10; round++) { // releases, each with new names
+        // releases, each with new ids
+        for (int round = 0; round < 10; round++) {
             result.apply(whole(5 + round, 1_000 * (round + 1), 1_000 * (round + 2)));
         }
-        assertTrue(result.isKnown("w10999") && result.isKnown("w9999"), "the last one, and the one before");
+        assertTrue(result.isKnown("w10999") && result.isKnown("w9999"), "the last list, and the one before");
         assertFalse(result.isKnown("w0") || result.isKnown("w1"), "memory is bounded");
     }
 }
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -17,13 +17,13 @@
 import saffronferry.ops.Figures;
 import saffronferry.settings.SettingsReader;
 
-/** The coordinator without sockets: one final answer whatever fails, and nothing kept of what is over. */
+/** RpcCoordinator without sockets: each RPC gets one final answer whatever fails, and leaves no state behind. */
 public class RpcCoordinatorTest {
     private final List<String> answers = new ArrayList<>();
     private final List<CallAttempt> started = new ArrayList<>();
     private final List<String> logged = new ArrayList<>();
     private final TreeMap<Long, Runnable> timers = new TreeMap<>();
-    private boolean broken;
+    private boolean startFails;
     private Error error;
     private final Figures figures = new Figures(List.of("directory-page", "record-gift"));
     private RpcCoordinator<String> coordinator;
@@ -46,11 +46,11 @@
     };
 
     private final OutboundOperations<String> outbound = new OutboundOperations<>() {
-        private long last;
+        private long lastTimer;
 
         @Override
-        public Runnable startAttempt(String message, String address, long remaining, CallAttempt attempt) {
-            if (broken) {
+        public Runnable startAttempt(String message, String address, long remainingMicros, CallAttempt attempt) {
+            if (startFails) {
                 throw new IllegalStateException("no socket");
             }
             if (error != null) {
@@ -70,9 +70,9 @@
         public void watchList(long revision) {}
 
         @Override
-        public long schedule(long delay, Runnable what) {
-            timers.put(++last, what);
-            return last;
+        public long schedule(long delayMicros, Runnable action) {
+            timers.put(++lastTimer, action);
+            return lastTimer;
         }
 
         @Override
@@ -108,7 +108,7 @@
     }
 
     @Test
-    public void theFirstResultIsTheAnswerAndNothingStays() throws Exception {
+    public void firstResultIsTheOnlyAnswerAndLeavesNoState() throws Exception {
         begin();
         open();
         started.get(0).served("r", null);
@@ -116,14 +116,14 @@
         started.get(0).ended(Outcome.RESET, null);
         assertEquals(List.of("r"), answers);
         assertEquals(0, coordinator.unansweredCount());
-        assertEquals("the deadline's timer is cancelled", 0, timers.size());
+        assertEquals("the deadline timer is cancelled", 0, timers.size());
     }
 
-    /** Guards against an RPC left without an answer because carrying out a step failed. */
+    /** An RPC must not stay unanswered because the execution of a step threw an exception. */
     @Test
-    public void anErrorOnTheWayStillLeavesOneAnswerAtTheDeadline() throws Exception {
+    public void failedStepStillLeadsToOneAnswerAtTheDeadline() throws Exception {
         begin();
-        broken = true;
+        startFails = true;
         open();
         assertEquals(1, logged.size());
         timers.firstEntry().getValue().run();
@@ -131,24 +131,24 @@
         assertEquals(0, coordinator.unansweredCount());
     }
 
-    /** An Error on the way must not leave the coordinator waiting for itself: later RPCs are served. */
+    /** An Error thrown by a step must not block the queue of pending work: later RPCs are still processed. */
     @Test
-    public void anErrorOfTheVirtualMachineEndsOneAttemptOnly() throws Exception {
+    public void virtualMachineErrorEndsOneAttemptOnly() throws Exception {
         begin();
-        error = new NoClassDefFoundError("what could not be loaded");
+        error = new NoClassDefFoundError("missing class");
         open();
         assertEquals(1, logged.size());
-        assertEquals("tried at the next worker or told, never left", 0, started.size());
+        assertEquals("the failed attempt does not count as started", 0, started.size());
         error = null;
         coordinator.open(new RpcInfo("v", 0, 0, 3_000_000, 1, false), "m", channel);
         coordinator.report(new News.Room(true));
         timers.values().stream().toList().forEach(Runnable::run);
-        assertEquals("each has its one answer", 2, answers.size());
+        assertEquals("each RPC has one answer", 2, answers.size());
     }
 
-    /** While no connection can be opened nothing is sent, whatever is free; the rest waits its turn. */
+    /** While no connection can be opened, RPCs are held even if workers are free. */
     @Test
-    public void withoutRoomNothingIsSentUntilThereIsSome() throws Exception {
+    public void rpcsAreHeldWhileNoConnectionCanBeOpened() throws Exception {
         begin();
         coordinator.report(new News.Room(false));
         open();
@@ -160,9 +160,9 @@
         assertEquals(List.of("r"), answers);
     }
 
-    /** Guards against an RPC left without an answer because the balancer itself failed. */
+    /** An RPC must not stay unanswered because the balancer itself threw an exception. */
     @Test
-    public void anErrorInTheBalancerFailsTheRpcAtOnce() throws Exception {
+    public void balancerErrorFailsTheRpcImmediately() throws Exception {
         begin();
         coordinator.open(new RpcInfo("u", 99, 0, 3_000_000, 1, false), "m", channel);
         assertEquals(List.of("failed"), answers);
@@ -172,7 +172,7 @@
     }
 
     @Test
-    public void aClientThatIsGoneIsOwedNothing() throws Exception {
+    public void disconnectedClientGetsNoAnswer() throws Exception {
         begin();
         open();
         coordinator.clientDisconnected(1);
