--- a/src/main/java/saffronferry/wire/Address.java
+++ b/src/main/java/saffronferry/wire/Address.java
@@ -1,8 +1,8 @@
 package saffronferry.wire;
 
-/** An IPv4 address and port, as configuration and discovery write them. */
+/** An IPv4 address and port, in the form of the configuration and of discovery. */
 public record Address(String host, int port) {
-    /** Throws an {@link IllegalArgumentException} that quotes what is malformed. */
+    /** Parses {@code host:port}; throws an {@link IllegalArgumentException} that quotes malformed text. */
     public static Address parse(String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -11,7 +11,7 @@
                 return new Address(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
         throw new IllegalArgumentException("not host:port: '" + text + "'");
     }
--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -30,13 +30,13 @@
 import saffronferry.ops.ControlSpend;
 
 /**
- * The library's transport with two changes. Connections are accepted on the event loop itself: the library's
- * own acceptor is a thread beside it, which runs ahead of a busy loop and takes all descriptors. And each is
- * accepted only if the gate lets it in; else it waits in the system's backlog. Nothing that goes wrong while
- * accepting closes the listening socket or ends the thread.
+ * The Vert.x transport with two changes. First, connections are accepted on the event loop itself: Vert.x uses a
+ * separate acceptor thread, which runs ahead of a busy loop and takes all file descriptors. Second, a connection is
+ * accepted only if the gate admits it; otherwise it waits in the backlog of the operating system. A failure while
+ * accepting neither closes the listening socket nor ends the thread.
  */
 public class BoundedTransport extends JDKTransport {
-    /** How often, and when again, a queue of clientAdmission is tried that waits for descriptors. */
+    /** How often a handover tries to accept the waiting connections while file descriptors are short. */
     private static final int MAX_HAND_OVER_TRIES = 50;
 
     private static final long HAND_OVER_RETRY_DELAY_MS = 20;
@@ -48,20 +48,20 @@
     private EventLoopGroup loops;
     private Runnable onListenerLost = () -> {};
 
-    /** By which connections of one purpose come in: who may, and where they wait for their first byte. */
-    record ListenerAdmission(AcceptGate gate, PendingConnections lobby) {
+    /** Admission of connections of one purpose: the gate, and the connections that wait for their first byte. */
+    record ListenerAdmission(AcceptGate gate, PendingConnections pending) {
         ListenerAdmission(AcceptGate gate) {
             this(gate, new PendingConnections(gate));
         }
     }
 
-    /** With the gate of the clientAdmission' connections. */
+    /** Creates a transport whose client connections are admitted by {@code gate}. */
     public BoundedTransport(AcceptGate gate, BoundedLog log) {
         clientAdmission = new ListenerAdmission(gate);
         this.log = log;
     }
 
-    /** What goes over the sockets made here for controlSpend; those who open them count. */
+    /** The control traffic over sockets of this transport, counted by the code that opens them. */
     public ControlSpend controlSpend() {
         return controlSpend;
     }
@@ -70,41 +70,42 @@
         return clientAdmission;
     }
 
-    /** Calls back when the listening socket is closed by anything but {@code Vertx.close}. */
+    /** Sets the callback for a listening socket that is closed by anything other than {@code Vertx.close}. */
     public void onListenerLost(Runnable listener) {
         onListenerLost = listener;
     }
 
-    /** To be called when a descriptor is free again, on the event loop. */
+    /** Must be called on the event loop when a file descriptor has become free. */
     public void onDescriptorFreed() {
         acceptors.forEach(Acceptor::resume);
     }
 
-    /** Gives the clientAdmission' address up to another process that listens there. */
+    /** Leaves the client address to another process that listens there. */
     void handOverClientListener() {
-        acceptors.stream().filter(a -> a.gate == clientAdmission.gate).forEach(Acceptor::giveUp);
+        acceptors.stream().filter(a -> a.gate == clientAdmission.gate).forEach(Acceptor::handOverOnce);
     }
 
-    /** Listens there again, since the other process is gone. */
-    void resumeClientListener(InetSocketAddress at) {
+    /** Listens at the client address again after the other process has ended. */
+    void resumeClientListener(InetSocketAddress address) {
         Acceptor first = acceptors.stream()
                 .filter(a -> a.gate == clientAdmission.gate)
                 .findFirst()
                 .orElseThrow();
-        Acceptor heir = new Acceptor(clientAdmission, first);
-        heir.config().setBacklog(first.config().getBacklog());
-        acceptors.removeIf(a -> a.home != a && !a.isOpen()); // heirs that were given up since
-        acceptors.add(heir);
-        loops.register(heir)
-                .addListener(registered -> heir.bind(at).addListener(bound -> {
+        Acceptor replacement = new Acceptor(clientAdmission, first);
+        replacement.config().setBacklog(first.config().getBacklog());
+        // earlier replacements that were handed over meanwhile
+        acceptors.removeIf(a -> a.libraryAcceptor != a && !a.isOpen());
+        acceptors.add(replacement);
+        loops.register(replacement)
+                .addListener(registered -> replacement.bind(address).addListener(bound -> {
                     if (!bound.isSuccess()) {
-                        log.line("cannot listen again", String.valueOf(bound.cause()));
+                        log.line("cannot resume listening", String.valueOf(bound.cause()));
                         onListenerLost.run();
                     }
                 }));
     }
 
-    /** Two processes, the one about to replace the other, listen at the same address. */
+    /** Allows a process and its replacement to listen at the same address. */
     private static void shareAddress(NetworkChannel socket) {
         try {
             if (socket.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
@@ -117,15 +118,15 @@
 
     @Override
     public DatagramChannel datagramChannel(InternetProtocolFamily family) {
-        return shared(new NioDatagramChannel(family));
+        return withSharedAddress(new NioDatagramChannel(family));
     }
 
     @Override
     public DatagramChannel datagramChannel() {
-        return shared(new NioDatagramChannel());
+        return withSharedAddress(new NioDatagramChannel());
     }
 
-    private static DatagramChannel shared(NioDatagramChannel channel) {
+    private static DatagramChannel withSharedAddress(NioDatagramChannel channel) {
         channel.config().setOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         return channel;
     }
@@ -143,14 +144,14 @@
         return () -> listener(clientAdmission);
     }
 
-    /** A listening socket, yet to be bound, for what comes in by this door. */
-    ServerChannel listener(ListenerAdmission door) {
-        Acceptor acceptor = new Acceptor(door, null);
+    /** Creates an unbound listening socket whose connections are subject to {@code admission}. */
+    ServerChannel listener(ListenerAdmission admission) {
+        Acceptor acceptor = new Acceptor(admission, null);
         acceptors.add(acceptor);
         return acceptor;
     }
 
-    /** The system's call, apart so that tests can make it fail. */
+    /** Calls accept(2); a separate method so that tests can make it fail. */
     protected SocketChannel accept(java.nio.channels.ServerSocketChannel from) throws IOException {
         return SocketUtils.accept(from);
     }
@@ -158,46 +159,46 @@
     /** The listening socket. */
     private final class Acceptor extends NioServerSocketChannel {
         private final AcceptGate gate;
-        private final PendingConnections lobby;
-        /** The one that the library set up, and through which it hears of connections. */
-        private final Acceptor home;
+        private final PendingConnections pending;
+        /** The acceptor that the library set up, through whose pipeline it receives connections. */
+        private final Acceptor libraryAcceptor;
 
-        private boolean given;
+        private boolean handedOver;
         private boolean paused;
-        private int taken;
+        private int acceptedCount;
 
-        Acceptor(ListenerAdmission door, Acceptor home) {
-            this.home = home == null ? this : home;
-            gate = door.gate;
-            lobby = door.lobby;
+        Acceptor(ListenerAdmission admission, Acceptor libraryAcceptor) {
+            this.libraryAcceptor = libraryAcceptor == null ? this : libraryAcceptor;
+            gate = admission.gate;
+            pending = admission.pending;
             shareAddress(javaChannel());
         }
 
-        /** Once only: at the other process's yes, or at SIGTERM, whichever comes first. */
-        void giveUp() {
-            if (!given) {
-                given = true;
+        /** Hands over once only: when the other process serves, or at SIGTERM, whichever comes first. */
+        void handOverOnce() {
+            if (!handedOver) {
+                handedOver = true;
                 handOver(MAX_HAND_OVER_TRIES);
             }
         }
 
         /**
-         * Takes in what waits in the system's queue, whose connections would be reset with the socket, and
-         * closes the socket in the same breath. The selector lets go of it first: a socket that a selector
-         * knows is closed only at the selector's next turn, and takes connections until then. The library is
-         * not told of the close, for it still sets up those that have been accepted and are yet to speak.
+         * Accepts the connections in the backlog, which would be reset with the socket, and closes the socket directly
+         * afterwards. The selection key is cancelled first: a socket registered with a selector is closed only at the
+         * next select, and accepts connections until then. The library is not informed of the close, because it still
+         * has to set up accepted connections that have not sent their first byte.
          */
         private void handOver(int tries) {
             selectionKey().cancel();
             afterNextSelect(eventLoop(), () -> {
-                int before;
+                int acceptedBefore;
                 paused = false;
                 do {
-                    before = taken;
+                    acceptedBefore = acceptedCount;
                     acceptOne();
-                } while (taken > before);
+                } while (acceptedCount > acceptedBefore);
                 if (paused && tries > 1) {
-                    // for want of descriptors: until others end, newcomers wait on in the queue
+                    // no file descriptors: connections wait in the backlog until others end
                     eventLoop().schedule(() -> handOver(tries - 1), HAND_OVER_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                     return;
                 }
@@ -209,9 +210,9 @@
             });
         }
 
-        /** Tells the library of none: it hears of those that speak, from {@link #speaks}. */
+        /** Passes no connection to the library; it receives them after their first bytes, from {@link #firstBytes}. */
         @Override
-        protected int doReadMessages(List<Object> none) {
+        protected int doReadMessages(List<Object> unused) {
             boolean more = true;
             for (int i = gate.perTurn(); more && i > 0; i--) {
                 more = acceptOne();
@@ -231,27 +232,28 @@
                     return false;
                 }
                 gate.accepted();
-                taken++;
-                lobby.enter(eventLoop(), socket, this::speaks);
+                acceptedCount++;
+                pending.add(eventLoop(), socket, this::firstBytes);
                 return true;
             } catch (IOException | RuntimeException | Error e) {
-                // guards the listening socket, which the library closes on an Error, and its log, which fills
-                long wait = gate.failed(now());
+                // if passed on, the library would close the listening socket on an Error, and fill its log
+                long pauseMs = gate.failed(now());
                 log.line("accept failed", e.getMessage());
                 pause();
-                eventLoop().schedule(this::resume, wait, TimeUnit.MILLISECONDS);
+                eventLoop().schedule(this::resume, pauseMs, TimeUnit.MILLISECONDS);
                 return false;
             }
         }
 
-        private void speaks(SocketChannel socket, long since, ByteBuf said) {
-            AcceptedConnection connection = new AcceptedConnection(home, socket, since, gate);
-            home.pipeline().fireChannelRead(connection); // the library registers it and sets it up, now
+        private void firstBytes(SocketChannel socket, long connectedNanos, ByteBuf bytes) {
+            AcceptedConnection connection = new AcceptedConnection(libraryAcceptor, socket, connectedNanos, gate);
+            // the library registers the connection and sets it up synchronously
+            libraryAcceptor.pipeline().fireChannelRead(connection);
             if (connection.isRegistered()) {
-                connection.pipeline().fireChannelRead(said);
+                connection.pipeline().fireChannelRead(bytes);
                 connection.pipeline().fireChannelReadComplete();
             } else {
-                said.release();
+                bytes.release();
                 connection.unsafe().closeForcibly();
             }
         }
@@ -281,32 +283,33 @@
         }
     }
 
-    /** A connection that has spoken. */
+    /** An accepted connection that has sent its first bytes. */
     final class AcceptedConnection extends NioSocketChannel {
-        private final long since;
+        private final long connectedNanos;
         private final AcceptGate gate;
-        private boolean gone;
+        private boolean closed;
 
-        AcceptedConnection(Channel parent, SocketChannel socket, long since, AcceptGate gate) {
+        AcceptedConnection(Channel parent, SocketChannel socket, long connectedNanos, AcceptGate gate) {
             super(parent, socket);
             this.gate = gate;
-            this.since = since;
+            this.connectedNanos = connectedNanos;
         }
 
-        long since() {
-            return since;
+        /** When the connection was accepted, as {@code System.nanoTime} counts. */
+        long connectedNanos() {
+            return connectedNanos;
         }
 
-        /** How long it had been connected before it said its first word. */
-        long waitedMs() {
-            return (System.nanoTime() - since) / 1_000_000;
+        /** How long ago the connection was accepted; at its setup, the time it took to send its first byte. */
+        long ageMs() {
+            return (System.nanoTime() - connectedNanos) / 1_000_000;
         }
 
         @Override
         protected void doClose() throws Exception {
             super.doClose();
-            if (!gone) {
-                gone = true;
+            if (!closed) {
+                closed = true;
                 gate.leaving();
                 afterNextSelect(eventLoop(), gate::left);
             }
@@ -314,12 +317,12 @@
     }
 
     /**
-     * Runs something once the descriptors closed so far are free: the system gets them back only when the
-     * selector, at its next turn, lets go of their keys.
+     * Runs an action once the file descriptors closed so far are free: they are returned to the operating system only
+     * when the selector drops their cancelled keys at its next select.
      */
-    static void afterNextSelect(EventLoop loop, Runnable what) {
+    static void afterNextSelect(EventLoop loop, Runnable action) {
         if (!loop.isShuttingDown()) {
-            ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(() -> loop.execute(what));
+            ((SingleThreadEventLoop) loop).executeAfterEventLoopIteration(() -> loop.execute(action));
         }
     }
 }
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -18,7 +18,7 @@
 import saffronferry.state.RpcCoordinator;
 import saffronferry.state.RpcInfo;
 
-/** Serves clients: reads whole requests, opens an RPC for each and writes its answer. */
+/** The HTTP server for clients: reads complete requests, opens an RPC for each and writes its answer. */
 public final class ChannelServer {
     static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MAX_HEAD_BYTES = 16 * 1024;
@@ -48,8 +48,8 @@
         this.figures = figures;
         this.log = log;
         clientConnections = new ClientConnections(vertx, transport);
-        // guards against silent connections that nobody counts: where HTTP/2 may be spoken too, a
-        // connection is announced only once its first bytes are here
+        // with HTTP/2 enabled, the library reports a connection only after its first bytes, so that silent
+        // connections would not be counted
         HttpServerOptions options = new HttpServerOptions()
                 .setTcpNoDelay(true)
                 .setReuseAddress(true)
@@ -59,24 +59,27 @@
         server = vertx.createHttpServer(options);
         server.connectionHandler(connection -> {
             StrictDecoder.install(connection, options);
-            clientConnections.connected(connection);
+            clientConnections.add(connection);
         });
         server.requestHandler(this::handle);
-        server.exceptionHandler(e -> log.line("client connection broke", String.valueOf(e.getMessage())));
+        server.exceptionHandler(e -> log.line("client connection failed", String.valueOf(e.getMessage())));
     }
 
-    public Future<?> listen(Address at) {
-        return server.listen(at.port(), at.host());
+    public Future<?> listen(Address address) {
+        return server.listen(address.port(), address.host());
     }
 
-    /** From now on {@code GET /up} answers 200. */
+    /** Makes {@code GET /up} answer 200 from now on. */
     public void markReady() {
         ready = true;
     }
 
     /**
-     * How clients are treated from now on. Where the process ends, what comes at the very last is refused;
-     * where another process serves at our address, {@code /up} goes on saying yes for it.
+     * Sets the drain phase.
+     *
+     * @param processEnds whether the process ends with the drain, so that requests in the last phase are refused
+     * @param otherProcessServes whether another process serves at the same address, so that {@code /up} still answers
+     *     200
      */
     public void setDrainPhase(Phase next, boolean processEnds, boolean otherProcessServes) {
         phase = next;
@@ -87,17 +90,17 @@
         }
     }
 
-    /** Whether a connection is to be closed once its request has its answer. */
-    private boolean leaving() {
+    /** Whether connections are closed once their request is answered. */
+    private boolean closesAnsweredConnections() {
         return phase.compareTo(Phase.LEAVING) >= 0;
     }
 
-    /** Whether no request is half here, and no answer still on its way out. */
+    /** Whether no request is partially received and no response is waiting to be sent. */
     public boolean isSettled() {
         return clientConnections.isSettled();
     }
 
-    /** Whether any request has come. */
+    /** Whether any request has been received. */
     boolean hasReceivedRequest() {
         return requestReceived;
     }
@@ -106,12 +109,12 @@
         requestReceived = true;
         HttpConnection connection = request.connection();
         request.exceptionHandler(e -> {});
-        if (!clientConnections.begin(connection, () -> reject(request, new RejectedRequestException(408, "too slow")))) {
+        if (!clientConnections.requestStarted(connection, () -> reject(request, new RejectedRequestException(408, "too slow")))) {
             return;
         }
         request.response().headersEndHandler(v -> {
-            // guards a client against a connection that ends without having been told so in the answer
-            if (leaving()) {
+            // the client has to know from the response that the connection will be closed
+            if (closesAnsweredConnections()) {
                 request.response().putHeader("Connection", "close");
             }
         });
@@ -124,7 +127,7 @@
         try {
             checkFraming(request);
             if (request.method() == HttpMethod.GET && "/up".equals(request.path())) {
-                clientConnections.whole(connection);
+                clientConnections.requestComplete(connection);
                 boolean up = ready && (phase == Phase.OPEN || servedElsewhere);
                 request.response().setStatusCode(up ? 200 : 503).end(up ? "up\n" : "not up\n");
                 return;
@@ -137,12 +140,12 @@
         } catch (RejectedRequestException e) {
             reject(request, e);
         } catch (RuntimeException e) {
-            // guards a client against waiting for an answer that an error of ours has swallowed
+            // the client must get a response even after an internal error
             reject(request, new RejectedRequestException(500, "internal error: " + e));
         }
     }
 
-    /** Guards against a request that hides another in its body, and against reading what is too long. */
+    /** Rejects ambiguous framing, which allows request smuggling, and bodies that are too long. */
     private static void checkFraming(HttpServerRequest request) throws RejectedRequestException {
         String length = request.getHeader("Content-Length");
         List<String> encodings = request.headers().getAll("Transfer-Encoding");
@@ -154,7 +157,7 @@
         }
     }
 
-    /** Guards against half a request reaching the balancer: an RPC opens only with its whole body. */
+    /** Reads the body and opens the RPC once it is complete, so that the balancer never gets a partial request. */
     private void receive(HttpServerRequest request, RpcInfo info) {
         if ("100-continue".equalsIgnoreCase(request.getHeader("Expect"))) {
             request.response().writeContinue();
@@ -168,19 +171,20 @@
             }
         });
         request.endHandler(v -> {
-            clientConnections.whole(request.connection());
+            clientConnections.requestComplete(request.connection());
             open(request, info, body);
         });
     }
 
     private void open(HttpServerRequest request, RpcInfo info, Buffer body) {
         if (processEnding && phase == Phase.EMPTY) {
-            // a whole answer to a request read whole, or the close would reset it over its unread rest
+            // answered only when the request is read completely: closing with unread input would reset the
+            // connection before the client has read the response
             figures.answered(info.rpcClass(), Figures.Result.SHED);
             reject(request, new RejectedRequestException(503, "shutting down"));
             return;
         }
-        // guards an open RPC against a newcomer of the same name: workers would take the two for one
+        // workers would confuse two open RPCs of the same name
         if (coordinator.isNameInUse(info.name())) {
             reject(request, new RejectedRequestException(409, "a request with this X-Txn is open"));
             return;
@@ -192,28 +196,28 @@
                 info.name(),
                 request.getHeader("Idempotency-Key"),
                 body,
-                (System.nanoTime() - PipeliningHandler.of(request.connection()).firstByteAt()) / 1000);
+                (System.nanoTime() - PipeliningHandler.of(request.connection()).firstByteNanos()) / 1000);
         long[] id = {0};
         response.closeHandler(v -> coordinator.clientDisconnected(id[0]));
         response.exceptionHandler(e -> {});
         id[0] = coordinator.open(info, message, new HttpChannel(request));
     }
 
-    private void reject(HttpServerRequest request, RejectedRequestException bad) {
+    private void reject(HttpServerRequest request, RejectedRequestException rejection) {
         if (ready) {
-            log.line("request rejected", bad.getMessage());
+            log.line("request rejected", rejection.getMessage());
         }
         request.handler(null);
         request.endHandler(null);
-        clientConnections.doom(request.connection());
+        clientConnections.discardInput(request.connection());
         request.response()
-                .setStatusCode(bad.status)
+                .setStatusCode(rejection.status)
                 .putHeader("Connection", "close")
-                .end(bad.getMessage() + "\n")
+                .end(rejection.getMessage() + "\n")
                 .onComplete(v -> request.connection().close());
     }
 
-    /** Writes the one answer of an RPC. */
+    /** Writes the final answer of an RPC to the client. */
     private final class HttpChannel implements Channel {
         private final HttpServerRequest request;
 
@@ -227,8 +231,8 @@
         }
 
         @Override
-        public void refused(long retryAfter) {
-            end(503, retryAfter, "refused\n");
+        public void refused(long retryAfterMicros) {
+            end(503, retryAfterMicros, "refused\n");
         }
 
         @Override
@@ -236,14 +240,14 @@
             end(500, 0, "failed\n");
         }
 
-        private void end(int status, long retryAfter, String body) {
+        private void end(int status, long retryAfterMicros, String body) {
             HttpServerResponse response = request.response();
             if (response.closed() || response.ended()) {
                 return;
             }
             response.setStatusCode(status);
-            if (retryAfter > 0) {
-                response.putHeader("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfter / 1e6));
+            if (retryAfterMicros > 0) {
+                response.putHeader("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMicros / 1e6));
             }
             response.end(body);
         }
--- a/src/main/java/saffronferry/wire/ClientConnections.java
+++ b/src/main/java/saffronferry/wire/ClientConnections.java
@@ -12,151 +12,155 @@
 import saffronferry.limit.AcceptGate;
 
 /**
- * Which connections of clients may stay. A request has so long to arrive whole, counted for the first one
- * from the connection's start, so that silence and half a request cost a descriptor no longer than that.
- * Where clients have few descriptors left, connections that have said nothing make room first, then half
- * requests, then those idle longest; one at work on a request never does. A connection idle between requests
- * has no time limit.
+ * Tracks client connections, enforces the request timeout and selects connections to close. A request must arrive
+ * completely within the timeout, which for the first request starts with the connection, so that silent connections
+ * and partial requests hold a file descriptor no longer than that. When clients have few file descriptors left,
+ * connections that have sent nothing are closed first, then those with a partial first request, then those that have
+ * been idle longest. A connection with a request in progress is never closed for that. A connection that is idle
+ * between requests has no timeout.
  */
 final class ClientConnections {
-    /** A client that says nothing, or half a request, is owed an end within 3 s of connecting. */
-    static final long REQUEST_MS = 2_000;
+    /** Silent connections and partial requests must be ended within 3 s of connecting. */
+    static final long REQUEST_TIMEOUT_MS = 2_000;
 
     private final Vertx vertx;
     private final AcceptGate gate;
-    private final PendingConnections lobby;
-    private final Map<HttpConnection, ClientConnection> visits = new HashMap<>();
-    /** Those that have begun their first request and not finished it, the oldest first. */
-    private final Set<ClientConnection> unfinished = new LinkedHashSet<>();
+    private final PendingConnections pending;
+    private final Map<HttpConnection, ClientConnection> connections = new HashMap<>();
+    /** Connections whose first request has begun and is not complete, the oldest first. */
+    private final Set<ClientConnection> inFirstRequest = new LinkedHashSet<>();
 
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-    /** One connection, from its start to its end. */
+    /** The state of one connection. */
     private static final class ClientConnection {
         final HttpConnection connection;
-        /** Runs out when a request has taken too long; -1 while none is under way. */
+        /** Id of the request timeout's timer; -1 while no request is arriving. */
         long timer = -1;
 
-        Runnable onTooLate;
-        boolean doomed;
+        Runnable onTimeout;
+        boolean discardsInput;
 
         ClientConnection(HttpConnection connection) {
             this.connection = connection;
-            onTooLate = connection::close;
+            onTimeout = connection::close;
         }
     }
 
     ClientConnections(Vertx vertx, BoundedTransport transport) {
         this.vertx = vertx;
         gate = transport.clientAdmission().gate();
-        lobby = transport.clientAdmission().lobby();
-        lobby.onSilent(this::makeRoomIfTight);
+        pending = transport.clientAdmission().pending();
+        pending.onSilent(this::makeRoomIfTight);
     }
 
-    void connected(HttpConnection connection) {
-        ClientConnection visit = new ClientConnection(connection);
-        visits.put(connection, visit);
-        await(visit, Math.max(1, REQUEST_MS - waited(connection)));
-        connection.closeHandler(v -> forget(visit));
+    void add(HttpConnection connection) {
+        ClientConnection client = new ClientConnection(connection);
+        connections.put(connection, client);
+        startTimeout(client, Math.max(1, REQUEST_TIMEOUT_MS - ageMs(connection)));
+        connection.closeHandler(v -> remove(client));
         makeRoomIfTight();
-        unfinished.add(visit);
+        inFirstRequest.add(client);
     }
 
-    private static long waited(HttpConnection connection) {
+    private static long ageMs(HttpConnection connection) {
         Channel channel = ((HttpServerConnection) connection).channel();
-        return channel instanceof BoundedTransport.AcceptedConnection accepted ? accepted.waitedMs() : 0;
+        return channel instanceof BoundedTransport.AcceptedConnection accepted ? accepted.ageMs() : 0;
     }
 
     /**
-     * Guards usual clients against crowds that connect and say nothing. Where all are at work nobody has to
-     * go: then the gate lets no further ones in.
+     * Closes one connection without a request in progress if file descriptors are short, so that clients that connect
+     * and send nothing cannot lock out others. If all connections have a request in progress, none is closed and the
+     * gate admits no further ones.
      */
     private void makeRoomIfTight() {
-        if (!gate.tight() || lobby.closeOldest()) {
+        if (!gate.tight() || pending.closeOldest()) {
             return;
         }
-        Set<ClientConnection> candidates = unfinished.isEmpty() ? idle : unfinished;
+        Set<ClientConnection> candidates = inFirstRequest.isEmpty() ? idle : inFirstRequest;
         if (!candidates.isEmpty()) {
-            ClientConnection loser = candidates.iterator().next();
-            forget(loser); // at once: the next newcomer must not find the same one again
-            loser.connection.close();
+            ClientConnection oldest = candidates.iterator().next();
+            // removed before the close completes, so that the next call selects another one
+            remove(oldest);
+            oldest.connection.close();
         }
     }
 
-    private void forget(ClientConnection visit) {
-        visits.remove(visit.connection);
-        unfinished.remove(visit);
-        idle.remove(visit);
-        arrived(visit);
+    private void remove(ClientConnection client) {
+        connections.remove(client.connection);
+        inFirstRequest.remove(client);
+        idle.remove(client);
+        cancelTimeout(client);
     }
 
-    private void await(ClientConnection visit, long ms) {
-        visit.timer = vertx.setTimer(ms, t -> {
-            visit.timer = -1;
-            visit.onTooLate.run();
+    private void startTimeout(ClientConnection client, long ms) {
+        client.timer = vertx.setTimer(ms, t -> {
+            client.timer = -1;
+            client.onTimeout.run();
         });
     }
 
-    private void arrived(ClientConnection visit) {
-        if (visit.timer >= 0) {
-            vertx.cancelTimer(visit.timer);
-            visit.timer = -1;
+    private void cancelTimeout(ClientConnection client) {
+        if (client.timer >= 0) {
+            vertx.cancelTimer(client.timer);
+            client.timer = -1;
         }
     }
 
-    /** A request's head has arrived; false if nothing more is taken from this connection. */
-    boolean begin(HttpConnection connection, Runnable onTooLate) {
-        ClientConnection visit = visits.get(connection);
-        if (visit == null || visit.doomed) {
+    /** The head of a request has arrived; returns false if no more input is accepted from this connection. */
+    boolean requestStarted(HttpConnection connection, Runnable onTimeout) {
+        ClientConnection client = connections.get(connection);
+        if (client == null || client.discardsInput) {
             return false;
         }
-        idle.remove(visit);
-        visit.onTooLate = onTooLate;
-        if (visit.timer < 0) {
-            await(visit, REQUEST_MS);
+        idle.remove(client);
+        client.onTimeout = onTimeout;
+        if (client.timer < 0) {
+            startTimeout(client, REQUEST_TIMEOUT_MS);
         }
         return true;
     }
 
-    /** The request has arrived whole: how long it now takes is not the client's doing. */
-    void whole(HttpConnection connection) {
-        ClientConnection visit = visits.get(connection);
-        if (visit != null) {
-            unfinished.remove(visit);
-            arrived(visit);
+    /** The request has arrived completely; from here on its duration does not depend on the client. */
+    void requestComplete(HttpConnection connection) {
+        ClientConnection client = connections.get(connection);
+        if (client != null) {
+            inFirstRequest.remove(client);
+            cancelTimeout(client);
         }
     }
 
-    /** The request has its answer. */
+    /** The response to the request has been written. */
     void answered(HttpConnection connection) {
-        ClientConnection visit = visits.get(connection);
-        if (visit != null && !visit.doomed) {
-            idle.add(visit);
-            makeRoomIfTight(); // newcomers wait outside, and no other moment might come to let them in
+        ClientConnection client = connections.get(connection);
+        if (client != null && !client.discardsInput) {
+            idle.add(client);
+            // connections may wait in the backlog, and no later event might let them in
+            makeRoomIfTight();
         }
     }
 
-    /** What else the connection holds is left unread: it may be part of the request that was turned away. */
-    void doom(HttpConnection connection) {
-        ClientConnection visit = visits.get(connection);
-        if (visit != null) {
-            visit.doomed = true;
+    /** Discards further input of the connection: it may be part of the rejected request. */
+    void discardInput(HttpConnection connection) {
+        ClientConnection client = connections.get(connection);
+        if (client != null) {
+            client.discardsInput = true;
         }
     }
 
-    /** Whether no request is half here, and all that was answered has left. */
+    /** Whether no request is partially received and no response is waiting to be sent. */
     boolean isSettled() {
-        return visits.values().stream().noneMatch(v -> v.timer >= 0 || unsent(v.connection));
+        return connections.values().stream().noneMatch(c -> c.timer >= 0 || hasUnsentBytes(c.connection));
     }
 
-    private static boolean unsent(HttpConnection connection) {
+    private static boolean hasUnsentBytes(HttpConnection connection) {
         ChannelOutboundBuffer out =
                 ((HttpServerConnection) connection).channel().unsafe().outboundBuffer();
         return out != null && out.totalPendingWriteBytes() > 0;
     }
 
-    /** Closes the connections that are at no request; new ones are to be closed as they are answered. */
+    /** Closes the idle connections; the caller has to close the others as they are answered. */
     void closeIdle() {
-        Set.copyOf(idle).forEach(visit -> visit.connection.close());
+        Set.copyOf(idle).forEach(client -> client.connection.close());
     }
 }
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -34,14 +34,14 @@
 import saffronferry.limit.Descriptors;
 import saffronferry.limit.Descriptors.Purpose;
 
-/** Speaks HTTP with operators, one call a connection. What is handled, and what it does, others know. */
+/** The HTTP server for operators, with one call per connection. A {@link CallHandler} interprets the calls. */
 public final class ConsoleServer {
-    /** Answers one call; the answer may come later, but on the event loop. */
+    /** Answers calls; the reply may be sent later, but on the event loop. */
     public interface CallHandler {
         void handle(String method, String path, Reply reply);
     }
 
-    /** Takes the one answer of a call; a second one, or one after the caller has gone, has no effect. */
+    /** Sends the answer to a call; a second answer, or one after the caller has disconnected, has no effect. */
     public interface Reply {
         void send(int status, String text);
     }
@@ -49,26 +49,26 @@
     private static final int MAX_LINE_BYTES = 2 * 1024;
     private static final int MAX_HEAD_BYTES = 8 * 1024;
     private static final int MAX_BODY_BYTES = 4 * 1024;
-    /** A call is answered within 1 s; one that is not whole by then, or not read by its caller, ends. */
+    /** Calls are answered within 1 s. A call that is incomplete, or whose answer is unread, by then is ended. */
     private static final long CALL_TIMEOUT_MS = 2_000;
 
     private final EventLoop loop;
     private final BoundedTransport transport;
     private final BoundedTransport.ListenerAdmission admission;
     private final CallHandler handler;
-    /** Calls that are not whole yet, the oldest first. */
-    private final Set<CallConnection> unfinished = new LinkedHashSet<>();
+    /** Connections whose call is incomplete, the oldest first. */
+    private final Set<CallConnection> incomplete = new LinkedHashSet<>();
 
     public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, CallHandler handler) {
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.transport = transport;
         this.handler = handler;
         admission = new BoundedTransport.ListenerAdmission(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
-        admission.lobby().onSilent(this::makeRoomIfTight);
+        admission.pending().onSilent(this::makeRoomIfTight);
     }
 
     /** Opens the listening socket; calls are answered from then on. */
-    public io.vertx.core.Future<Void> listen(Address at) {
+    public io.vertx.core.Future<Void> listen(Address address) {
         Promise<Void> bound = Promise.promise();
         new ServerBootstrap()
                 .group(loop)
@@ -86,7 +86,7 @@
                                         new CallConnection(channel));
                     }
                 })
-                .bind(at.host(), at.port())
+                .bind(address.host(), address.port())
                 .addListener(f -> {
                     if (f.isSuccess()) {
                         bound.complete();
@@ -98,37 +98,40 @@
     }
 
     /**
-     * Guards calls against callers that say nothing, or half a call, and stay: the oldest of them goes. Of
-     * both kinds together, or a call whose first byte is on its way would go before half calls of long ago.
+     * Closes the oldest silent or incomplete connection if file descriptors are short, so that such connections cannot
+     * block calls. Both kinds are compared by age: otherwise a new connection whose first byte is in transit would be
+     * closed before old incomplete calls.
      */
     private void makeRoomIfTight() {
         if (!admission.gate().tight()) {
             return;
         }
-        Long silentSince = admission.lobby().oldestSince();
-        CallConnection half = unfinished.isEmpty() ? null : unfinished.iterator().next();
-        if (half != null && (silentSince == null || half.since - silentSince < 0)) {
-            half.close();
+        Long oldestSilentNanos = admission.pending().oldestConnectedNanos();
+        CallConnection oldestIncomplete =
+                incomplete.isEmpty() ? null : incomplete.iterator().next();
+        if (oldestIncomplete != null
+                && (oldestSilentNanos == null || oldestIncomplete.connectedNanos - oldestSilentNanos < 0)) {
+            oldestIncomplete.close();
         } else {
-            admission.lobby().closeOldest();
+            admission.pending().closeOldest();
         }
     }
 
-    /** One call, from its first byte to its answer. */
+    /** The connection of one call, from its first byte to its answer. */
     private final class CallConnection extends SimpleChannelInboundHandler<HttpObject> implements Reply {
         private final Channel channel;
-        private final long since;
+        private final long connectedNanos;
         private final Future<?> timer;
         private HttpRequest head;
-        private int body;
-        private boolean handled;
+        private int bodyBytes;
+        private boolean complete;
         private boolean answered;
 
         CallConnection(Channel channel) {
             this.channel = channel;
-            since = ((BoundedTransport.AcceptedConnection) channel).since();
+            connectedNanos = ((BoundedTransport.AcceptedConnection) channel).connectedNanos();
             timer = loop.schedule(this::onTimeout, CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
-            unfinished.add(this);
+            incomplete.add(this);
             makeRoomIfTight();
         }
 
@@ -142,18 +145,18 @@
                 head = request;
             }
             if (part instanceof HttpContent content) {
-                body += content.content().readableBytes();
-                if (body > MAX_BODY_BYTES) {
+                bodyBytes += content.content().readableBytes();
+                if (bodyBytes > MAX_BODY_BYTES) {
                     send(413, "a call needs no body\n");
-                } else if (part instanceof LastHttpContent && !handled && !answered) {
-                    handled = true;
-                    unfinished.remove(this);
-                    call();
+                } else if (part instanceof LastHttpContent && !complete && !answered) {
+                    complete = true;
+                    incomplete.remove(this);
+                    handleCall();
                 }
             }
         }
 
-        private void call() {
+        private void handleCall() {
             try {
                 handler.handle(head.method().name(), new QueryStringDecoder(head.uri()).path(), this);
             } catch (IllegalArgumentException e) {
@@ -167,7 +170,7 @@
                 return;
             }
             answered = true;
-            unfinished.remove(this);
+            incomplete.remove(this);
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(status),
@@ -181,26 +184,28 @@
 
         private void onTimeout() {
             if (answered) {
-                close(); // its caller does not read
+                // the caller has not read the answer
+                close();
             } else {
-                send(handled ? 500 : 408, handled ? "not done in time\n" : "the call did not come whole\n");
+                send(complete ? 500 : 408, complete ? "not done in time\n" : "the call did not come whole\n");
             }
         }
 
         void close() {
-            unfinished.remove(this);
+            incomplete.remove(this);
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            unfinished.remove(this);
+            incomplete.remove(this);
             timer.cancel(false);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            close(); // a caller that broke its connection: nobody is left to be told
+            // the connection failed, so no answer can be delivered
+            close();
         }
     }
 }
--- a/src/main/java/saffronferry/wire/Dialer.java
+++ b/src/main/java/saffronferry/wire/Dialer.java
@@ -24,23 +24,23 @@
 import saffronferry.ops.ControlSpend;
 import saffronferry.ops.ControlSpend.Kind;
 
-/** Opens a connection for each request that goes out, within what its purpose may hold. */
+/** Opens one connection per outgoing request, within the file descriptor budget of the purpose. */
 final class Dialer {
-    /** What a request meets where its purpose has no descriptor left. */
-    private static final SocketException NONE_LEFT = new NoneLeft();
+    /** The failure of a request whose purpose has no file descriptor left. */
+    private static final SocketException NO_DESCRIPTOR_LEFT = new NoDescriptorLeftException();
 
     private final EventLoop loop;
     private final HttpClient client;
     private final Descriptors descriptors;
     private final Purpose purpose;
-    /** Null where nobody counts what goes over these connections. */
+    /** Null if the traffic of these connections is not counted. */
     private final ByteCounter counter;
 
-    /** Made once and without a trace: it is thrown when there is little to make anything with. */
-    private static final class NoneLeft extends SocketException {
+    /** Created once and without a stack trace, since it is used when resources are exhausted. */
+    private static final class NoDescriptorLeftException extends SocketException {
         private static final long serialVersionUID = 1L;
 
-        NoneLeft() {
+        NoDescriptorLeftException() {
             super("Too many open files: none left for this purpose");
         }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Counts what goes over a connection, heads included: it stands next to the socket. */
+    /** Counts the bytes of a connection including HTTP heads; placed directly at the socket. */
     @ChannelHandler.Sharable
     private static final class ByteCounter extends ChannelDuplexHandler {
         private final ControlSpend spend;
@@ -91,20 +91,25 @@
                         purpose == Purpose.DISCOVERY ? Kind.LISTS : Kind.PROBES);
     }
 
-    /** Tells of the request once it may be written, or why there is none. */
+    /** Opens a connection and passes on the request once it may be written, or the cause of the failure. */
     void dial(
-            HttpMethod method, Address at, String uri, Consumer<HttpClientRequest> opened, Consumer<Throwable> failed) {
+            HttpMethod method,
+            Address address,
+            String uri,
+            Consumer<HttpClientRequest> opened,
+            Consumer<Throwable> failed) {
         if (!descriptors.take(purpose)) {
-            failed.accept(NONE_LEFT);
+            failed.accept(NO_DESCRIPTOR_LEFT);
             return;
         }
-        RequestOptions to =
-                new RequestOptions().setMethod(method).setHost(at.host()).setPort(at.port());
-        client.request(to.setURI(uri))
+        RequestOptions options =
+                new RequestOptions().setMethod(method).setHost(address.host()).setPort(address.port());
+        client.request(options.setURI(uri))
                 .onSuccess(request -> {
                     releaseAtEndOf(request.connection());
                     if (counter != null) {
-                        channel(request.connection()).pipeline().addFirst(counter); // before a byte has come or gone
+                        // before any byte is read or written
+                        channel(request.connection()).pipeline().addFirst(counter);
                     }
                     opened.accept(request);
                 })
@@ -115,10 +120,10 @@
     }
 
     /**
-     * Gives a request up, and its connection with it. To reset one that was never written is not enough: the
-     * library then leaves the connection open, and nobody would use or close it any more.
+     * Cancels a request and closes its connection. Resetting a request that was never written is not enough: the
+     * library then leaves the connection open, which would leak it.
      */
-    static void drop(HttpClientRequest request) {
+    static void abort(HttpClientRequest request) {
         request.reset();
         request.connection().close();
     }
@@ -135,10 +140,13 @@
         BoundedTransport.afterNextSelect(loop, () -> descriptors.release(purpose));
     }
 
-    /** Guards a subchannel against being blamed where it was we who had no descriptor left, or no port. */
-    static Outcome unopened(Throwable cause) {
+    /**
+     * The outcome of an attempt whose connection could not be opened: {@code NOT_SENT} if this process had no file
+     * descriptor or port left, which must not count as a failure of the subchannel.
+     */
+    static Outcome connectFailureOutcome(Throwable cause) {
         for (Throwable t = cause; t != null; t = t.getCause()) {
-            // the library wraps the failure to make a socket
+            // the library wraps the exception of the socket's creation
             if (t instanceof BindException || String.valueOf(t.getMessage()).contains("open files")) {
                 return Outcome.NOT_SENT;
             }
--- a/src/main/java/saffronferry/wire/DiscoveryWatch.java
+++ b/src/main/java/saffronferry/wire/DiscoveryWatch.java
@@ -15,84 +15,87 @@
 import saffronferry.log.BoundedLog;
 import saffronferry.state.ListUpdate;
 
-/** Keeps one watch on discovery's list. Any end, silence too, is told once; others ask again. */
+/** A watch on discovery's list. Each end, including a timeout, is reported once; the listener decides on a retry. */
 final class DiscoveryWatch {
-    /** Only a whole line is a sign of life: half a one may never end. */
-    private static final long SILENCE_MS = CallPace.SILENCE / 1000;
+    /** Restarted only by complete lines, since a partial line may never be completed. */
+    private static final long SILENCE_TIMEOUT_MS = CallPace.SILENCE / 1000;
 
-    private static final long FIRST_LIST_MS = CallPace.FIRST_LIST / 1000;
-    /** What ends sooner than this after the call, with nothing told, has not waited in the queue. */
-    private static final long AT_ONCE_MS = 500;
+    private static final long FIRST_LIST_TIMEOUT_MS = CallPace.FIRST_LIST / 1000;
+    /** A call that ends within this time and without a list has not waited in discovery's queue. */
+    private static final long IMMEDIATE_END_MS = 500;
 
-    private static final int MOST_LINE = 4 * 1024 * 1024;
-    private static final int CONNECT_MS = 1_000;
+    private static final int MAX_LINE_BYTES = 4 * 1024 * 1024;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private final Vertx vertx;
     private final Dialer dialer;
     private Address discovery;
     private final ListParser parser;
     private final Consumer<ListUpdate> listener;
-    private final Consumer<WatchEnd> lost;
+    private final Consumer<WatchEnd> endListener;
     private final BoundedLog log;
     private Watch current;
-    private final Promise<Void> firstWord = Promise.promise();
-    /** Whether this discovery has told nothing yet, so that the revision held is another's. */
-    private boolean strange;
+    private final Promise<Void> firstResult = Promise.promise();
+    /** Whether this discovery service has sent no list yet, so that the known revision is that of another one. */
+    private boolean revisionFromOtherDiscovery;
 
     DiscoveryWatch(
             Vertx vertx,
             Address discovery,
             ListParser parser,
             Consumer<ListUpdate> listener,
-            Consumer<WatchEnd> lost,
+            Consumer<WatchEnd> endListener,
             Descriptors descriptors,
             BoundedLog log) {
         this.vertx = vertx;
         this.discovery = discovery;
         this.parser = parser;
         this.listener = listener;
-        this.lost = lost;
+        this.endListener = endListener;
         this.log = log;
         dialer = new Dialer(
                 vertx,
                 vertx.createHttpClient(new HttpClientOptions()
                         .setKeepAlive(false)
                         .setMaxPoolSize(4)
-                        .setConnectTimeout(CONNECT_MS)),
+                        .setConnectTimeout(CONNECT_TIMEOUT_MS)),
                 descriptors,
                 Purpose.DISCOVERY);
     }
 
     /** Completes with the first list, or when discovery turns out to be unreachable. */
-    Future<Void> firstWord() {
-        return firstWord.future();
+    Future<Void> firstResult() {
+        return firstResult.future();
     }
 
-    /** Watches from a revision on. One that is under way goes on: asking twice would queue behind it. */
+    /**
+     * Starts a watch from a revision on. An active watch continues: a second call would only queue behind it.
+     */
     void start(long revision) {
-        if (current != null && !current.over) {
+        if (current != null && !current.ended) {
             return;
         }
         current = new Watch();
         dialer.dial(
                 HttpMethod.GET,
                 discovery,
-                "/discovery/hosts?watch=1&from=" + (strange ? 0 : revision),
+                "/discovery/hosts?watch=1&from=" + (revisionFromOtherDiscovery ? 0 : revision),
                 current::connected,
                 current::end);
     }
 
     /**
-     * Goes over to another discovery at once. It is asked from the first revision on, since its count need
-     * not be that of the one before: from a number that it has not reached, it might leave changes out.
+     * Switches to another discovery service immediately. Its list is requested from the first revision on, since the
+     * two services may count revisions differently: given a revision that it has not reached, the new one might omit
+     * changes.
      */
-    void follow(Address next) {
+    void switchTo(Address next) {
         if (next.equals(discovery)) {
             return;
         }
         log.line("discovery", "now " + next + ", formerly " + discovery);
         discovery = next;
-        strange = true;
+        revisionFromOtherDiscovery = true;
         if (current != null) {
             stop();
             start(0);
@@ -107,45 +110,45 @@
     }
 
     private final class Watch {
-        private final LineSplitter lines = new LineSplitter(MOST_LINE, this::line);
+        private final LineSplitter lines = new LineSplitter(MAX_LINE_BYTES, this::line);
         private HttpClientRequest request;
-        private boolean over;
-        /** None yet: the library counts timers from 0, and another one may have that number. */
-        private long silence = -1;
+        private boolean ended;
+        /** -1 for no timer: the library numbers timers from 0. */
+        private long silenceTimer = -1;
 
-        private final long calledAt = System.nanoTime();
-        private boolean told;
+        private final long startNanos = System.nanoTime();
+        private boolean listReceived;
 
         Watch() {
-            await(FIRST_LIST_MS);
+            restartSilenceTimer(FIRST_LIST_TIMEOUT_MS);
         }
 
-        /** Guards against a watch that is cut off without a word: a new one must start within the limit. */
-        private void await(long ms) {
-            vertx.cancelTimer(silence);
-            silence = vertx.setTimer(ms, t -> ended(new IllegalStateException("silence"), true));
+        /** Ends the watch after the timeout, since a connection may break without any notification. */
+        private void restartSilenceTimer(long ms) {
+            vertx.cancelTimer(silenceTimer);
+            silenceTimer = vertx.setTimer(ms, t -> end(new IllegalStateException("silence"), true));
         }
 
-        void connected(HttpClientRequest r) {
-            request = r;
-            if (over) {
-                Dialer.drop(r);
+        void connected(HttpClientRequest connectedRequest) {
+            request = connectedRequest;
+            if (ended) {
+                Dialer.abort(connectedRequest);
                 return;
             }
-            r.exceptionHandler(this::end);
-            r.response().onSuccess(this::answered).onFailure(this::end);
-            r.end();
+            connectedRequest.exceptionHandler(this::end);
+            connectedRequest.response().onSuccess(this::onResponse).onFailure(this::end);
+            connectedRequest.end();
         }
 
-        private void answered(HttpClientResponse response) {
+        private void onResponse(HttpClientResponse response) {
             response.exceptionHandler(this::end);
             if (response.statusCode() != 200) {
                 end(new IllegalStateException("status " + response.statusCode()));
                 return;
             }
-            response.endHandler(v -> end(new IllegalStateException("end of the answer")));
+            response.endHandler(v -> end(new IllegalStateException("end of the response")));
             response.handler(chunk -> {
-                if (!over) {
+                if (!ended) {
                     try {
                         lines.feed(chunk);
                     } catch (IllegalArgumentException e) {
@@ -156,51 +159,51 @@
         }
 
         private void line(String line) {
-            if (over) {
+            if (ended) {
                 return;
             }
-            // guards against a call that tells no list and yet goes on: the first line of a watch holds one
-            if (told || !line.isEmpty()) {
-                await(SILENCE_MS);
+            // the first line of a watch contains the list; empty lines before it do not extend the timeout
+            if (listReceived || !line.isEmpty()) {
+                restartSilenceTimer(SILENCE_TIMEOUT_MS);
             }
             if (!line.isEmpty()) {
-                ListUpdate update = parser.parse(line, bad -> log.line("list entry left out", bad));
-                strange = false;
-                told = true;
+                ListUpdate update = parser.parse(line, invalid -> log.line("list entry left out", invalid));
+                revisionFromOtherDiscovery = false;
+                listReceived = true;
                 listener.accept(update);
-                firstWord.tryComplete();
+                firstResult.tryComplete();
             }
         }
 
         private void end(Throwable cause) {
-            ended(cause, false);
+            end(cause, false);
         }
 
-        private void ended(Throwable cause, boolean silent) {
-            if (!over) {
+        private void end(Throwable cause, boolean timedOut) {
+            if (!ended) {
                 close();
-                log.line("watch lost", String.valueOf(cause.getMessage()));
-                WatchEnd how = how(silent);
-                lost.accept(how);
-                if (how == WatchEnd.DOWN) {
-                    firstWord.tryComplete();
+                log.line("discovery watch ended", String.valueOf(cause.getMessage()));
+                WatchEnd watchEnd = classifyEnd(timedOut);
+                endListener.accept(watchEnd);
+                if (watchEnd == WatchEnd.DOWN) {
+                    firstResult.tryComplete();
                 }
             }
         }
 
-        private WatchEnd how(boolean silent) {
-            if (told) {
-                return silent ? WatchEnd.SILENT : WatchEnd.ENDED;
+        private WatchEnd classifyEnd(boolean timedOut) {
+            if (listReceived) {
+                return timedOut ? WatchEnd.SILENT : WatchEnd.ENDED;
             }
-            boolean atOnce = System.nanoTime() - calledAt < AT_ONCE_MS * 1_000_000;
-            return request == null || atOnce ? WatchEnd.DOWN : WatchEnd.LATE;
+            boolean immediate = System.nanoTime() - startNanos < IMMEDIATE_END_MS * 1_000_000;
+            return request == null || immediate ? WatchEnd.DOWN : WatchEnd.LATE;
         }
 
         void close() {
-            over = true;
-            vertx.cancelTimer(silence);
+            ended = true;
+            vertx.cancelTimer(silenceTimer);
             if (request != null) {
-                Dialer.drop(request);
+                Dialer.abort(request);
             }
         }
     }
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -22,9 +22,16 @@
 import saffronferry.state.OutboundOperations;
 import saffronferry.state.RpcCoordinator;
 
-/** Joins what is spoken on the sockets with what is kept in memory. */
+/** The network side of a dispatcher: connects its sockets with the in-memory state of the RPC coordinator. */
 public final class DispatcherNetwork implements OutboundOperations<ForwardedRequest> {
-    /** Names and figures that the speakers need. */
+    /**
+     * Configuration of the network side.
+     *
+     * @param peerListen address for datagrams of peers, or null for none
+     * @param freeSlots name of the load report field with the free slots, or null for none
+     * @param connectTimeout for connections to subchannels, in seconds
+     * @param listPushed whether the balancer expects list updates without asking for them
+     */
     public record Options(
             Address discovery,
             Address peerListen,
@@ -36,10 +43,10 @@
             double connectTimeout,
             boolean listPushed) {}
 
-    private static final long WARM_UP_MS = 500;
-    private static final int MOST_WARM_UPS = 8;
-    /** Of the 10 s in which a restarted process is to serve, the start itself takes the rest. */
-    private static final long FIRST_LIST_MS = 5_000;
+    private static final long WARM_UP_TIMEOUT_MS = 500;
+    private static final int MAX_WARM_UP_REQUESTS = 8;
+    /** A restarted process must serve within 10 s; the rest of that time is for the start itself. */
+    private static final long FIRST_LIST_TIMEOUT_MS = 5_000;
 
     private final Vertx vertx;
     private final BoundedLog log;
@@ -55,7 +62,7 @@
 
     public DispatcherNetwork(
             Vertx vertx,
-            Options o,
+            Options options,
             Balancer balancer,
             Figures figures,
             Descriptors descriptors,
@@ -64,97 +71,97 @@
         this.vertx = vertx;
         this.log = log;
         this.transport = transport;
-        peerListen = o.peerListen();
-        listPushed = o.listPushed();
+        peerListen = options.peerListen();
+        listPushed = options.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
         AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new News.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
-        subchannelClient =
-                new SubchannelClient(vertx, o.connectTimeout(), new LoadReportParser(o.freeSlots()), descriptors, room, log);
+        subchannelClient = new SubchannelClient(
+                vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
         discoveryWatch = new DiscoveryWatch(
                 vertx,
-                o.discovery(),
-                o.lists(),
-                u -> coordinator.onListUpdate(u, false),
-                how -> coordinator.report(new News.WatchLost(how)),
+                options.discovery(),
+                options.lists(),
+                update -> coordinator.onListUpdate(update, false),
+                end -> coordinator.report(new News.WatchLost(end)),
                 descriptors,
                 log);
-        peerSocket = new PeerSocket(vertx, o.peers(), (peer, bytes) -> heard(peer, bytes), transport.controlSpend(), log);
-        channelServer = new ChannelServer(vertx, new RpcParser(o.classes(), o.tenants()), coordinator, transport, figures, log);
+        peerSocket = new PeerSocket(vertx, options.peers(), this::onDatagram, transport.controlSpend(), log);
+        channelServer = new ChannelServer(vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, figures, log);
     }
 
-    /** Opens the peers' socket, which the first decisions already use; then takes the known list in. */
+    /** Opens the peer socket, which the first decisions already use, and then applies the known list. */
     public Future<?> start(ListUpdate known) {
-        Future<?> open = peerListen == null ? Future.succeededFuture() : peerSocket.listen(peerListen);
-        return open.onSuccess(v -> {
+        Future<?> opened = peerListen == null ? Future.succeededFuture() : peerSocket.listen(peerListen);
+        return opened.onSuccess(v -> {
             coordinator.onListUpdate(known, true);
             if (listPushed) {
-                // nobody asks for what is pushed, but on sockets it comes on a watch, too
+                // the balancer does not request a watch in this mode, but the updates come from a watch as well
                 discoveryWatch.start(known.revision());
             }
         });
     }
 
     /**
-     * Completes once discovery has told its list, cannot be reached, or has let us wait for five seconds. The
-     * list that a process starts with may be as old as its machine was away: what changed meanwhile counts as
-     * told from the first request on, so none should come before.
+     * Completes once discovery has sent its list, is unreachable, or has not answered for five seconds. The list that a
+     * process starts with may be outdated by the downtime of its machine. The process is expected to know the changes
+     * since then from the first request on, so it should get no request before.
      */
     public Future<Void> awaitFirstList() {
         Promise<Void> done = Promise.promise();
-        discoveryWatch.firstWord().onComplete(v -> done.tryComplete());
-        vertx.setTimer(FIRST_LIST_MS, t -> done.tryComplete());
+        discoveryWatch.firstResult().onComplete(v -> done.tryComplete());
+        vertx.setTimer(FIRST_LIST_TIMEOUT_MS, t -> done.tryComplete());
         return done.future();
     }
 
     /**
-     * Sends our own server a request that it turns away, over the path that call attempts take: the classes
-     * of both sides are loaded before the first client's request would have to wait for that.
+     * Sends this process's own server a request that it rejects, through the code that serves call attempts, so that
+     * the classes of both sides are loaded before the first client's request.
      */
     public Future<Void> warmUp(Address self) {
         Promise<Void> done = Promise.promise();
-        warmUp(self, done, MOST_WARM_UPS);
-        vertx.setTimer(WARM_UP_MS, t -> done.tryComplete());
+        warmUp(self, done, MAX_WARM_UP_REQUESTS);
+        vertx.setTimer(WARM_UP_TIMEOUT_MS, t -> done.tryComplete());
         return done.future();
     }
 
-    private void warmUp(Address self, Promise<Void> done, int left) {
+    private void warmUp(Address self, Promise<Void> done, int requestsLeft) {
         ForwardedRequest message = new ForwardedRequest(HttpMethod.POST, "/", "warm-up", null, Buffer.buffer(), 0);
         subchannelClient.start(message, self.toString(), 0, CallAttempt.withoutRpc(() -> {
-            // guards against a start that is cold since the process to be replaced has had the request
-            if (channelServer.hasReceivedRequest() || left <= 1) {
+            // the process to be replaced shares the address and may have received the request instead
+            if (channelServer.hasReceivedRequest() || requestsLeft <= 1) {
                 done.tryComplete();
             } else {
-                warmUp(self, done, left - 1);
+                warmUp(self, done, requestsLeft - 1);
             }
         }));
     }
 
-    /** Another process serves at our addresses: takes what waits there, and leaves them to it. */
+    /** Accepts the connections waiting in the backlog and leaves the addresses to another process that serves there. */
     public void handOverListeners() {
         peerSocket.close();
         transport.handOverClientListener();
     }
 
-    /** This process ends: takes what waits at our address, and lets no further connection come. */
+    /** Accepts the connections waiting in the backlog and then no further ones, as the process is ending. */
     public void stopAccepting() {
         transport.handOverClientListener();
     }
 
-    /** The other process is gone: listens at our addresses again. */
-    public void resumeListening(Address clients) {
-        transport.resumeClientListener(new InetSocketAddress(clients.host(), clients.port()));
+    /** Listens at the addresses again after the other process has ended. */
+    public void resumeListening(Address clientListen) {
+        transport.resumeClientListener(new InetSocketAddress(clientListen.host(), clientListen.port()));
         if (peerListen != null) {
-            peerSocket.listen(peerListen).onFailure(e -> log.line("peer socket", String.valueOf(e.getMessage())));
+            peerSocket.listen(peerListen).onFailure(e -> log.line("peer socket error", String.valueOf(e.getMessage())));
         }
     }
 
-    /** Has datagrams that speak of settings told; where nobody asks for them they are dropped unread. */
+    /** Sets the listener for datagrams about settings; without one, they go to the balancer, which drops them unread. */
     public void onSettingsDatagram(BiConsumer<Integer, byte[]> listener) {
         settingsListener = listener;
     }
 
-    private void heard(int peer, byte[] bytes) {
+    private void onDatagram(int peer, byte[] bytes) {
         if (settingsListener != null && Gossip.speaksOfSettings(bytes)) {
             settingsListener.accept(peer, bytes);
         } else {
@@ -162,9 +169,9 @@
         }
     }
 
-    /** Asks another discovery from now on; the list held, the subchannels and the RPCs stay. */
+    /** Uses another discovery service from now on; the known list, the subchannels and the RPCs are kept. */
     public void switchDiscovery(Address next) {
-        discoveryWatch.follow(next);
+        discoveryWatch.switchTo(next);
     }
 
     public ChannelServer server() {
@@ -176,8 +183,8 @@
     }
 
     @Override
-    public Runnable startAttempt(ForwardedRequest message, String address, long remaining, CallAttempt attempt) {
-        return subchannelClient.start(message, address, remaining, attempt);
+    public Runnable startAttempt(ForwardedRequest message, String address, long remainingMicros, CallAttempt attempt) {
+        return subchannelClient.start(message, address, remainingMicros, attempt);
     }
 
     @Override
@@ -190,7 +197,7 @@
 
     @Override
     public void sendToPeer(int peer, byte[] bytes) {
-        peerSocket.tell(peer, bytes);
+        peerSocket.send(peer, bytes);
     }
 
     @Override
@@ -199,8 +206,8 @@
     }
 
     @Override
-    public long schedule(long delay, Runnable what) {
-        return vertx.setTimer(Math.max(1, (delay + 999) / 1000), t -> what.run());
+    public long schedule(long delayMicros, Runnable action) {
+        return vertx.setTimer(Math.max(1, (delayMicros + 999) / 1000), t -> action.run());
     }
 
     @Override
--- a/src/main/java/saffronferry/wire/ForwardedRequest.java
+++ b/src/main/java/saffronferry/wire/ForwardedRequest.java
@@ -4,8 +4,11 @@
 import io.vertx.core.http.HttpMethod;
 
 /**
- * What of a client's request passes on to a subchannel unchanged; {@code idempotencyKey} may be null. {@code
- * arriving}: microseconds from its first byte to its last one. A client counts how long it will wait from
- * when it sent the request, while the time in which it is owed an answer counts from the last byte.
+ * The parts of a client's request that are forwarded to a subchannel unchanged.
+ *
+ * @param idempotencyKey the value of the header, or null
+ * @param arrivalMicros the time from the request's first byte to its last one; clients measure their remaining time
+ *     from the start of the request, while the deadline of the RPC is measured from the last byte
  */
-record ForwardedRequest(HttpMethod method, String uri, String txn, String idempotencyKey, Buffer body, long arriving) {}
+record ForwardedRequest(
+        HttpMethod method, String uri, String txn, String idempotencyKey, Buffer body, long arrivalMicros) {}
--- a/src/main/java/saffronferry/wire/LineSplitter.java
+++ b/src/main/java/saffronferry/wire/LineSplitter.java
@@ -6,59 +6,63 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Cuts a chunked answer into lines, however its chunks fall. */
+/** Splits a response into lines, independently of its division into chunks. */
 final class LineSplitter {
     private static final byte LINE_FEED = '\n';
-    /** What a usual line takes; a larger buffer goes with the line that needed it. */
-    private static final int USUAL = 64 * 1024;
+    /** Enough for most lines; a buffer that has grown larger is released after its line. */
+    private static final int MAX_KEPT_BUFFER_BYTES = 64 * 1024;
 
-    private final int most;
+    private final int maxLineBytes;
     private final Consumer<String> sink;
-    /** The beginning of a line whose end is yet to come. */
-    private ByteBuf rest = Unpooled.buffer();
+    /** The beginning of a line whose end has not arrived. */
+    private ByteBuf partialLine = Unpooled.buffer();
 
-    /** A line longer than so many bytes is an {@link IllegalArgumentException}: memory is bounded. */
-    LineSplitter(int most, Consumer<String> sink) {
-        this.most = most;
+    /**
+     * Creates a splitter that passes each line to {@code sink}. To bound memory, a longer line than {@code
+     * maxLineBytes} causes an {@link IllegalArgumentException}.
+     */
+    LineSplitter(int maxLineBytes, Consumer<String> sink) {
+        this.maxLineBytes = maxLineBytes;
         this.sink = sink;
     }
 
-    @SuppressWarnings("deprecation") // the only access to the bytes without a copy
+    // getByteBuf is the only access to the bytes without a copy
+    @SuppressWarnings("deprecation")
     void feed(Buffer chunk) {
         ByteBuf bytes = chunk.getByteBuf();
         int from = bytes.readerIndex();
         int end = bytes.writerIndex();
-        for (int at = next(bytes, from, end); at >= 0; at = next(bytes, from, end)) {
+        for (int at = nextLineFeed(bytes, from, end); at >= 0; at = nextLineFeed(bytes, from, end)) {
             String line;
-            if (rest.isReadable()) {
-                rest.writeBytes(bytes, from, at - from);
-                line = takeRest();
+            if (partialLine.isReadable()) {
+                partialLine.writeBytes(bytes, from, at - from);
+                line = takePartialLine();
             } else {
                 line = bytes.toString(from, at - from, StandardCharsets.UTF_8);
             }
             from = at + 1;
             sink.accept(line.strip());
         }
-        rest.writeBytes(bytes, from, end - from);
-        if (rest.readableBytes() > most) {
-            throw new IllegalArgumentException("a line of more than " + most + " bytes");
+        partialLine.writeBytes(bytes, from, end - from);
+        if (partialLine.readableBytes() > maxLineBytes) {
+            throw new IllegalArgumentException("a line has more than " + maxLineBytes + " bytes");
         }
     }
 
-    private static int next(ByteBuf bytes, int from, int end) {
+    private static int nextLineFeed(ByteBuf bytes, int from, int end) {
         return from < end ? bytes.indexOf(from, end, LINE_FEED) : -1;
     }
 
-    private String takeRest() {
-        String line = rest.toString(StandardCharsets.UTF_8);
-        rest = rest.capacity() > USUAL ? Unpooled.buffer() : rest.clear();
+    private String takePartialLine() {
+        String line = partialLine.toString(StandardCharsets.UTF_8);
+        partialLine = partialLine.capacity() > MAX_KEPT_BUFFER_BYTES ? Unpooled.buffer() : partialLine.clear();
         return line;
     }
 
-    /** At the end of the answer: a last line may lack its line feed. */
+    /** Ends the response: its last line may lack a line feed. */
     void end() {
-        if (rest.isReadable()) {
-            sink.accept(takeRest().strip());
+        if (partialLine.isReadable()) {
+            sink.accept(takePartialLine().strip());
         }
     }
 }
--- a/src/main/java/saffronferry/wire/ListParser.java
+++ b/src/main/java/saffronferry/wire/ListParser.java
@@ -13,12 +13,12 @@
 import saffronferry.state.ListUpdate;
 
 /**
- * Reads discovery's lists, one JSON object each, token by token: as a tree the list of a large fleet takes
- * many times the memory of its text, more than all else that a dispatcher holds.
+ * Parses the lists of discovery, one JSON object each, token by token: as a tree, the list of a large fleet would take
+ * many times the memory of its text and more than all other data of a dispatcher.
  */
 public final class ListParser {
     private static final JsonFactory JSON = JsonFactory.builder()
-            // guards against two lists in one: which of two members of a name counts would be chance
+            // with duplicate fields, it would be arbitrary which of two lists counts
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
 
@@ -31,10 +31,11 @@
     }
 
     /**
-     * Reads a list. An entry that cannot be read costs that entry only, and is told of; a list that cannot is
-     * an {@link IllegalArgumentException} that says what is malformed.
+     * Parses a list. An invalid entry is left out and reported to {@code invalidEntries}.
+     *
+     * @throws IllegalArgumentException if the list itself is malformed
      */
-    public ListUpdate parse(String json, Consumer<String> unreadable) {
+    public ListUpdate parse(String json, Consumer<String> invalidEntries) {
         try (JsonParser in = JSON.createParser(json)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IllegalArgumentException("no JSON object");
@@ -46,22 +47,23 @@
                 String key = in.currentName();
                 in.nextToken();
                 switch (key) {
-                    case "revision" -> revision = whole(in, key);
-                    case "complete" -> complete = flag(in, key);
-                    case "members" -> entries = members(in, unreadable);
+                    case "revision" -> revision = longValue(in, key);
+                    case "complete" -> complete = booleanValue(in, key);
+                    case "members" -> entries = members(in, invalidEntries);
                     default -> in.skipChildren();
                 }
             }
-            return new ListUpdate(there(revision, "revision"), there(complete, "complete"), there(entries, "members"));
+            return new ListUpdate(
+                    required(revision, "revision"), required(complete, "complete"), required(entries, "members"));
         } catch (IOException e) {
             throw new IllegalArgumentException(e.getMessage());
         }
     }
 
     /**
-     * Finds the object that a JSON object has under a name, so that it need not be made a tree of.
+     * Locates the object that is the value of a field of a JSON object, without building a tree of it.
      *
-     * @return where its text begins and ends; null where there is none, or the text is no JSON
+     * @return the start and end offsets of its text; null if there is no such object or the text is not valid JSON
      */
     public static int[] findObject(String json, String name) {
         try (JsonParser in = JSON.createParser(json)) {
@@ -81,48 +83,48 @@
         }
     }
 
-    private static <T> T there(T value, String key) {
+    private static <T> T required(T value, String key) {
         if (value == null) {
             throw new IllegalArgumentException("key " + key + " is missing");
         }
         return value;
     }
 
-    private static IllegalArgumentException wrong(String key, String wanted) {
-        return new IllegalArgumentException("key " + key + " is no " + wanted);
+    private static IllegalArgumentException wrongType(String key, String expected) {
+        return new IllegalArgumentException("key " + key + " is not of type " + expected);
     }
 
-    private static long whole(JsonParser in, String key) throws IOException {
+    private static long longValue(JsonParser in, String key) throws IOException {
         if (!in.currentToken().isNumeric()) {
-            throw wrong(key, "number");
+            throw wrongType(key, "number");
         }
         return in.getLongValue();
     }
 
-    private static boolean flag(JsonParser in, String key) throws IOException {
+    private static boolean booleanValue(JsonParser in, String key) throws IOException {
         if (!in.currentToken().isBoolean()) {
-            throw wrong(key, "boolean");
+            throw wrongType(key, "boolean");
         }
         return in.getBooleanValue();
     }
 
-    private List<ListUpdate.Entry> members(JsonParser in, Consumer<String> unreadable) throws IOException {
+    private List<ListUpdate.Entry> members(JsonParser in, Consumer<String> invalidEntries) throws IOException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw wrong("members", "array");
+            throw wrongType("members", "array");
         }
         List<ListUpdate.Entry> entries = new ArrayList<>();
         for (int i = 0; in.nextToken() != JsonToken.END_ARRAY; i++) {
             try {
                 entries.add(entry(in));
             } catch (IllegalArgumentException e) {
-                // guards the rest of the list: asked again, discovery would only say the same again
-                unreadable.accept("entry " + i + ": " + e.getMessage());
+                // rejecting the whole list would not help: discovery would send the same list again
+                invalidEntries.accept("entry " + i + ": " + e.getMessage());
             }
         }
         return entries;
     }
 
-    /** Reads one to its end, whatever it is: what follows can be read only from there. */
+    /** Reads a value of the array to its end, even if it is no object, so that the next one can be read. */
     private ListUpdate.Entry entry(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             in.skipChildren();
@@ -148,9 +150,10 @@
                 case "cell" -> cell = (int) in.getValueAsLong();
                 default -> {}
             }
-            in.skipChildren(); // of what is neither text nor number
+            // skips an object or array
+            in.skipChildren();
         }
-        WorkerState state = switch (there(phase, "phase")) {
+        WorkerState state = switch (required(phase, "phase")) {
             case "SERVING" -> WorkerState.IN_SERVICE;
             case "DRAINING" -> WorkerState.DRAINING;
             case "DELETED" -> WorkerState.GONE;
@@ -160,10 +163,10 @@
             Address.parse(address);
         }
         return new ListUpdate.Entry(
-                new WorkerInfo(there(id, "id"), state, kind, zone, startedMs * 1000, cell), address);
+                new WorkerInfo(required(id, "id"), state, kind, zone, startedMs * 1000, cell), address);
     }
 
-    /** Null where it is none. */
+    /** The current value, or null if it is not a string. */
     private static String text(JsonParser in) throws IOException {
         return in.currentToken() == JsonToken.VALUE_STRING ? in.getText() : null;
     }
--- a/src/main/java/saffronferry/wire/LoadReportParser.java
+++ b/src/main/java/saffronferry/wire/LoadReportParser.java
@@ -5,16 +5,16 @@
 import org.json.JSONObject;
 import saffronferry.Contract.Report;
 
-/** Reads load reports: {@code inflight=7,queue=2} in a header or body, or an object of a worker's line. */
+/** Parses load reports: {@code inflight=7,queue=2} in a header or body, or an object in a worker's response line. */
 final class LoadReportParser {
     private final String freeSlots;
 
-    /** The name of the field that holds free slots; null where there is none. */
+    /** Creates a parser; {@code freeSlots} is the name of the field with the free slots, or null if there is none. */
     LoadReportParser(String freeSlots) {
         this.freeSlots = freeSlots;
     }
 
-    /** Null if the text is null or holds no figure that is known. */
+    /** Returns null if the text is null or has no known field. */
     Report parse(String text) {
         if (text == null) {
             return null;
@@ -28,14 +28,14 @@
                             part.substring(0, at).trim(),
                             Double.valueOf(part.substring(at + 1).trim()));
                 } catch (NumberFormatException e) {
-                    // a field that is no number says nothing; the others still count
+                    // a field that is not a number is ignored; the others still count
                 }
             }
         }
         return report(values);
     }
 
-    /** Null if there is no object or it holds no figure that is known. */
+    /** Returns null if the object is null or has no known field. */
     Report parse(JSONObject load) {
         if (load == null) {
             return null;
@@ -46,15 +46,16 @@
     }
 
     private Report report(Map<String, Double> values) {
-        // guards against a worker that has not measured yet: idle, it would not be without a free slot
+        // a worker without measurements reports zeros only; an idle worker would report free slots
         if (values.values().stream().allMatch(v -> v == 0)) {
             return null;
         }
-        Report r = new Report(
+        Report report = new Report(
                 values.getOrDefault("inflight", Double.NaN),
                 values.getOrDefault("queue", Double.NaN),
                 values.getOrDefault(freeSlots, Double.NaN));
-        boolean nothing = Double.isNaN(r.held()) && Double.isNaN(r.queued()) && Double.isNaN(r.freeSlots());
-        return nothing ? null : r;
+        boolean empty =
+                Double.isNaN(report.held()) && Double.isNaN(report.queued()) && Double.isNaN(report.freeSlots());
+        return empty ? null : report;
     }
 }
--- a/src/main/java/saffronferry/wire/PeerSocket.java
+++ b/src/main/java/saffronferry/wire/PeerSocket.java
@@ -14,41 +14,45 @@
 import saffronferry.ops.ControlSpend;
 import saffronferry.ops.ControlSpend.Kind;
 
-/** Datagrams to and from the other dispatchers; a peer's number is its place in the configuration's list. */
+/** Datagrams to and from the other dispatchers. A peer's number is its index in the configured list. */
 final class PeerSocket {
-    static final int MOST_BYTES = 256;
+    static final int MAX_DATAGRAM_BYTES = 256;
 
     private final Vertx vertx;
     private DatagramSocket socket;
     private final List<Address> peers;
-    private final Map<String, Integer> numbers = new HashMap<>();
-    private final BiConsumer<Integer, byte[]> heard;
+    private final Map<String, Integer> numbersByAddress = new HashMap<>();
+    private final BiConsumer<Integer, byte[]> receiver;
     private final BoundedLog log;
     private final ControlSpend spend;
     private boolean closed = true;
 
     PeerSocket(
-            Vertx vertx, List<Address> peers, BiConsumer<Integer, byte[]> heard, ControlSpend spend, BoundedLog log) {
+            Vertx vertx,
+            List<Address> peers,
+            BiConsumer<Integer, byte[]> receiver,
+            ControlSpend spend,
+            BoundedLog log) {
         this.peers = peers;
-        this.heard = heard;
+        this.receiver = receiver;
         this.spend = spend;
         this.log = log;
         for (int i = 0; i < peers.size(); i++) {
-            numbers.put(peers.get(i).toString(), i);
+            numbersByAddress.put(peers.get(i).toString(), i);
         }
         this.vertx = vertx;
     }
 
-    /** Opens the socket, after {@link #close} too. */
-    Future<?> listen(Address at) {
+    /** Opens the socket; may be called again after {@link #close}. */
+    Future<?> listen(Address address) {
         socket = vertx.createDatagramSocket(new DatagramSocketOptions());
-        socket.exceptionHandler(e -> log.line("peer socket", String.valueOf(e.getMessage())));
+        socket.exceptionHandler(e -> log.line("peer socket error", String.valueOf(e.getMessage())));
         socket.handler(this::receive);
         closed = false;
-        return socket.listen(at.port(), at.host());
+        return socket.listen(address.port(), address.host());
     }
 
-    /** Leaves all datagrams to another process at our address. */
+    /** Closes the socket, leaving all datagrams to another process at the same address. */
     void close() {
         if (!closed) {
             closed = true;
@@ -56,12 +60,12 @@
         }
     }
 
-    void tell(int peer, byte[] bytes) {
+    void send(int peer, byte[] bytes) {
         if (closed) {
             return;
         }
-        // guards the limit that voids a run, whoever made the message
-        if (peer < 0 || peer >= peers.size() || bytes.length > MOST_BYTES) {
+        // the protocol's size limit is enforced here for every kind of message
+        if (peer < 0 || peer >= peers.size() || bytes.length > MAX_DATAGRAM_BYTES) {
             log.line("datagram not sent", bytes.length + " bytes to peer " + peer);
             return;
         }
@@ -72,12 +76,12 @@
 
     private void receive(DatagramPacket packet) {
         spend.heard(Kind.DATAGRAMS, packet.data().length());
-        Integer peer = numbers.get(
+        Integer peer = numbersByAddress.get(
                 packet.sender().hostAddress() + ":" + packet.sender().port());
-        if (peer == null || packet.data().length() > MOST_BYTES) {
+        if (peer == null || packet.data().length() > MAX_DATAGRAM_BYTES) {
             log.line("datagram dropped", packet.data().length() + " bytes from " + packet.sender());
             return;
         }
-        heard.accept(peer, packet.data().getBytes());
+        receiver.accept(peer, packet.data().getBytes());
     }
 }
--- a/src/main/java/saffronferry/wire/PendingConnections.java
+++ b/src/main/java/saffronferry/wire/PendingConnections.java
@@ -16,21 +16,21 @@
 import saffronferry.limit.AcceptGate;
 
 /**
- * Where connections wait for their first byte. Until then there is nothing to serve, and all that one costs
- * is its descriptor and a timer: what the library sets up for each connection takes far longer, and a crowd
- * that connects, says nothing and comes again would leave no time for those that do speak.
+ * Accepted connections that have not sent their first byte. Such a connection costs only a file descriptor and a timer
+ * here. Setting it up in the library takes far longer, and a crowd of clients that connect, send nothing and reconnect
+ * would leave no time for clients with requests.
  */
 final class PendingConnections {
-    /** Takes over a connection that has spoken, with what it said so far. */
+    /** Takes over a connection together with the first bytes read from it. */
     interface FirstBytesHandler {
-        void speaks(SocketChannel socket, long since, ByteBuf said);
+        void onFirstBytes(SocketChannel socket, long connectedNanos, ByteBuf bytes);
     }
 
-    private static final int MOST_AT_FIRST = 4096;
+    private static final int MAX_FIRST_READ_BYTES = 4096;
 
     private final AcceptGate gate;
-    private final ByteBuffer buffer = ByteBuffer.allocate(MOST_AT_FIRST);
-    /** Those that have had a turn in which they could be read, the oldest first. */
+    private final ByteBuffer buffer = ByteBuffer.allocate(MAX_FIRST_READ_BYTES);
+    /** Connections that had no bytes to read in a full iteration of the event loop, the oldest first. */
     private final Set<PendingConnection> silent = new LinkedHashSet<>();
 
     private Runnable onSilent = () -> {};
@@ -39,30 +39,30 @@
         this.gate = gate;
     }
 
-    /** Calls back when a connection has been found to say nothing: room may have to be made. */
+    /** Sets the callback for a connection found to be silent, upon which room may have to be made. */
     void onSilent(Runnable listener) {
         onSilent = listener;
     }
 
-    /** Takes a connection in that has just been accepted. */
-    void enter(NioEventLoop loop, SocketChannel socket, FirstBytesHandler entrance) {
-        PendingConnection guest = new PendingConnection(loop, socket, entrance);
+    /** Adds a connection that has just been accepted. */
+    void add(NioEventLoop loop, SocketChannel socket, FirstBytesHandler handler) {
+        PendingConnection connection = new PendingConnection(loop, socket, handler);
         try {
             socket.configureBlocking(false);
-            loop.register(socket, SelectionKey.OP_READ, guest);
+            loop.register(socket, SelectionKey.OP_READ, connection);
         } catch (IOException | RuntimeException e) {
-            guest.close();
+            connection.close();
             return;
         }
-        BoundedTransport.afterNextSelect(loop, guest::hadATurn);
+        BoundedTransport.afterNextSelect(loop, connection::markSilent);
     }
 
-    /** Since when, as {@code System.nanoTime} counts, the oldest has been silent; null where none is. */
-    Long oldestSince() {
-        return silent.isEmpty() ? null : silent.iterator().next().since;
+    /** When the oldest silent connection was accepted, as {@code System.nanoTime} counts; null if there is none. */
+    Long oldestConnectedNanos() {
+        return silent.isEmpty() ? null : silent.iterator().next().connectedNanos;
     }
 
-    /** Closes the one that has been silent longest; false where all have spoken or are yet to have a turn. */
+    /** Closes the connection that has been silent longest; returns false if there is none. */
     boolean closeOldest() {
         if (silent.isEmpty()) {
             return false;
@@ -71,24 +71,24 @@
         return true;
     }
 
-    /** One connection that has said nothing yet. */
+    /** A connection that has not sent its first byte. */
     private final class PendingConnection implements NioTask<SelectableChannel> {
         private final NioEventLoop loop;
         private final SocketChannel socket;
-        private final FirstBytesHandler entrance;
-        private final long since = System.nanoTime();
+        private final FirstBytesHandler handler;
+        private final long connectedNanos = System.nanoTime();
         private final Future<?> timer;
-        private boolean gone;
+        private boolean removed;
 
-        PendingConnection(NioEventLoop loop, SocketChannel socket, FirstBytesHandler entrance) {
+        PendingConnection(NioEventLoop loop, SocketChannel socket, FirstBytesHandler handler) {
             this.loop = loop;
             this.socket = socket;
-            this.entrance = entrance;
-            timer = loop.schedule(this::close, ClientConnections.REQUEST_MS, TimeUnit.MILLISECONDS);
+            this.handler = handler;
+            timer = loop.schedule(this::close, ClientConnections.REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
-        void hadATurn() {
-            if (!gone) {
+        void markSilent() {
+            if (!removed) {
                 silent.add(this);
                 onSilent.run();
             }
@@ -96,18 +96,18 @@
 
         @Override
         public void channelReady(SelectableChannel ch, SelectionKey key) {
-            int read;
+            int bytesRead;
             buffer.clear();
             try {
-                read = socket.read(buffer);
+                bytesRead = socket.read(buffer);
             } catch (IOException e) {
-                read = -1;
+                bytesRead = -1;
             }
-            if (read < 0) {
+            if (bytesRead < 0) {
                 close();
-            } else if (read > 0 && leave()) {
-                // the key stays: the library takes it over when it registers the same socket
-                entrance.speaks(socket, since, Unpooled.copiedBuffer(buffer.flip()));
+            } else if (bytesRead > 0 && remove()) {
+                // the selection key is kept: the library takes it over when it registers the same socket
+                handler.onFirstBytes(socket, connectedNanos, Unpooled.copiedBuffer(buffer.flip()));
             }
         }
 
@@ -116,20 +116,21 @@
             close();
         }
 
-        private boolean leave() {
-            boolean first = !gone;
-            gone = true;
+        /** Removes the connection; returns false if it had been removed before. */
+        private boolean remove() {
+            boolean first = !removed;
+            removed = true;
             timer.cancel(false);
             silent.remove(this);
             return first;
         }
 
         void close() {
-            if (leave()) {
+            if (remove()) {
                 try {
                     socket.close();
                 } catch (IOException e) {
-                    // it is closed as far as it can be
+                    // nothing more can be done to close it
                 }
                 gate.leaving();
                 BoundedTransport.afterNextSelect(loop, gate::left);
--- a/src/main/java/saffronferry/wire/PipeliningHandler.java
+++ b/src/main/java/saffronferry/wire/PipeliningHandler.java
@@ -15,56 +15,56 @@
 import java.util.ArrayDeque;
 
 /**
- * Lets one request at a time through to the library, and goes on reading meanwhile. Left to itself the
- * library takes in what a client sends behind its open request, stops reading when that is much, and no
- * longer sees that the client closes: its requests would be served for nobody, one after the other. What
- * comes behind an open request waits here, so much at most; what comes beyond that is dropped, and the
- * connection closes when those that wait have their answers.
+ * Passes pipelined requests to the library one at a time, and keeps reading from the connection meanwhile. Without it,
+ * the library buffers the input behind an open request and stops reading once the buffer is large. It would then not
+ * notice that the client has closed the connection, and would serve all its requests in turn. Requests behind an open
+ * one are queued here up to a limit. Input beyond the limit is dropped, and the connection is closed once the queued
+ * requests are answered.
  */
 final class PipeliningHandler extends ChannelDuplexHandler {
-    /** Clients send one request at a time; some more are served, in turn. */
-    static final int MOST_WAITING = 32;
+    /** Clients are expected to send one request at a time; a limited number of pipelined requests is served in turn. */
+    static final int MAX_QUEUED_REQUESTS = 32;
 
-    private static final int MOST_BYTES = ChannelServer.MAX_BODY_BYTES;
+    private static final int MAX_QUEUED_BYTES = ChannelServer.MAX_BODY_BYTES;
 
-    private final ArrayDeque<HttpObject> waiting = new ArrayDeque<>();
-    /** When the first byte came of each request that is yet to be let through, as System.nanoTime counts. */
-    private final ArrayDeque<Long> firstBytes = new ArrayDeque<>();
+    private final ArrayDeque<HttpObject> queue = new ArrayDeque<>();
+    /** The arrival time of the first byte of each request not yet passed on, as {@code System.nanoTime} counts. */
+    private final ArrayDeque<Long> firstByteNanosQueue = new ArrayDeque<>();
 
-    private long firstByteAt;
-    private int heads;
-    private int bytes;
+    private long firstByteNanos;
+    private int queuedRequests;
+    private int queuedBytes;
     private int unanswered;
     private boolean inRequest;
     private boolean dropping;
 
-    /** The one in a server's connection. */
+    /** The handler in the pipeline of a server connection. */
     static PipeliningHandler of(HttpConnection connection) {
         return ((HttpServerConnection) connection).channel().pipeline().get(PipeliningHandler.class);
     }
 
-    /** A request's head is whole, and the next object to be read here. */
-    void comes(long firstByte) {
-        firstBytes.add(firstByte);
+    /** A request head has been decoded; it is the next request head that this handler reads. */
+    void requestDecoded(long firstByteNanos) {
+        firstByteNanosQueue.add(firstByteNanos);
     }
 
-    /** When the first byte came of the request that was let through last, as System.nanoTime counts. */
-    long firstByteAt() {
-        return firstByteAt;
+    /** When the first byte of the request passed on last arrived, as {@code System.nanoTime} counts. */
+    long firstByteNanos() {
+        return firstByteNanos;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        if (!(msg instanceof HttpObject object) || waiting.isEmpty() && !dropping && mayPass(object)) {
+        if (!(msg instanceof HttpObject object) || queue.isEmpty() && !dropping && mayPass(object)) {
             pass(ctx, msg);
-        } else if (dropping || !fits(object)) {
+        } else if (dropping || !countAndCheckLimits(object)) {
             dropping = true;
             if (msg instanceof HttpRequest) {
-                firstBytes.pollLast();
+                firstByteNanosQueue.pollLast();
             }
             ReferenceCountUtil.release(msg);
         } else {
-            waiting.add(object);
+            queue.add(object);
         }
     }
 
@@ -72,17 +72,17 @@
         return object instanceof HttpRequest ? unanswered == 0 && !inRequest : inRequest;
     }
 
-    private boolean fits(HttpObject object) {
-        heads += object instanceof HttpRequest ? 1 : 0;
-        bytes += object instanceof HttpContent content ? content.content().readableBytes() : 0;
-        return heads <= MOST_WAITING && bytes <= MOST_BYTES;
+    private boolean countAndCheckLimits(HttpObject object) {
+        queuedRequests += object instanceof HttpRequest ? 1 : 0;
+        queuedBytes += object instanceof HttpContent content ? content.content().readableBytes() : 0;
+        return queuedRequests <= MAX_QUEUED_REQUESTS && queuedBytes <= MAX_QUEUED_BYTES;
     }
 
     private void pass(ChannelHandlerContext ctx, Object msg) {
         if (msg instanceof HttpRequest) {
             unanswered++;
             inRequest = true;
-            firstByteAt = firstBytes.poll();
+            firstByteNanos = firstByteNanosQueue.poll();
         }
         if (msg instanceof LastHttpContent) {
             inRequest = false;
@@ -92,37 +92,38 @@
 
     @Override
     public void write(ChannelHandlerContext ctx, Object msg, ChannelPromise promise) {
-        boolean answers = msg instanceof LastHttpContent
+        boolean endsResponse = msg instanceof LastHttpContent
                 && !(msg instanceof HttpResponse response
                         && response.status().code() == HttpResponseStatus.CONTINUE.code());
         ctx.write(msg, promise);
-        if (answers) {
+        if (endsResponse) {
             unanswered--;
-            if (!waiting.isEmpty() || dropping) {
-                // not now: the library is yet to note that this answer is whole
-                ctx.executor().execute(() -> release(ctx));
+            if (!queue.isEmpty() || dropping) {
+                // deferred, because the library has not yet recorded the end of this response
+                ctx.executor().execute(() -> passNextRequest(ctx));
             }
         }
     }
 
-    private void release(ChannelHandlerContext ctx) {
-        while (!waiting.isEmpty() && mayPass(waiting.peek())) {
-            HttpObject next = waiting.poll();
-            heads -= next instanceof HttpRequest ? 1 : 0;
-            bytes -= next instanceof HttpContent content ? content.content().readableBytes() : 0;
+    private void passNextRequest(ChannelHandlerContext ctx) {
+        while (!queue.isEmpty() && mayPass(queue.peek())) {
+            HttpObject next = queue.poll();
+            queuedRequests -= next instanceof HttpRequest ? 1 : 0;
+            queuedBytes -= next instanceof HttpContent content ? content.content().readableBytes() : 0;
             pass(ctx, next);
         }
-        ctx.fireChannelReadComplete(); // or the library would go on gathering what it writes
-        // what is left of a request whose rest was dropped can never be whole
-        if (dropping && unanswered == 0 || dropping && waiting.isEmpty() && inRequest) {
+        // otherwise the library would keep batching its writes without a flush
+        ctx.fireChannelReadComplete();
+        // a request whose remaining input was dropped can never become complete
+        if (dropping && unanswered == 0 || dropping && queue.isEmpty() && inRequest) {
             ctx.close();
         }
     }
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) {
-        waiting.forEach(ReferenceCountUtil::release);
-        waiting.clear();
+        queue.forEach(ReferenceCountUtil::release);
+        queue.clear();
     }
 
     @Override
--- a/src/main/java/saffronferry/wire/RejectedRequestException.java
+++ b/src/main/java/saffronferry/wire/RejectedRequestException.java
@@ -1,6 +1,6 @@
 package saffronferry.wire;
 
-/** A request that is turned away unread, mostly with a 4xx; the message tells the client why. */
+/** A request that is rejected without processing, mostly with a 4xx status; the message is sent to the client. */
 final class RejectedRequestException extends Exception {
     private static final long serialVersionUID = 1;
     final int status;
--- a/src/main/java/saffronferry/wire/RpcParser.java
+++ b/src/main/java/saffronferry/wire/RpcParser.java
@@ -8,21 +8,21 @@
 import saffronferry.Contract.JobClass;
 import saffronferry.state.RpcInfo;
 
-/** Reads what a client's headers and path say of an RPC. */
+/** Parses the path and headers of a client's request into an {@link RpcInfo}. */
 final class RpcParser {
     private static final Pattern NAME = Pattern.compile("[0-9A-Za-z._:-]{1,64}");
     private static final Pattern KEY = Pattern.compile("[!-~]{1,128}");
     private static final Pattern DIGITS = Pattern.compile("[0-9]{1,12}");
-    private static final int MOST_SLOTS = 255;
+    private static final int MAX_SLOTS = 255;
 
     private final List<String> classes;
-    private final List<Boolean> keyed;
+    private final List<Boolean> keyRequired;
     private final List<Long> maxRemaining;
     private final List<String> tenants;
 
     RpcParser(List<JobClass> classes, List<String> tenants) {
         this.classes = classes.stream().map(JobClass::name).toList();
-        keyed = classes.stream().map(c -> c.effect() == Effect.KEYED).toList();
+        keyRequired = classes.stream().map(c -> c.effect() == Effect.KEYED).toList();
         maxRemaining = classes.stream().map(RpcInfo::maxRemaining).toList();
         this.tenants = tenants;
     }
@@ -31,31 +31,31 @@
         return parse(request.path(), request.headers()::getAll);
     }
 
-    /** The values of a header may be none. */
+    /** Parses a request whose header values are looked up by {@code headers}; a list of values may be empty. */
     RpcInfo parse(String path, Function<String, List<String>> headers) throws RejectedRequestException {
-        String lane = one(headers, "X-Lane");
-        String place = firstPart(path);
-        int rpcClass = classes.indexOf(place);
+        String lane = singleValue(headers, "X-Lane");
+        String className = firstSegment(path);
+        int rpcClass = classes.indexOf(className);
         if (rpcClass < 0) {
             throw new RejectedRequestException(404, "unknown class in the path");
         }
-        if (lane != null && !lane.equals(place)) {
+        if (lane != null && !lane.equals(className)) {
             throw new RejectedRequestException(400, "X-Lane and path name different classes");
         }
-        String name = one(headers, "X-Txn");
+        String name = singleValue(headers, "X-Txn");
         if (name == null || !NAME.matcher(name).matches()) {
             throw new RejectedRequestException(400, "X-Txn must be an id of at most 64 letters, digits and -._:");
         }
-        String key = one(headers, "Idempotency-Key");
+        String key = singleValue(headers, "Idempotency-Key");
         if (key != null && !KEY.matcher(key).matches()) {
             throw new RejectedRequestException(400, "Idempotency-Key must be at most 128 printable characters");
         }
-        if (key == null && keyed.get(rpcClass)) {
+        if (key == null && keyRequired.get(rpcClass)) {
             throw new RejectedRequestException(400, "Idempotency-Key is missing");
         }
-        String org = one(headers, "X-Org");
+        String org = singleValue(headers, "X-Org");
         int slots = 1;
-        String labels = one(headers, "X-Labels");
+        String labels = singleValue(headers, "X-Labels");
         for (String label : labels == null || labels.isBlank() ? new String[0] : labels.split(",")) {
             int at = label.indexOf('=');
             if (at < 0) {
@@ -63,7 +63,7 @@
             }
             String value = label.substring(at + 1);
             switch (label.substring(0, at).trim()) {
-                case "slots" -> slots = (int) number("X-Labels slots", value, 1, MOST_SLOTS);
+                case "slots" -> slots = (int) number("X-Labels slots", value, 1, MAX_SLOTS);
                 default -> {}
             }
         }
@@ -71,13 +71,13 @@
                 name,
                 rpcClass,
                 org == null ? -1 : tenants.indexOf(org),
-                remaining(one(headers, "X-Remaining-Ms"), rpcClass),
+                remaining(singleValue(headers, "X-Remaining-Ms"), rpcClass),
                 slots,
-                "1".equals(one(headers, "X-Resent")));
+                "1".equals(singleValue(headers, "X-Resent")));
     }
 
-    /** Guards against a header given twice, of which a worker may read the other one. */
-    private static String one(Function<String, List<String>> headers, String name) throws RejectedRequestException {
+    /** Rejects a header that is given twice: a worker might use the other value. */
+    private static String singleValue(Function<String, List<String>> headers, String name) throws RejectedRequestException {
         List<String> values = headers.apply(name);
         if (values.size() > 1) {
             throw new RejectedRequestException(400, name + " is given more than once");
@@ -85,7 +85,7 @@
         return values.isEmpty() ? null : values.get(0);
     }
 
-    private static String firstPart(String path) {
+    private static String firstSegment(String path) {
         int from = path.startsWith("/") ? 1 : 0;
         int to = path.indexOf('/', from);
         return path.substring(from, to < 0 ? path.length() : to);
@@ -102,15 +102,15 @@
         return micros;
     }
 
-    private static double number(String what, String text, double least, double most) throws RejectedRequestException {
+    private static double number(String what, String text, double min, double max) throws RejectedRequestException {
         try {
             double value = Double.parseDouble(text.trim());
-            if (value >= least && value <= most) {
+            if (value >= min && value <= max) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // said below
+            // reported below
         }
-        throw new RejectedRequestException(400, what + " must be a number from " + (long) least + " to " + (long) most);
+        throw new RejectedRequestException(400, what + " must be a number from " + (long) min + " to " + (long) max);
     }
 }
--- a/src/main/java/saffronferry/wire/StrictDecoder.java
+++ b/src/main/java/saffronferry/wire/StrictDecoder.java
@@ -12,48 +12,50 @@
 import java.util.List;
 
 /**
- * Leaves both Content-Length and Transfer-Encoding in a head that has both. The library's decoder drops the
- * first of them, so that nobody after it can tell and turn such a request away, which may hide another one.
- * And notes when the first byte of each request came: the library tells of one once its head is whole.
+ * Decodes requests like the library's decoder, with two additions. It keeps both Content-Length and Transfer-Encoding
+ * in a head that has both: the library's decoder drops Content-Length, so that later handlers could not recognize and
+ * reject such a request, which may smuggle another one. It also records when the first byte of each request arrived,
+ * since the library reports a request only once its head is complete.
  */
 final class StrictDecoder extends VertxHttpRequestDecoder {
-    private final PipeliningHandler turnstile;
-    private long firstByteAt;
+    private final PipeliningHandler pipelining;
+    private long firstByteNanos;
     private boolean inRequest;
 
-    private StrictDecoder(HttpServerOptions options, PipeliningHandler turnstile) {
+    private StrictDecoder(HttpServerOptions options, PipeliningHandler pipelining) {
         super(options);
-        this.turnstile = turnstile;
+        this.pipelining = pipelining;
     }
 
-    /** Puts this and the {@link PipeliningHandler} in, before the connection's first bytes are read. */
+    /** Installs the decoder and a {@link PipeliningHandler} before the connection's first bytes are read. */
     static void install(HttpConnection connection, HttpServerOptions options) {
-        ChannelHandlerContext library = ((HttpServerConnection) connection).channelHandlerContext();
-        PipeliningHandler turnstile = new PipeliningHandler();
-        library.pipeline()
-                .replace(VertxHttpRequestDecoder.class, "strictDecoder", new StrictDecoder(options, turnstile));
-        library.pipeline().addBefore(library.name(), "turnstile", turnstile);
+        ChannelHandlerContext libraryHandler = ((HttpServerConnection) connection).channelHandlerContext();
+        PipeliningHandler pipelining = new PipeliningHandler();
+        libraryHandler
+                .pipeline()
+                .replace(VertxHttpRequestDecoder.class, "strictDecoder", new StrictDecoder(options, pipelining));
+        libraryHandler.pipeline().addBefore(libraryHandler.name(), "turnstile", pipelining);
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf buffer, List<Object> out) throws Exception {
-        // an empty line may stand before a request; it may have come long before
+        // an empty line may precede a request and may have arrived long before it
         if (!inRequest && buffer.forEachByte(b -> (b & 0xff) <= ' ') >= 0) {
             inRequest = true;
-            firstByteAt = System.nanoTime();
+            firstByteNanos = System.nanoTime();
         }
-        int before = out.size();
+        int decodedBefore = out.size();
         super.decode(ctx, buffer, out);
-        for (Object o : out.subList(before, out.size())) {
-            if (o instanceof HttpRequest) {
-                turnstile.comes(firstByteAt);
+        for (Object decoded : out.subList(decodedBefore, out.size())) {
+            if (decoded instanceof HttpRequest) {
+                pipelining.requestDecoded(firstByteNanos);
             }
-            inRequest = inRequest && !(o instanceof LastHttpContent);
+            inRequest = inRequest && !(decoded instanceof LastHttpContent);
         }
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        // both stay
+        // keeps both headers
     }
 }
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -18,34 +18,35 @@
 import saffronferry.log.BoundedLog;
 import saffronferry.state.CallAttempt;
 
-/** Speaks with subchannels: call attempts and probes. A connection carries one request at a time. */
+/** The HTTP client for subchannels: call attempts and load probes, with one request per connection. */
 final class SubchannelClient {
-    /** A body holds 64 KiB by the protocol; what a line or an answer has beyond that is nonsense. */
-    private static final int MOST_LINE = 128 * 1024;
+    /** The protocol limits a body to 64 KiB; longer lines and responses are treated as invalid. */
+    private static final int MAX_LINE_BYTES = 128 * 1024;
 
-    private static final int MOST_ANSWER = 1024 * 1024;
-    /** How long an answer may go on after the line that ends its attempt, before its connection is closed. */
-    private static final long TAIL_MS = 250;
-    /** Beyond the time for which a connection may take to open: the margin in which the module decides. */
+    private static final int MAX_RESPONSE_BYTES = 1024 * 1024;
+    /** How long a response may continue after the line that ends its attempt before its connection is closed. */
+    private static final long RESPONSE_END_TIMEOUT_MS = 250;
+    /** Added to the connect timeout: the margin that the balancer's decision on a repeat leaves. */
     private static final long DIAL_SLACK_MS = 25;
 
-    private static final int MOST_PROBE = 16 * 1024;
-    private static final long PROBE_WAIT_MS = 500;
-    /** To one subchannel, well above its slots: one that hangs must not take the descriptors of all. */
-    private static final int MOST_CONNECTIONS = 40;
+    private static final int MAX_PROBE_RESPONSE_BYTES = 16 * 1024;
+    private static final long PROBE_TIMEOUT_MS = 500;
+    /** Well above the slots of a subchannel, but bounded: one that hangs must not exhaust the file descriptors. */
+    private static final int MAX_CONNECTIONS_PER_SUBCHANNEL = 40;
 
     private final Vertx vertx;
     private final Dialer attempts;
     private final Dialer probes;
     private final AttemptRoom room;
-    private final SubchannelResponseParser answers;
+    private final SubchannelResponseParser responseParser;
     private final LoadReportParser loads;
     private final BoundedLog log;
-    private final long dialMs;
+    private final long maxDialMs;
 
     /**
-     * Each attempt opens a connection of its own. A kept one may be dead without a word, and a job written to
-     * it ends as a reset that may have run; beside a job's running time a handshake costs next to nothing.
+     * Each attempt opens its own connection. A connection kept alive may be broken without notice, and a job written
+     * to it would end with a reset after which it may have run. Compared with the running time of a job, the cost of a
+     * handshake is negligible.
      */
     SubchannelClient(
             Vertx vertx,
@@ -58,231 +59,243 @@
         this.loads = loads;
         this.room = room;
         this.log = log;
-        answers = new SubchannelResponseParser(loads);
-        int connectMs = (int) Math.max(1, Math.round(connectTimeout * 1000));
-        dialMs = connectMs + DIAL_SLACK_MS;
+        responseParser = new SubchannelResponseParser(loads);
+        int connectTimeoutMs = (int) Math.max(1, Math.round(connectTimeout * 1000));
+        maxDialMs = connectTimeoutMs + DIAL_SLACK_MS;
         HttpClient client = vertx.httpClientBuilder()
                 .with(new HttpClientOptions()
                         .setKeepAlive(false)
                         .setTcpNoDelay(true)
-                        .setConnectTimeout(connectMs))
-                // danger: the builder does not read the most in these options, and takes five: what is beyond
-                // would wait inside the library, unseen, for as long as the jobs before it take
-                .with(new PoolOptions().setHttp1MaxSize(MOST_CONNECTIONS))
-                // guards the log: the attempt hears of a broken connection itself
+                        .setConnectTimeout(connectTimeoutMs))
+                // the builder ignores the pool size in the client options and defaults to 5; further attempts would
+                // wait unnoticed inside the library until earlier jobs end
+                .with(new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_SUBCHANNEL))
+                // the attempt itself handles a broken connection; without a handler the library would log it
                 .withConnectHandler(connection -> connection.exceptionHandler(e -> {}))
                 .build();
         attempts = new Dialer(vertx, client, descriptors, Purpose.WORKERS);
         probes = new Dialer(vertx, client, descriptors, Purpose.PROBES);
     }
 
-    private static long now() {
+    private static long nowMs() {
         return System.nanoTime() / 1_000_000;
     }
 
     /**
-     * Starts a call attempt and tells it what comes. Running the result closes its connection. {@code
-     * remaining}: microseconds from now until the client is owed an answer.
+     * Starts a call attempt and reports its events to it.
+     *
+     * @param remainingMicros the time from now until the client must have an answer
+     * @return an action that cancels the attempt and closes its connection
      */
-    Runnable start(ForwardedRequest message, String address, long remaining, CallAttempt attempt) {
-        Exchange exchange = new Exchange(message, remaining, attempt);
-        attempts.dial(message.method(), Address.parse(address), message.uri(), exchange::connected, exchange::unopened);
-        room.look(now());
-        return exchange::giveUp;
+    Runnable start(ForwardedRequest message, String address, long remainingMicros, CallAttempt attempt) {
+        Exchange exchange = new Exchange(message, remainingMicros, attempt);
+        attempts.dial(
+                message.method(), Address.parse(address), message.uri(), exchange::connected, exchange::connectFailed);
+        room.look(nowMs());
+        return exchange::cancel;
     }
 
     /** One call attempt on its connection. */
     private final class Exchange {
         private final ForwardedRequest message;
-        private final long remaining;
+        private final long remainingMicros;
         private final CallAttempt attempt;
-        private final long dialledAt = now();
+        private final long dialStartMs = nowMs();
         private HttpClientRequest request;
-        private boolean givenUp;
-        private long tail = -1;
-        private int read;
+        private boolean cancelled;
+        private long responseEndTimer = -1;
+        private int responseBytes;
 
-        Exchange(ForwardedRequest message, long remaining, CallAttempt attempt) {
+        Exchange(ForwardedRequest message, long remainingMicros, CallAttempt attempt) {
             this.message = message;
-            this.remaining = remaining;
+            this.remainingMicros = remainingMicros;
             this.attempt = attempt;
         }
 
-        void giveUp() {
-            givenUp = true;
+        void cancel() {
+            cancelled = true;
             if (request != null) {
-                Dialer.drop(request);
+                Dialer.abort(request);
             }
         }
 
-        void connected(HttpClientRequest r) {
-            request = r;
-            if (givenUp) {
-                Dialer.drop(r);
+        void connected(HttpClientRequest connectedRequest) {
+            request = connectedRequest;
+            if (cancelled) {
+                Dialer.abort(connectedRequest);
                 return;
             }
-            if (attempt.isRepeat() && now() - dialledAt > dialMs) {
-                // guards the window for repeats: the decision to send counted on a connection in time
-                Dialer.drop(r);
+            if (attempt.isRepeat() && nowMs() - dialStartMs > maxDialMs) {
+                // the decision to repeat assumed a connection within this time; later, the window may have passed
+                Dialer.abort(connectedRequest);
                 attempt.ended(Outcome.NOT_SENT, null);
                 return;
             }
             attempt.sendStarted();
-            r.putHeader("X-Txn", message.txn());
-            r.putHeader("X-Remaining-Ms", Long.toString(left()));
+            connectedRequest.putHeader("X-Txn", message.txn());
+            connectedRequest.putHeader("X-Remaining-Ms", Long.toString(clientRemainingMs()));
             if (message.idempotencyKey() != null) {
-                r.putHeader("Idempotency-Key", message.idempotencyKey());
+                connectedRequest.putHeader("Idempotency-Key", message.idempotencyKey());
             }
-            r.exceptionHandler(this::broken);
-            r.response().onSuccess(this::answered).onFailure(this::broken);
-            r.end(message.body()).onSuccess(v -> attempt.written()).onFailure(this::unwritten);
+            connectedRequest.exceptionHandler(this::connectionBroken);
+            connectedRequest.response().onSuccess(this::onResponse).onFailure(this::connectionBroken);
+            connectedRequest
+                    .end(message.body())
+                    .onSuccess(v -> attempt.written())
+                    .onFailure(this::writeFailed);
         }
 
         /**
-         * What is left to the client now, by its own count, in milliseconds. Guards the subchannel against
-         * working on for nobody: the dial has taken its time since the attempt was decided on, and the client
-         * counts from when it began to send.
+         * The time in milliseconds that the client still waits, as the client measures it, so that the subchannel does
+         * not work on a job after the client has stopped waiting. It excludes the time taken to connect since the
+         * attempt was decided, and the time in which the request arrived: clients measure from the start of sending.
          */
-        private long left() {
-            return Math.max(1, (remaining - message.arriving()) / 1000 - (now() - dialledAt));
+        private long clientRemainingMs() {
+            return Math.max(1, (remainingMicros - message.arrivalMicros()) / 1000 - (nowMs() - dialStartMs));
         }
 
-        /** No connection came up: where that is our own want, the balancer is to stop for a while. */
-        void unopened(Throwable cause) {
-            if (Dialer.unopened(cause) == Outcome.NOT_SENT) {
-                room.refused(now());
-                vertx.setTimer(AttemptRoom.PAUSE, t -> room.look(now()));
+        /** No connection was opened. If this process lacks resources, the balancer must pause new attempts. */
+        void connectFailed(Throwable cause) {
+            if (Dialer.connectFailureOutcome(cause) == Outcome.NOT_SENT) {
+                room.refused(nowMs());
+                vertx.setTimer(AttemptRoom.PAUSE, t -> room.look(nowMs()));
             }
-            unwritten(cause);
+            writeFailed(cause);
         }
 
         /** The last byte was never written, so it is certain that the job never ran. */
-        private void unwritten(Throwable cause) {
-            // guards a healthy subchannel against being blamed for a connection that we closed ourselves
-            if (!givenUp) {
-                attempt.ended(Dialer.unopened(cause), null);
+        private void writeFailed(Throwable cause) {
+            // a connection closed by this process is no failure of the subchannel
+            if (!cancelled) {
+                attempt.ended(Dialer.connectFailureOutcome(cause), null);
             }
         }
 
         /**
-         * The connection broke. It may have run, unless the write itself is told to have failed first:
-         * that of a whole request may be told only after the break that followed it.
+         * The connection broke. The job may have run, unless a failed write was reported before: the success of a
+         * complete write may be reported only after the break that followed it.
          */
-        private void broken(Throwable cause) {
-            vertx.cancelTimer(tail);
-            if (!givenUp) {
+        private void connectionBroken(Throwable cause) {
+            vertx.cancelTimer(responseEndTimer);
+            if (!cancelled) {
                 attempt.ended(Outcome.RESET, null);
             }
         }
 
-        void answered(HttpClientResponse response) {
-            response.exceptionHandler(this::broken);
+        void onResponse(HttpClientResponse response) {
+            response.exceptionHandler(this::connectionBroken);
             if (response.statusCode() != 200) {
-                answers.status(
+                responseParser.status(
                         attempt,
                         response.statusCode(),
                         response.getHeader("X-Turned-Away"),
                         response.getHeader("X-Pressure"));
             }
-            LineSplitter lines = new LineSplitter(MOST_LINE, line -> answers.line(attempt, line));
-            response.handler(chunk -> tolerant(() -> feed(lines, chunk)));
+            LineSplitter lines = new LineSplitter(MAX_LINE_BYTES, line -> responseParser.line(attempt, line));
+            response.handler(chunk -> endingOnInvalidInput(() -> feed(lines, chunk)));
             response.endHandler(v -> {
-                tolerant(lines::end);
-                vertx.cancelTimer(tail);
+                endingOnInvalidInput(lines::end);
+                vertx.cancelTimer(responseEndTimer);
                 attempt.ended(Outcome.RESET, null);
             });
-            closeSoonIfOver();
+            scheduleCloseIfEnded();
         }
 
         private void feed(LineSplitter lines, Buffer chunk) {
-            read += chunk.length();
-            if (read > MOST_ANSWER) {
-                throw new IllegalArgumentException("an answer of more than " + MOST_ANSWER + " bytes");
+            responseBytes += chunk.length();
+            if (responseBytes > MAX_RESPONSE_BYTES) {
+                throw new IllegalArgumentException("response has more than " + MAX_RESPONSE_BYTES + " bytes");
             }
             if (!attempt.isEnded()) {
                 lines.feed(chunk);
-                closeSoonIfOver();
+                scheduleCloseIfEnded();
             }
         }
 
-        /** Guards our descriptors and the subchannel's against answers that go on after their end. */
-        private void closeSoonIfOver() {
-            if (attempt.isEnded() && tail < 0) {
-                tail = vertx.setTimer(TAIL_MS, t -> Dialer.drop(request));
+        /** Closes the connection soon after the attempt's end, so that endless responses hold no file descriptors. */
+        private void scheduleCloseIfEnded() {
+            if (attempt.isEnded() && responseEndTimer < 0) {
+                responseEndTimer = vertx.setTimer(RESPONSE_END_TIMEOUT_MS, t -> Dialer.abort(request));
             }
         }
 
-        /** A subchannel that talks nonsense is one that broke: the job may have run. */
-        private void tolerant(Runnable read) {
+        /** Treats an invalid response like a broken connection: the job may have run. */
+        private void endingOnInvalidInput(Runnable read) {
             try {
                 read.run();
             } catch (IllegalArgumentException e) {
-                log.line("subchannel answer dropped", e.getMessage());
-                Dialer.drop(request);
+                log.line("invalid subchannel response", e.getMessage());
+                Dialer.abort(request);
                 attempt.ended(Outcome.RESET, null);
             }
         }
     }
 
-    /** Asks for the load if that is still wanted once connected; tells how it ended, and the load or null. */
-    void probe(String address, BooleanSupplier wanted, BiConsumer<Outcome, Report> told) {
-        Probe probe = new Probe(wanted, told);
+    /**
+     * Requests a load report.
+     *
+     * @param wanted evaluated once connected; if false, the probe is cancelled
+     * @param listener receives the outcome, and the report or null
+     */
+    void probe(String address, BooleanSupplier wanted, BiConsumer<Outcome, Report> listener) {
+        Probe probe = new Probe(wanted, listener);
         probes.dial(
                 HttpMethod.GET,
                 Address.parse(address),
                 "/metrics/load",
                 probe::connected,
-                e -> probe.end(Dialer.unopened(e), null));
+                e -> probe.end(Dialer.connectFailureOutcome(e), null));
     }
 
     private final class Probe {
         private final BooleanSupplier wanted;
-        private final BiConsumer<Outcome, Report> told;
-        private final long timer = vertx.setTimer(PROBE_WAIT_MS, t -> expire());
+        private final BiConsumer<Outcome, Report> listener;
+        private final long timer = vertx.setTimer(PROBE_TIMEOUT_MS, t -> onTimeout());
         private HttpClientRequest request;
-        private boolean over;
+        private boolean ended;
 
-        Probe(BooleanSupplier wanted, BiConsumer<Outcome, Report> told) {
+        Probe(BooleanSupplier wanted, BiConsumer<Outcome, Report> listener) {
             this.wanted = wanted;
-            this.told = told;
+            this.listener = listener;
         }
 
-        void connected(HttpClientRequest r) {
-            request = r;
-            if (over || !wanted.getAsBoolean()) {
-                Dialer.drop(r);
+        void connected(HttpClientRequest connectedRequest) {
+            request = connectedRequest;
+            if (ended || !wanted.getAsBoolean()) {
+                Dialer.abort(connectedRequest);
                 end(Outcome.CANCELLED, null);
                 return;
             }
-            r.exceptionHandler(e -> end(Outcome.RESET, null));
-            r.response().onSuccess(this::answered).onFailure(e -> end(Outcome.RESET, null));
-            r.end();
+            connectedRequest.exceptionHandler(e -> end(Outcome.RESET, null));
+            connectedRequest.response().onSuccess(this::onResponse).onFailure(e -> end(Outcome.RESET, null));
+            connectedRequest.end();
         }
 
-        private void answered(HttpClientResponse response) {
+        private void onResponse(HttpClientResponse response) {
             Outcome outcome = response.statusCode() == 200 ? Outcome.OK : Outcome.ERROR;
             Buffer body = Buffer.buffer();
             response.exceptionHandler(e -> end(Outcome.RESET, null));
             response.handler(chunk -> {
-                if (body.length() + chunk.length() <= MOST_PROBE) {
+                if (body.length() + chunk.length() <= MAX_PROBE_RESPONSE_BYTES) {
                     body.appendBuffer(chunk);
                 }
             });
             response.endHandler(v -> end(outcome, outcome == Outcome.OK ? loads.parse(body.toString()) : null));
         }
 
-        private void expire() {
-            end(Outcome.TIMEOUT, null); // first, or the reset would be told in its place
+        private void onTimeout() {
+            // reported before the abort, which would otherwise be reported as a reset
+            end(Outcome.TIMEOUT, null);
             if (request != null) {
-                Dialer.drop(request);
+                Dialer.abort(request);
             }
         }
 
         private void end(Outcome outcome, Report load) {
-            if (!over) {
-                over = true;
+            if (!ended) {
+                ended = true;
                 vertx.cancelTimer(timer);
-                told.accept(outcome, load);
+                listener.accept(outcome, load);
             }
         }
     }
--- a/src/main/java/saffronferry/wire/SubchannelResponseParser.java
+++ b/src/main/java/saffronferry/wire/SubchannelResponseParser.java
@@ -5,7 +5,7 @@
 import saffronferry.Contract.Outcome;
 import saffronferry.state.CallAttempt;
 
-/** What a subchannel's answer means for the call attempt: the outcome table of the protocol. */
+/** Maps a subchannel's response to the outcome of the call attempt, according to the protocol. */
 final class SubchannelResponseParser {
     private final LoadReportParser loads;
 
@@ -13,36 +13,37 @@
         this.loads = loads;
     }
 
-    /** An answer that is not 200 ends the attempt; the header values may be null. */
+    /** Ends the attempt upon a response with a status other than 200; the header values may be null. */
     void status(CallAttempt attempt, int status, String turnedAway, String pressure) {
         if (status == 400 || status == 404) {
             attempt.rejected();
             return;
         }
-        // only these prove that the job never ran: a bare 503 may have come from the middle of a run
-        boolean never = (status == 503 || status == 504) && "1".equals(turnedAway);
-        attempt.ended(never ? Outcome.FULL : Outcome.ERROR, loads.parse(pressure));
+        // only the header proves that the job never ran: without it, a 503 may have come while the job was running
+        boolean neverRan = (status == 503 || status == 504) && "1".equals(turnedAway);
+        attempt.ended(neverRan ? Outcome.FULL : Outcome.ERROR, loads.parse(pressure));
     }
 
-    /** One line of a 200 answer. */
+    /** Handles one line of a 200 response. */
     void line(CallAttempt attempt, String line) {
         if (line.isEmpty() || attempt.isEnded()) {
             return;
         }
-        JSONObject o;
+        JSONObject event;
         try {
-            o = new JSONObject(line);
+            event = new JSONObject(line);
         } catch (JSONException e) {
-            throw new IllegalArgumentException("a line that is no JSON object: " + e.getMessage());
+            throw new IllegalArgumentException("line is not a JSON object: " + e.getMessage());
         }
-        switch (o.optString("state")) {
+        switch (event.optString("state")) {
             case "started" -> attempt.jobStarted();
             case "running" -> attempt.jobProgressed();
-            case "done" -> attempt.served(o.optString("result"), loads.parse(o.optJSONObject("load")));
-            case "failed" -> attempt.ended(Outcome.ERROR, loads.parse(o.optJSONObject("load")));
-            case "returned" -> attempt.ended(Outcome.FULL, loads.parse(o.optJSONObject("load")));
-            case "lost" -> attempt.ended(Outcome.RESET, loads.parse(o.optJSONObject("load")));
-            default -> {} // a state added later is no end
+            case "done" -> attempt.served(event.optString("result"), loads.parse(event.optJSONObject("load")));
+            case "failed" -> attempt.ended(Outcome.ERROR, loads.parse(event.optJSONObject("load")));
+            case "returned" -> attempt.ended(Outcome.FULL, loads.parse(event.optJSONObject("load")));
+            case "lost" -> attempt.ended(Outcome.RESET, loads.parse(event.optJSONObject("load")));
+            // states unknown to this version do not end the attempt
+            default -> {}
         }
     }
 }
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -27,7 +27,7 @@
 import saffronferry.state.RecordingAttempt;
 import saffronferry.state.RpcInfo;
 
-/** Tables of cases for what comes off the wire. */
+/** Table-driven tests of the parsers for data received from the network. */
 public class ParsersTest {
     private static final RpcParser RPCS =
             new RpcParser(List.of(jobClass("page", Effect.SAFE), jobClass("gift", Effect.KEYED)), List.of("acme"));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    public void requestsThatAreWellFormed() throws RejectedRequestException {
+    public void wellFormedRequestsAreParsed() throws RejectedRequestException {
         Object[][] cases = {
             // path, headers, class, tenant, microseconds, slots, repeat
             {"/page", "X-Txn:1;X-Lane:page;X-Org:acme;X-Remaining-Ms:480", 0, 0, 480_000L, 1, false},
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void requestsThatAreMalformed() {
+    public void malformedRequestsAreRejected() {
         String[][] cases = {
             {"400", "/page", "X-Txn:1;X-Lane:gift;X-Remaining-Ms:5"},
             {"400", "/page", "X-Txn:1;X-Lane:page;X-Lane:page;X-Remaining-Ms:5"},
@@ -100,11 +100,11 @@
     }
 
     @Test
-    public void loadReports() {
+    public void loadReportsAreParsed() {
         assertEquals(new Report(7, 2, 3), LOADS.parse("inflight=7, queue=2,x0=3,x1=1.5,util=0.6\n"));
         assertEquals(new Report(Double.NaN, Double.NaN, 3), LOADS.parse("x0=3,x1=full,x"));
         assertEquals(
-                "busy to the last slot",
+                "no free slot",
                 0,
                 LOADS.parse("load_share=0.9,x0=0,x1=0").freeSlots(),
                 0);
@@ -115,8 +115,8 @@
 
     /** The outcome table of the protocol. */
     @Test
-    public void answersOfSubchannels() {
-        SubchannelResponseParser answers = new SubchannelResponseParser(LOADS);
+    public void subchannelResponsesMapToOutcomes() {
+        SubchannelResponseParser parser = new SubchannelResponseParser(LOADS);
         Object[][] statuses = {
             {500, null, Outcome.ERROR}, {503, null, Outcome.ERROR}, {503, "1", Outcome.FULL},
             {504, "1", Outcome.FULL}, {504, "0", Outcome.ERROR}, {500, "1", Outcome.ERROR},
@@ -124,7 +124,7 @@
         };
         for (Object[] c : statuses) {
             RecordingAttempt p = new RecordingAttempt();
-            answers.status(p.attempt, (int) c[0], (String) c[1], null);
+            parser.status(p.attempt, (int) c[0], (String) c[1], null);
             assertEquals(c[2] + " once", p.events);
         }
         String[][] lines = {
@@ -140,16 +140,16 @@
         };
         for (String[] c : lines) {
             RecordingAttempt p = new RecordingAttempt();
-            answers.line(p.attempt, c[0]);
+            parser.line(p.attempt, c[0]);
             assertEquals(c[0], c[1], p.events);
         }
         RecordingAttempt p = new RecordingAttempt();
-        assertThrows(IllegalArgumentException.class, () -> answers.line(p.attempt, "nonsense"));
+        assertThrows(IllegalArgumentException.class, () -> parser.line(p.attempt, "nonsense"));
         assertEquals("", p.events);
     }
 
     @Test
-    public void listsOfDiscovery() {
+    public void discoveryListsAreParsedAndMalformedOnesRejected() {
         ListParser lists = new ListParser(List.of("m1"), List.of("a"));
         String entry = "{\"id\":\"s\",\"host_port\":\"127.0.0.1:9\",\"locality\":\"a\",\"flavor\":\"m1\",\"cell\":3,"
                 + "\"phase\":\"SERVING\",\"size\":1.0,\"up_since_ms\":5}";
@@ -175,9 +175,9 @@
         assertEquals(List.of(), left);
     }
 
-    /** Finding 15 of the review: such an entry cost the whole list, and the watch, again and again. */
+    /** Only the invalid entry is left out; rejecting the whole list would end the watch over and over (finding 15). */
     @Test
-    public void anEntryThatCannotBeReadCostsThatEntryOnly() {
+    public void invalidListEntryIsLeftOutAndOthersAreKept() {
         ListParser lists = new ListParser(List.of("m1"), List.of("a"));
         String entry = "{\"id\":\"s\",\"host_port\":\"127.0.0.1:9\",\"locality\":\"a\",\"flavor\":\"m1\",\"cell\":3,"
                 + "\"phase\":\"SERVING\",\"size\":1.0,\"up_since_ms\":5}";
@@ -202,9 +202,9 @@
         }
     }
 
-    /** What an entry has beyond what is read, or has otherwise than usual, costs nothing. */
+    /** Unknown fields, and fields of unexpected types, do not invalidate an entry. */
     @Test
-    public void entriesOfAnotherVersionAreRead() {
+    public void entriesOfAnotherVersionAreParsed() {
         ListParser lists = new ListParser(List.of("m1"), List.of("a"));
         ListUpdate u = lists.parse(
                 "{\"news\":{\"members\":[]},\"members\":[{\"id\":\"s\",\"phase\":\"DELETED\","
@@ -219,9 +219,9 @@
                 u);
     }
 
-    /** Of a list that is as long as a fleet's, no tree is made: allocation is the same on any machine. */
+    /** The list of a large fleet must be parsed without a tree; the allocation does not depend on the machine. */
     @Test
-    public void aLongListTakesLittleMoreMemoryThanItsText() {
+    public void longListIsParsedWithoutBuildingATree() {
         StringBuilder text = new StringBuilder("{\"revision\":4,\"complete\":true,\"members\":[");
         for (int i = 0; i < 2_000; i++) {
             text.append(i == 0 ? "" : ",")
@@ -233,16 +233,17 @@
         }
         String list = text.append("]}").toString();
         ListParser lists = new ListParser(List.of("m1"), List.of("a"));
-        lists.parse(list, bad -> fail(bad)); // loads classes
+        // loads the classes before the measurement
+        lists.parse(list, bad -> fail(bad));
         com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         long before = threads.getCurrentThreadAllocatedBytes();
         assertEquals(2_000, lists.parse(list, bad -> fail(bad)).entries().size());
         long each = (threads.getCurrentThreadAllocatedBytes() - before) / 2_000;
-        assertTrue(each + " bytes an entry; as a tree 2,500", each < 1_200);
+        assertTrue(each + " bytes per entry; a tree takes 2,500", each < 1_200);
     }
 
     @Test
-    public void anObjectIsFoundInATextWithoutReadingIt() {
+    public void objectIsLocatedByNameInJsonText() {
         String[][] cases = {
             {"{\"x\":1}", "{\"a\":[{\"known\":{}}],\"known\" : {\"x\":1} ,\"b\":2}"},
             {"{}", "{\"known\":{}}"},
@@ -262,7 +263,7 @@
     }
 
     @Test
-    public void linesHoweverTheChunksFall() {
+    public void linesAreSplitIndependentlyOfChunks() {
         List<String> got = new ArrayList<>();
         LineSplitter lines = new LineSplitter(8, got::add);
         for (String chunk : new String[] {"on", "e\ntwo\n\nth", "ree\r\n", "end"}) {
@@ -273,9 +274,9 @@
         assertThrows(IllegalArgumentException.class, () -> lines.feed(Buffer.buffer("far too long")));
     }
 
-    /** The same lines come of the same bytes wherever they are cut, signs of several bytes too. */
+    /** The lines do not depend on the chunk size, even if a chunk ends within a multi-byte character. */
     @Test
-    public void anyCutGivesTheSameLines() {
+    public void anyChunkSizeGivesTheSameLines() {
         String text = "eins\n\n zw\u00f6lf \r\n" + "\u20ac".repeat(30_000) + "\nlast";
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         List<String> whole = List.of("eins", "", "zw\u00f6lf", "\u20ac".repeat(30_000), "last");
@@ -286,7 +287,7 @@
                 lines.feed(Buffer.buffer(Arrays.copyOfRange(bytes, i, Math.min(bytes.length, i + size))));
             }
             lines.end();
-            assertEquals("cut each " + size, whole, got);
+            assertEquals("chunk size " + size, whole, got);
         }
         List<String> got = new ArrayList<>();
         LineSplitter bounded = new LineSplitter(10, got::add);
@@ -296,9 +297,9 @@
         assertEquals(List.of("1234567890"), got);
     }
 
-    /** A worker is blamed for a connection that never came up only where it was not our own want. */
+    /** A connect failure counts against the worker only if it was not caused by a lack of local resources. */
     @Test
-    public void connectionsThatNeverCameUp() {
+    public void connectFailuresMapToOutcomes() {
         Object[][] cases = {
             {new java.net.ConnectException("Connection refused"), Outcome.CONNECT_FAILED},
             {new java.net.SocketException("Too many open files"), Outcome.NOT_SENT},
@@ -312,19 +313,19 @@
             {new java.net.SocketException(), Outcome.CONNECT_FAILED},
         };
         for (Object[] c : cases) {
-            assertEquals(c[0].toString(), c[1], Dialer.unopened((Throwable) c[0]));
+            assertEquals(c[0].toString(), c[1], Dialer.connectFailureOutcome((Throwable) c[0]));
         }
     }
 
-    /** What a client sent may stand in a line of the log: it is cut and made printable. */
+    /** Text sent by clients may appear in a log line: it is truncated and made printable. */
     @Test
-    public void linesOfTheLog() {
+    public void logLinesAreTruncatedAndPrintable() {
         assertEquals("a?[31m?b?", BoundedLog.clean("a\u001b[31m\nb\u00ff"));
         assertEquals(200, BoundedLog.clean("x".repeat(70_000)).length());
     }
 
     @Test
-    public void addresses() {
+    public void addressesAreParsedAndMalformedOnesRejected() {
         assertEquals(new Address("127.0.0.1", 90), Address.parse("127.0.0.1:90"));
         for (String bad : new String[] {"", ":1", "a", "a:", "a:0", "a:65536", "a:b"}) {
             assertThrows(bad, IllegalArgumentException.class, () -> Address.parse(bad));
