--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -8,11 +8,11 @@
 import saffronferry.ops.Call;
 import saffronferry.ops.ControlSpend;
 import saffronferry.ops.Figures;
-import saffronferry.state.Ledger;
+import saffronferry.state.RpcCoordinator;
 import saffronferry.wire.ConsoleServer;
 
 /** Does what operators call for, and takes over what the bans' file says. For the event loop. */
-final class Console implements ConsoleServer.Desk {
+final class Console implements ConsoleServer.CallHandler {
     /** What the node itself does for a call. */
     interface Floor {
         boolean ready();
@@ -24,7 +24,7 @@
     }
 
     private final Vertx vertx;
-    private final Ledger<?> ledger;
+    private final RpcCoordinator<?> ledger;
     private final Figures figures;
     private final ControlSpend spend;
     private final BanFile file;
@@ -34,7 +34,7 @@
 
     Console(
             Vertx vertx,
-            Ledger<?> ledger,
+            RpcCoordinator<?> ledger,
             Figures figures,
             ControlSpend spend,
             BanFile file,
@@ -50,45 +50,45 @@
     }
 
     @Override
-    public void called(String method, String path, ConsoleServer.Reply reply) {
+    public void handle(String method, String path, ConsoleServer.Reply reply) {
         Call call = Call.read(method, path);
         switch (call.kind()) {
-            case READINESS -> reply.say(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
-            case STATS -> reply.say(200, figures.text(ledger.now()) + spend.text());
+            case READINESS -> reply.send(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
+            case STATS -> reply.send(200, figures.text(ledger.snapshot()) + spend.text());
             case WORKER_DOWN -> ban(call.worker(), bans -> bans.with(call.worker()), "is out", reply);
             case WORKER_UP -> ban(call.worker(), bans -> bans.without(call.worker()), "is back", reply);
             case DRAIN_START -> {
                 floor.drain();
-                reply.say(200, "draining\n");
+                reply.send(200, "draining\n");
             }
             case DRAIN_STOP -> {
                 boolean open = floor.undrain();
-                reply.say(open ? 200 : 409, open ? "taking clients\n" : "the process is ending\n");
+                reply.send(open ? 200 : 409, open ? "taking clients\n" : "the process is ending\n");
             }
-            case WRONG_METHOD -> reply.say(405, "another method is wanted here\n");
-            default -> reply.say(404, "no such call\n");
+            case WRONG_METHOD -> reply.send(405, "another method is wanted here\n");
+            default -> reply.send(404, "no such call\n");
         }
     }
 
     private void ban(String worker, UnaryOperator<Bans> how, String done, ConsoleServer.Reply reply) {
-        if (!ledger.knows(worker)) {
-            reply.say(404, "no worker has this id\n");
+        if (!ledger.isKnownSubchannel(worker)) {
+            reply.send(404, "no worker has this id\n");
             return;
         }
         Bans before = ledger.bans();
-        ledger.ban(how.apply(before)); // at once; yes is said when it will also outlive this process
+        ledger.setBans(how.apply(before)); // at once; yes is said when it will also outlive this process
         changing++;
         vertx.<Bans>executeBlocking(() -> file.change(how)).onComplete(written -> {
             changing--;
             if (written.succeeded()) {
                 follow(written.result());
                 log.line("worker " + done, worker);
-                reply.say(200, worker + " " + done + "\n");
+                reply.send(200, worker + " " + done + "\n");
             } else {
                 // a no means that nothing has changed
-                ledger.ban(before);
+                ledger.setBans(before);
                 log.line("bans not written", String.valueOf(written.cause()));
-                reply.say(500, "the bans cannot be written: " + written.cause().getMessage() + "\n");
+                reply.send(500, "the bans cannot be written: " + written.cause().getMessage() + "\n");
             }
         });
     }
@@ -96,7 +96,7 @@
     /** What the file says holds, unless a change of ours is yet to reach it. */
     void follow(Bans bans) {
         if (changing == 0 && !bans.equals(ledger.bans())) {
-            ledger.ban(bans);
+            ledger.setBans(bans);
         }
     }
 
--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -25,7 +25,7 @@
 import saffronferry.state.RpcInfo;
 import saffronferry.wire.BoundedTransport;
 import saffronferry.wire.ConsoleServer;
-import saffronferry.wire.Wire;
+import saffronferry.wire.DispatcherNetwork;
 
 /** One real dispatcher, from start to the end of its drain. Everything runs on one event loop. */
 final class Node {
@@ -62,7 +62,7 @@
     private final Figures figures;
     private final Drain drain = new Drain();
     private final CountDownLatch drained = new CountDownLatch(1);
-    private Wire wire;
+    private DispatcherNetwork wire;
     /** Null where settings hold as they were read at the start. */
     private SettingsInForce inForce;
 
@@ -93,7 +93,7 @@
         this.log = log;
         descriptors = descriptors(config);
         transport = transports.apply(new AcceptGate(descriptors), log);
-        descriptors.onFree(transport::freed);
+        descriptors.onFree(transport::onDescriptorFreed);
         figures = new Figures(
                 config.settings.settings.classes().stream().map(c -> c.name()).toList());
         vertx = new VertxBuilder(new VertxOptions()
@@ -167,9 +167,9 @@
         SettingsReader s = config.settings;
         config.unreadable.forEach(bad -> log.line("list entry left out", bad));
         inForce = config.agree == null ? null : new SettingsInForce(config, log);
-        wire = new Wire(
+        wire = new DispatcherNetwork(
                 vertx,
-                new Wire.Options(
+                new DispatcherNetwork.Options(
                         config.discovery,
                         config.peerListen,
                         config.peers,
@@ -186,21 +186,21 @@
                 log);
         Future<Void> console = Future.succeededFuture();
         if (config.console != null) {
-            wire.ledger().ban(bans); // before the first decision
+            wire.coordinator().setBans(bans); // before the first decision
             console = openConsole();
         }
         if (inForce != null) {
             inForce.start(vertx, wire, figures);
         }
-        return console.compose(v -> wire.begin(config.takeKnown()))
+        return console.compose(v -> wire.start(config.takeKnown()))
                 .onSuccess(v -> keepCompany())
                 .compose(v -> wire.server().listen(config.listen))
                 .compose(v -> wire.warmUp(config.listen))
-                .compose(v -> wire.listed())
+                .compose(v -> wire.awaitFirstList())
                 .compose(v -> company == null ? Future.succeededFuture() : company.announce())
                 .onSuccess(v -> {
                     ready = true;
-                    wire.server().ready();
+                    wire.server().markReady();
                     log.line("serving", config.listen.toString());
                 })
                 .mapEmpty();
@@ -208,10 +208,10 @@
 
     private void keepCompany() {
         if (company != null) {
-            company.keep(wire.ledger()::beside, new Company.Listener() {
+            company.keep(wire.coordinator()::beside, new Company.Listener() {
                 @Override
                 public void told(HandoverState beside) {
-                    wire.ledger().report(new BalancerEvent.RunsBeside(beside));
+                    wire.coordinator().report(new BalancerEvent.RunsBeside(beside));
                 }
 
                 @Override
@@ -235,9 +235,9 @@
         log.line(served ? "replaced" : "not replaced any more", "at " + config.listen);
         drain.away(served);
         if (served) {
-            wire.handOver();
+            wire.handOverListeners();
         } else {
-            wire.takeBack(config.listen);
+            wire.resumeListening(config.listen);
         }
         followDrain();
     }
@@ -245,9 +245,9 @@
     private Future<Void> openConsole() {
         desk = new Console(
                 vertx,
-                wire.ledger(),
+                wire.coordinator(),
                 figures,
-                transport.control(),
+                transport.controlSpend(),
                 banFile,
                 new Console.Floor() {
                     @Override
@@ -269,7 +269,7 @@
                     }
                 },
                 log);
-        OwnUse.keep(vertx, transport.control());
+        OwnUse.keep(vertx, transport.controlSpend());
         return new ConsoleServer(vertx, descriptors, transport, desk).listen(config.console);
     }
 
@@ -293,7 +293,7 @@
             if (inForce != null) {
                 inForce.follow(next);
             }
-            wire.follow(next.discovery);
+            wire.switchDiscovery(next.discovery);
         } catch (IllegalArgumentException e) {
             log.line("configuration not reloaded", e.getMessage());
         }
@@ -305,7 +305,7 @@
         context.runOnContext(v -> drain(elsewhere));
         try {
             // danger: to end before SIGKILL comes loses what was taken and is not answered yet
-            drained.await(longest(RpcInfo::longest) + DRAIN_SLACK_MS, TimeUnit.MILLISECONDS);
+            drained.await(longest(RpcInfo::maxRemaining) + DRAIN_SLACK_MS, TimeUnit.MILLISECONDS);
             if (company != null) {
                 company.ended();
             }
@@ -320,30 +320,30 @@
      */
     private void drain(boolean elsewhere) {
         long counted = Math.max(STILL_LISTEN_MS, Math.min(longest(JobClass::deadline), LONGEST_MS));
-        log.line("draining", wire.ledger().unanswered() + " RPCs are open");
+        log.line("draining", wire.coordinator().unansweredCount() + " RPCs are open");
         if (drain.elsewhere() != elsewhere) {
             leave(elsewhere);
         }
         drain.end(now(), counted - LAST_INTAKE_MS, elsewhere);
         followDrain();
-        vertx.setTimer(STILL_LISTEN_MS, t -> wire.ledger().endWithin(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
+        vertx.setTimer(STILL_LISTEN_MS, t -> wire.coordinator().capDeadlines(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
     }
 
     /** Has clients treated as the drain's phase says, now and whenever it changes by itself. */
     private void followDrain() {
         Drain.Phase phase = drain.phase(now());
-        wire.server().drain(phase, drain.ending(), drain.elsewhere());
+        wire.server().setDrainPhase(phase, drain.ending(), drain.elsewhere());
         long next = drain.untilNext(now());
         if (next >= 0) {
             vertx.setTimer(Math.max(1, next), t -> followDrain());
         } else if (drain.ending() && !lastIntake) {
             lastIntake = true;
             // guards a request in the system's queue, or one that would come there yet, against our end
-            wire.takeTheLast();
+            wire.stopAccepting();
             long until = now() + HALF_MS;
             vertx.setPeriodic(LOOK_MS, look -> {
-                if (wire.ledger().unanswered() == 0
-                        && (now() >= until || wire.server().settled())) {
+                if (wire.coordinator().unansweredCount() == 0
+                        && (now() >= until || wire.server().isSettled())) {
                     vertx.cancelTimer(look);
                     vertx.setTimer(FLUSH_MS, t -> drained.countDown());
                 }
--- a/src/main/java/saffronferry/state/CallAttempt.java
+++ b/src/main/java/saffronferry/state/CallAttempt.java
@@ -3,45 +3,50 @@
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 
-/** One call attempt. Who speaks with the subchannel tells it what comes; after its end nothing counts. */
+/**
+ * One call attempt of an RPC at a subchannel. The network code reports its events here. Events after the end of the
+ * attempt are ignored, except {@link #written()}.
+ */
 public final class CallAttempt {
-    /** Who hears of attempts. */
+    /** Receives the events of call attempts. */
     interface Listener {
-        void moved(CallAttempt attempt, boolean started);
+        /** The job started, or else made progress. */
+        void progressed(CallAttempt attempt, boolean started);
 
-        /** The attempt is written whole. */
+        /** The whole request has been written. */
         void written(CallAttempt attempt);
 
+        /** The attempt ended; {@code result} and {@code load} may be null. */
         void ended(CallAttempt attempt, Outcome outcome, String result, Report load);
     }
 
-    final long rpc;
+    final long rpcId;
     final int rpcClass;
-    final int number;
-    final long sentAt;
+    final int index;
+    final long createdAt;
     final String subchannel;
     private final Listener listener;
-    private boolean over;
-    private boolean begun;
-    /** Whether the subchannel found fault with the RPC itself. */
+    private boolean ended;
+    private boolean sendStarted;
+    /** Whether the subchannel reported that the request itself is invalid. */
     boolean rejected;
-    /** Gives the attempt up on the wire. */
-    Runnable giveUp = () -> {};
+    /** Cancels the attempt in the network code. */
+    Runnable onCancel = () -> {};
 
-    CallAttempt(long rpc, int rpcClass, int number, long sentAt, String subchannel, Listener listener) {
-        this.rpc = rpc;
+    CallAttempt(long rpcId, int rpcClass, int index, long createdAt, String subchannel, Listener listener) {
+        this.rpcId = rpcId;
         this.rpcClass = rpcClass;
-        this.number = number;
-        this.sentAt = sentAt;
+        this.index = index;
+        this.createdAt = createdAt;
         this.subchannel = subchannel;
         this.listener = listener;
     }
 
-    /** An attempt of no RPC: only its end is told. */
-    public static CallAttempt unheard(Runnable onEnd) {
+    /** Creates an attempt that belongs to no RPC; only its end is reported. */
+    public static CallAttempt withoutRpc(Runnable onEnd) {
         return new CallAttempt(0, 0, 0, 0, null, new Listener() {
             @Override
-            public void moved(CallAttempt attempt, boolean started) {}
+            public void progressed(CallAttempt attempt, boolean started) {}
 
             @Override
             public void written(CallAttempt attempt) {}
@@ -53,39 +58,39 @@
         });
     }
 
-    public boolean over() {
-        return over;
+    public boolean isEnded() {
+        return ended;
     }
 
-    /** Its connection is up and the first byte is about to be written. */
-    public void begun() {
-        begun = true;
+    /** The connection is established and the first byte is about to be written. */
+    public void sendStarted() {
+        sendStarted = true;
     }
 
-    /** Whether another attempt of its RPC came before, so that only a window is left for it. */
+    /** Whether the RPC had an earlier attempt, so that only a limited time window is left for this one. */
     public boolean isRepeat() {
-        return number > 0;
+        return index > 0;
     }
 
-    /** Whether any of it may have been sent. */
-    boolean hasBegun() {
-        return begun;
+    /** Whether any byte of the request may have been sent. */
+    boolean mayHaveBeenSent() {
+        return sendStarted;
     }
 
-    /** Its last byte is written; told though the attempt may be over by now. */
+    /** The last byte of the request has been written; reported even if the attempt has ended meanwhile. */
     public void written() {
         listener.written(this);
     }
 
-    public void started() {
-        if (!over) {
-            listener.moved(this, true);
+    public void jobStarted() {
+        if (!ended) {
+            listener.progressed(this, true);
         }
     }
 
-    public void progressed() {
-        if (!over) {
-            listener.moved(this, false);
+    public void jobProgressed() {
+        if (!ended) {
+            listener.progressed(this, false);
         }
     }
 
@@ -93,7 +98,7 @@
         end(Outcome.OK, result, load);
     }
 
-    /** The subchannel cannot use the RPC: no other one could, and it is no fault of the subchannel. */
+    /** The request is invalid: every subchannel would reject it, and this one is not to blame. */
     public void rejected() {
         rejected = true;
         end(Outcome.NOT_SENT, null, null);
@@ -104,8 +109,8 @@
     }
 
     private void end(Outcome outcome, String result, Report load) {
-        if (!over) {
-            over = true;
+        if (!ended) {
+            ended = true;
             listener.ended(this, outcome, result, load);
         }
     }
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -15,205 +15,209 @@
 import saffronferry.ops.Drain.Phase;
 import saffronferry.ops.Figures;
 import saffronferry.state.Channel;
-import saffronferry.state.Ledger;
+import saffronferry.state.RpcCoordinator;
 import saffronferry.state.RpcInfo;
 
-/** Serves clients: reads whole requests, opens an RPC for each and writes its answer. */
+/** The HTTP server for clients: reads complete requests, opens an RPC for each and writes its answer. */
 public final class ChannelServer {
-    static final int MOST_BODY = 64 * 1024;
-    private static final int MOST_HEAD = 16 * 1024;
-    private static final String TOO_LONG = "a body holds 64 KiB at most";
+    static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final String BODY_TOO_LONG = "a body holds 64 KiB at most";
 
     private final HttpServer server;
     private final RpcParser parser;
-    private final Ledger<HttpMessage> ledger;
-    private final Admission admission;
+    private final RpcCoordinator<ForwardedRequest> coordinator;
+    private final ClientConnections clientConnections;
     private final Figures figures;
     private final BoundedLog log;
     private boolean ready;
     private Phase phase = Phase.OPEN;
-    private boolean ending;
-    private boolean elsewhere;
-    private boolean heard;
+    private boolean processEnding;
+    private boolean servedElsewhere;
+    private boolean requestReceived;
 
     ChannelServer(
             Vertx vertx,
             RpcParser parser,
-            Ledger<HttpMessage> ledger,
+            RpcCoordinator<ForwardedRequest> coordinator,
             BoundedTransport transport,
             Figures figures,
             BoundedLog log) {
         this.parser = parser;
-        this.ledger = ledger;
+        this.coordinator = coordinator;
         this.figures = figures;
         this.log = log;
-        admission = new Admission(vertx, transport);
-        // guards against silent connections that nobody counts: where HTTP/2 may be spoken too, a
-        // connection is announced only once its first bytes are here
+        clientConnections = new ClientConnections(vertx, transport);
+        // with HTTP/2 enabled, the library reports a connection only after its first bytes, so that silent
+        // connections would not be counted
         HttpServerOptions options = new HttpServerOptions()
                 .setTcpNoDelay(true)
                 .setReuseAddress(true)
                 .setHttp2ClearTextEnabled(false)
                 .setAcceptBacklog(1024)
-                .setMaxHeaderSize(MOST_HEAD);
+                .setMaxHeaderSize(MAX_HEAD_BYTES);
         server = vertx.createHttpServer(options);
         server.connectionHandler(connection -> {
             StrictDecoder.install(connection, options);
-            admission.connected(connection);
+            clientConnections.add(connection);
         });
         server.requestHandler(this::handle);
-        server.exceptionHandler(e -> log.line("client connection broke", String.valueOf(e.getMessage())));
+        server.exceptionHandler(e -> log.line("client connection failed", String.valueOf(e.getMessage())));
     }
 
-    public Future<?> listen(Address at) {
-        return server.listen(at.port(), at.host());
+    public Future<?> listen(Address address) {
+        return server.listen(address.port(), address.host());
     }
 
-    /** From now on {@code GET /up} answers 200. */
-    public void ready() {
+    /** Makes {@code GET /up} answer 200 from now on. */
+    public void markReady() {
         ready = true;
     }
 
     /**
-     * How clients are treated from now on. Where the process ends, what comes at the very last is refused;
-     * where another process serves at our address, {@code /up} goes on saying yes for it.
+     * Sets the drain phase.
+     *
+     * @param processEnds whether the process ends with the drain, so that requests in the last phase are refused
+     * @param otherProcessServes whether another process serves at the same address, so that {@code /up} still answers
+     *     200
      */
-    public void drain(Phase next, boolean processEnds, boolean servedElsewhere) {
+    public void setDrainPhase(Phase next, boolean processEnds, boolean otherProcessServes) {
         phase = next;
-        ending = processEnds;
-        elsewhere = servedElsewhere;
+        processEnding = processEnds;
+        servedElsewhere = otherProcessServes;
         if (phase == Phase.EMPTY) {
-            admission.closeIdle();
+            clientConnections.closeIdle();
         }
     }
 
-    /** Whether a connection is to be closed once its request has its answer. */
-    private boolean leaving() {
+    /** Whether connections are closed once their request is answered. */
+    private boolean closesAnsweredConnections() {
         return phase.compareTo(Phase.LEAVING) >= 0;
     }
 
-    /** Whether no request is half here, and no answer still on its way out. */
-    public boolean settled() {
-        return admission.settled();
+    /** Whether no request is partially received and no response is waiting to be sent. */
+    public boolean isSettled() {
+        return clientConnections.isSettled();
     }
 
-    /** Whether any request has come. */
-    boolean heard() {
-        return heard;
+    /** Whether any request has been received. */
+    boolean hasReceivedRequest() {
+        return requestReceived;
     }
 
     private void handle(HttpServerRequest request) {
-        heard = true;
+        requestReceived = true;
         HttpConnection connection = request.connection();
         request.exceptionHandler(e -> {});
-        if (!admission.begin(connection, () -> reject(request, new BadRequest(408, "too slow")))) {
+        if (!clientConnections.requestStarted(connection, () -> reject(request, new RejectedRequestException(408, "too slow")))) {
             return;
         }
         request.response().headersEndHandler(v -> {
-            // guards a client against a connection that ends without having been told so in the answer
-            if (leaving()) {
+            // the client has to know from the response that the connection will be closed
+            if (closesAnsweredConnections()) {
                 request.response().putHeader("Connection", "close");
             }
         });
         request.response().endHandler(v -> {
-            admission.answered(connection);
+            clientConnections.answered(connection);
             if ("close".equals(request.response().headers().get("Connection"))) {
                 connection.close();
             }
         });
         try {
-            framing(request);
+            checkFraming(request);
             if (request.method() == HttpMethod.GET && "/up".equals(request.path())) {
-                admission.whole(connection);
-                boolean up = ready && (phase == Phase.OPEN || elsewhere);
+                clientConnections.requestComplete(connection);
+                boolean up = ready && (phase == Phase.OPEN || servedElsewhere);
                 request.response().setStatusCode(up ? 200 : 503).end(up ? "up\n" : "not up\n");
                 return;
             }
             if (request.method() != HttpMethod.POST) {
-                throw new BadRequest(405, "jobs arrive by POST");
+                throw new RejectedRequestException(405, "jobs arrive by POST");
             }
             RpcInfo info = parser.parse(request);
             receive(request, info);
-        } catch (BadRequest e) {
+        } catch (RejectedRequestException e) {
             reject(request, e);
         } catch (RuntimeException e) {
-            // guards a client against waiting for an answer that an error of ours has swallowed
-            reject(request, new BadRequest(500, "internal error: " + e));
+            // the client must get a response even after an internal error
+            reject(request, new RejectedRequestException(500, "internal error: " + e));
         }
     }
 
-    /** Guards against a request that hides another in its body, and against reading what is too long. */
-    private static void framing(HttpServerRequest request) throws BadRequest {
+    /** Rejects ambiguous framing, which allows request smuggling, and bodies that are too long. */
+    private static void checkFraming(HttpServerRequest request) throws RejectedRequestException {
         String length = request.getHeader("Content-Length");
         List<String> encodings = request.headers().getAll("Transfer-Encoding");
         if (!encodings.isEmpty() && (length != null || !List.of("chunked").equals(encodings))) {
-            throw new BadRequest(400, "a body is framed by Content-Length, or else it is chunked");
+            throw new RejectedRequestException(400, "a body is framed by Content-Length, or else it is chunked");
         }
-        if (length != null && Long.parseLong(length) > MOST_BODY) {
-            throw new BadRequest(413, TOO_LONG);
+        if (length != null && Long.parseLong(length) > MAX_BODY_BYTES) {
+            throw new RejectedRequestException(413, BODY_TOO_LONG);
         }
     }
 
-    /** Guards against half a request reaching the balancer: an RPC opens only with its whole body. */
+    /** Reads the body and opens the RPC once it is complete, so that the balancer never gets a partial request. */
     private void receive(HttpServerRequest request, RpcInfo info) {
         if ("100-continue".equalsIgnoreCase(request.getHeader("Expect"))) {
             request.response().writeContinue();
         }
         Buffer body = Buffer.buffer();
         request.handler(chunk -> {
-            if (body.length() + chunk.length() > MOST_BODY) {
-                reject(request, new BadRequest(413, TOO_LONG));
+            if (body.length() + chunk.length() > MAX_BODY_BYTES) {
+                reject(request, new RejectedRequestException(413, BODY_TOO_LONG));
             } else {
                 body.appendBuffer(chunk);
             }
         });
         request.endHandler(v -> {
-            admission.whole(request.connection());
+            clientConnections.requestComplete(request.connection());
             open(request, info, body);
         });
     }
 
     private void open(HttpServerRequest request, RpcInfo info, Buffer body) {
-        if (ending && phase == Phase.EMPTY) {
-            // a whole answer to a request read whole, or the close would reset it over its unread rest
+        if (processEnding && phase == Phase.EMPTY) {
+            // answered only when the request is read completely: closing with unread input would reset the
+            // connection before the client has read the response
             figures.answered(info.rpcClass(), Figures.Result.SHED);
-            reject(request, new BadRequest(503, "shutting down"));
+            reject(request, new RejectedRequestException(503, "shutting down"));
             return;
         }
-        // guards an open RPC against a newcomer of the same name: workers would take the two for one
-        if (ledger.holds(info.name())) {
-            reject(request, new BadRequest(409, "a request with this X-Txn is open"));
+        // workers would confuse two open RPCs of the same name
+        if (coordinator.isNameInUse(info.name())) {
+            reject(request, new RejectedRequestException(409, "a request with this X-Txn is open"));
             return;
         }
         HttpServerResponse response = request.response();
-        HttpMessage message = new HttpMessage(
+        ForwardedRequest message = new ForwardedRequest(
                 request.method(),
                 request.uri(),
                 info.name(),
                 request.getHeader("Idempotency-Key"),
                 body,
-                (System.nanoTime() - Turnstile.of(request.connection()).firstByteAt()) / 1000);
+                (System.nanoTime() - PipeliningHandler.of(request.connection()).firstByteNanos()) / 1000);
         long[] id = {0};
-        response.closeHandler(v -> ledger.clientGone(id[0]));
+        response.closeHandler(v -> coordinator.clientDisconnected(id[0]));
         response.exceptionHandler(e -> {});
-        id[0] = ledger.open(info, message, new HttpChannel(request));
+        id[0] = coordinator.open(info, message, new HttpChannel(request));
     }
 
-    private void reject(HttpServerRequest request, BadRequest bad) {
+    private void reject(HttpServerRequest request, RejectedRequestException rejection) {
         if (ready) {
-            log.line("request rejected", bad.getMessage());
+            log.line("request rejected", rejection.getMessage());
         }
         request.handler(null);
         request.endHandler(null);
-        admission.doom(request.connection());
+        clientConnections.discardInput(request.connection());
         request.response()
-                .setStatusCode(bad.status)
+                .setStatusCode(rejection.status)
                 .putHeader("Connection", "close")
-                .end(bad.getMessage() + "\n")
+                .end(rejection.getMessage() + "\n")
                 .onComplete(v -> request.connection().close());
     }
 
-    /** Writes the one answer of an RPC. */
+    /** Writes the final answer of an RPC to the client. */
     private final class HttpChannel implements Channel {
         private final HttpServerRequest request;
 
@@ -227,8 +231,8 @@
         }
 
         @Override
-        public void refused(long retryAfter) {
-            end(503, retryAfter, "refused\n");
+        public void refused(long retryAfterMicros) {
+            end(503, retryAfterMicros, "refused\n");
         }
 
         @Override
@@ -236,14 +240,14 @@
             end(500, 0, "failed\n");
         }
 
-        private void end(int status, long retryAfter, String body) {
+        private void end(int status, long retryAfterMicros, String body) {
             HttpServerResponse response = request.response();
             if (response.closed() || response.ended()) {
                 return;
             }
             response.setStatusCode(status);
-            if (retryAfter > 0) {
-                response.putHeader("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfter / 1e6));
+            if (retryAfterMicros > 0) {
+                response.putHeader("Retry-After", String.format(Locale.ROOT, "%.3f", retryAfterMicros / 1e6));
             }
             response.end(body);
         }
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -34,45 +34,45 @@
 import saffronferry.limit.Descriptors;
 import saffronferry.limit.Descriptors.Purpose;
 
-/** Speaks HTTP with operators, one call a connection. What is called, and what it does, others know. */
+/** The HTTP server for operators, with one call per connection. A {@link CallHandler} interprets the calls. */
 public final class ConsoleServer {
-    /** Answers one call; the answer may come later, but on the event loop. */
-    public interface Desk {
-        void called(String method, String path, Reply reply);
+    /** Answers calls; the reply may be sent later, but on the event loop. */
+    public interface CallHandler {
+        void handle(String method, String path, Reply reply);
     }
 
-    /** Takes the one answer of a call; a second one, or one after the caller has gone, has no effect. */
+    /** Sends the answer to a call; a second answer, or one after the caller has disconnected, has no effect. */
     public interface Reply {
-        void say(int status, String text);
+        void send(int status, String text);
     }
 
-    private static final int MOST_LINE = 2 * 1024;
-    private static final int MOST_HEAD = 8 * 1024;
-    private static final int MOST_BODY = 4 * 1024;
-    /** A call is answered within 1 s; one that is not whole by then, or not read by its caller, ends. */
-    private static final long CALL_MS = 2_000;
+    private static final int MAX_LINE_BYTES = 2 * 1024;
+    private static final int MAX_HEAD_BYTES = 8 * 1024;
+    private static final int MAX_BODY_BYTES = 4 * 1024;
+    /** Calls are answered within 1 s. A call that is incomplete, or whose answer is unread, by then is ended. */
+    private static final long CALL_TIMEOUT_MS = 2_000;
 
     private final EventLoop loop;
     private final BoundedTransport transport;
-    private final BoundedTransport.Door door;
-    private final Desk desk;
-    /** Calls that are not whole yet, the oldest first. */
-    private final Set<Conversation> unfinished = new LinkedHashSet<>();
+    private final BoundedTransport.ListenerAdmission admission;
+    private final CallHandler handler;
+    /** Connections whose call is incomplete, the oldest first. */
+    private final Set<CallConnection> incomplete = new LinkedHashSet<>();
 
-    public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, Desk desk) {
+    public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, CallHandler handler) {
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.transport = transport;
-        this.desk = desk;
-        door = new BoundedTransport.Door(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
-        door.lobby().onSilent(this::makeRoomIfTight);
+        this.handler = handler;
+        admission = new BoundedTransport.ListenerAdmission(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
+        admission.pending().onSilent(this::makeRoomIfTight);
     }
 
     /** Opens the listening socket; calls are answered from then on. */
-    public io.vertx.core.Future<Void> listen(Address at) {
+    public io.vertx.core.Future<Void> listen(Address address) {
         Promise<Void> bound = Promise.promise();
         new ServerBootstrap()
                 .group(loop)
-                .channelFactory(() -> transport.listener(door))
+                .channelFactory(() -> transport.listener(admission))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 128)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -81,12 +81,12 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new HttpRequestDecoder(MOST_LINE, MOST_HEAD, MOST_BODY),
+                                        new HttpRequestDecoder(MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_BODY_BYTES),
                                         new HttpResponseEncoder(),
-                                        new Conversation(channel));
+                                        new CallConnection(channel));
                     }
                 })
-                .bind(at.host(), at.port())
+                .bind(address.host(), address.port())
                 .addListener(f -> {
                     if (f.isSuccess()) {
                         bound.complete();
@@ -98,76 +98,79 @@
     }
 
     /**
-     * Guards calls against callers that say nothing, or half a call, and stay: the oldest of them goes. Of
-     * both kinds together, or a call whose first byte is on its way would go before half calls of long ago.
+     * Closes the oldest silent or incomplete connection if file descriptors are short, so that such connections cannot
+     * block calls. Both kinds are compared by age: otherwise a new connection whose first byte is in transit would be
+     * closed before old incomplete calls.
      */
     private void makeRoomIfTight() {
-        if (!door.gate().tight()) {
+        if (!admission.gate().tight()) {
             return;
         }
-        Long silentSince = door.lobby().oldestSince();
-        Conversation half = unfinished.isEmpty() ? null : unfinished.iterator().next();
-        if (half != null && (silentSince == null || half.since - silentSince < 0)) {
-            half.close();
+        Long oldestSilentNanos = admission.pending().oldestConnectedNanos();
+        CallConnection oldestIncomplete =
+                incomplete.isEmpty() ? null : incomplete.iterator().next();
+        if (oldestIncomplete != null
+                && (oldestSilentNanos == null || oldestIncomplete.connectedNanos - oldestSilentNanos < 0)) {
+            oldestIncomplete.close();
         } else {
-            door.lobby().closeOldest();
+            admission.pending().closeOldest();
         }
     }
 
-    /** One call, from its first byte to its answer. */
-    private final class Conversation extends SimpleChannelInboundHandler<HttpObject> implements Reply {
+    /** The connection of one call, from its first byte to its answer. */
+    private final class CallConnection extends SimpleChannelInboundHandler<HttpObject> implements Reply {
         private final Channel channel;
-        private final long since;
+        private final long connectedNanos;
         private final Future<?> timer;
         private HttpRequest head;
-        private int body;
-        private boolean called;
+        private int bodyBytes;
+        private boolean complete;
         private boolean answered;
 
-        Conversation(Channel channel) {
+        CallConnection(Channel channel) {
             this.channel = channel;
-            since = ((BoundedTransport.Accepted) channel).since();
-            timer = loop.schedule(this::tooLate, CALL_MS, TimeUnit.MILLISECONDS);
-            unfinished.add(this);
+            connectedNanos = ((BoundedTransport.AcceptedConnection) channel).connectedNanos();
+            timer = loop.schedule(this::onTimeout, CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            incomplete.add(this);
             makeRoomIfTight();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part.decoderResult().isFailure()) {
-                say(400, "this is no call that can be read\n");
+                send(400, "this is no call that can be read\n");
                 return;
             }
             if (part instanceof HttpRequest request) {
                 head = request;
             }
             if (part instanceof HttpContent content) {
-                body += content.content().readableBytes();
-                if (body > MOST_BODY) {
-                    say(413, "a call needs no body\n");
-                } else if (part instanceof LastHttpContent && !called && !answered) {
-                    called = true;
-                    unfinished.remove(this);
-                    call();
+                bodyBytes += content.content().readableBytes();
+                if (bodyBytes > MAX_BODY_BYTES) {
+                    send(413, "a call needs no body\n");
+                } else if (part instanceof LastHttpContent && !complete && !answered) {
+                    complete = true;
+                    incomplete.remove(this);
+                    handleCall();
                 }
             }
         }
 
-        private void call() {
+        private void handleCall() {
             try {
-                desk.called(head.method().name(), new QueryStringDecoder(head.uri()).path(), this);
+                handler.handle(head.method().name(), new QueryStringDecoder(head.uri()).path(), this);
             } catch (IllegalArgumentException e) {
-                say(400, "the path cannot be read: " + e.getMessage() + "\n");
+                send(400, "the path cannot be read: " + e.getMessage() + "\n");
             }
         }
 
         @Override
-        public void say(int status, String text) {
+        public void send(int status, String text) {
             if (answered || !channel.isActive()) {
                 return;
             }
             answered = true;
-            unfinished.remove(this);
+            incomplete.remove(this);
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(status),
@@ -179,28 +182,30 @@
             channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         }
 
-        private void tooLate() {
+        private void onTimeout() {
             if (answered) {
-                close(); // its caller does not read
+                // the caller has not read the answer
+                close();
             } else {
-                say(called ? 500 : 408, called ? "not done in time\n" : "the call did not come whole\n");
+                send(complete ? 500 : 408, complete ? "not done in time\n" : "the call did not come whole\n");
             }
         }
 
         void close() {
-            unfinished.remove(this);
+            incomplete.remove(this);
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            unfinished.remove(this);
+            incomplete.remove(this);
             timer.cancel(false);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            close(); // a caller that broke its connection: nobody is left to be told
+            // the connection failed, so no answer can be delivered
+            close();
         }
     }
 }
--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -22,9 +22,9 @@
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Channel;
 import saffronferry.state.Clock;
-import saffronferry.state.Ledger;
 import saffronferry.state.ListUpdate;
-import saffronferry.state.Ports;
+import saffronferry.state.OutboundOperations;
+import saffronferry.state.RpcCoordinator;
 import saffronferry.state.RpcInfo;
 
 /** The program's own ledgers and balancers in virtual time; writes down what crosses their wires. */
@@ -209,9 +209,9 @@
     }
 
     /** One dispatcher: the real ledger and balancer behind ports of ours. */
-    private final class Front implements Ports<String> {
+    private final class Front implements OutboundOperations<String> {
         private final int number;
-        private final Ledger<String> ledger;
+        private final RpcCoordinator<String> ledger;
         private final Map<Long, Long> timers = new HashMap<>();
         private final Map<String, Long> ids = new HashMap<>();
         private final Map<String, List<CallAttempt>> attempts = new HashMap<>();
@@ -235,7 +235,7 @@
                             -1))
                     .toList();
             Scenario.Rules r = scenario.rules();
-            ledger = new Ledger<>(
+            ledger = new RpcCoordinator<>(
                     new Balancer(new Settings(
                             dice.nextLong(),
                             number,
@@ -273,7 +273,7 @@
 
         void ban(String worker, boolean out) {
             write((out ? "ban" : "back") + " %d %s", number, worker);
-            ledger.ban(out ? ledger.bans().with(worker) : ledger.bans().without(worker));
+            ledger.setBans(out ? ledger.bans().with(worker) : ledger.bans().without(worker));
         }
 
         void told(List<WorkerInfo> entries, boolean whole) {
@@ -290,7 +290,7 @@
                             .append(w.cell())
                             .append(w.startedAt() > 0 ? "+" + w.startedAt() / 1e6 : ""));
             write("list %d %s%s", number, whole ? "whole" : "changes", text);
-            ledger.resolved(
+            ledger.onListUpdate(
                     new ListUpdate(
                             ++revision,
                             whole,
@@ -327,13 +327,13 @@
 
         void left(String rpc) {
             write("gone %d %s", number, rpc);
-            ledger.clientGone(ids.getOrDefault(rpc, 0L));
+            ledger.clientDisconnected(ids.getOrDefault(rpc, 0L));
         }
 
         /** A worker's word; none where the real code made no such attempt, or gave it up. */
         void answered(String rpc, int attempt, Outcome outcome) {
             List<CallAttempt> all = attempts.getOrDefault(rpc, List.of());
-            if (attempt < all.size() && !all.get(attempt).over()) {
+            if (attempt < all.size() && !all.get(attempt).isEnded()) {
                 write("worker %d %s %d %s", number, rpc, attempt, outcome);
                 if (outcome == Outcome.OK) {
                     all.get(attempt).served("done", null);
@@ -346,14 +346,14 @@
         /** A worker's process ended. */
         void breaks(String worker) {
             attempts.forEach((rpc, all) -> all.stream()
-                    .filter(a -> !a.over() && worker.equals(places.get(a)))
+                    .filter(a -> !a.isEnded() && worker.equals(places.get(a)))
                     .forEach(a -> at(now + 1, () -> answered(rpc, all.indexOf(a), Outcome.RESET))));
         }
 
         @Override
-        public Runnable start(String rpc, String address, long remaining, CallAttempt attempt) {
+        public Runnable startAttempt(String rpc, String address, long remaining, CallAttempt attempt) {
             write("reaches %d %s %s", number, rpc, address);
-            attempt.begun();
+            attempt.sendStarted();
             List<CallAttempt> all = attempts.computeIfAbsent(rpc, x -> new ArrayList<>());
             all.add(attempt);
             places.put(attempt, address);
@@ -365,7 +365,7 @@
         }
 
         @Override
-        public void probe(String worker, String address) {
+        public void probeLoad(String worker, String address) {
             at(
                     now + 1_000,
                     () -> ledger.report(
@@ -373,7 +373,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] bytes) {
+        public void sendToPeer(int peer, byte[] bytes) {
             if (dice.nextInt(20) > 0) {
                 at(now + 1_000 + dice.nextLong(30_000), () -> {
                     if (fronts.containsKey(peer)) {
@@ -384,14 +384,14 @@
         }
 
         @Override
-        public void watch(long from) {
+        public void watchList(long from) {
             if (dice.nextInt(4) == 0) {
                 at(now + 300_000, () -> ledger.report(new BalancerEvent.WatchLost(WatchEnd.ENDED)));
             }
         }
 
         @Override
-        public long wake(long delay, Runnable what) {
+        public long schedule(long delay, Runnable what) {
             long id = ++lastTimer;
             long key = now + Math.max(1, delay) << 20 | order++ & 0xFFFFF;
             timers.put(id, key);
@@ -400,7 +400,7 @@
         }
 
         @Override
-        public void unwake(long timer) {
+        public void cancelTimer(long timer) {
             queue.remove(timers.remove(timer));
         }
 
--- a/src/test/java/saffronferry/state/LedgerTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -17,16 +17,16 @@
 import saffronferry.ops.Figures;
 import saffronferry.settings.SettingsReader;
 
-/** The ledger without sockets: one final answer whatever fails, and nothing kept of what is over. */
-public class LedgerTest {
+/** RpcCoordinator without sockets: each RPC gets one final answer whatever fails, and leaves no state behind. */
+public class RpcCoordinatorTest {
     private final List<String> answers = new ArrayList<>();
     private final List<CallAttempt> started = new ArrayList<>();
     private final List<String> logged = new ArrayList<>();
     private final TreeMap<Long, Runnable> timers = new TreeMap<>();
-    private boolean broken;
+    private boolean startFails;
     private Error error;
     private final Figures figures = new Figures(List.of("directory-page", "record-gift"));
-    private Ledger<String> ledger;
+    private RpcCoordinator<String> coordinator;
 
     private final Channel channel = new Channel() {
         @Override
@@ -45,12 +45,12 @@
         }
     };
 
-    private final Ports<String> ports = new Ports<>() {
-        private long last;
+    private final OutboundOperations<String> outbound = new OutboundOperations<>() {
+        private long lastTimer;
 
         @Override
-        public Runnable start(String message, String address, long remaining, CallAttempt attempt) {
-            if (broken) {
+        public Runnable startAttempt(String message, String address, long remainingMicros, CallAttempt attempt) {
+            if (startFails) {
                 throw new IllegalStateException("no socket");
             }
             if (error != null) {
@@ -61,22 +61,22 @@
         }
 
         @Override
-        public void probe(String subchannel, String address) {}
+        public void probeLoad(String subchannel, String address) {}
 
         @Override
-        public void tell(int peer, byte[] bytes) {}
+        public void sendToPeer(int peer, byte[] bytes) {}
 
         @Override
-        public void watch(long revision) {}
+        public void watchList(long revision) {}
 
         @Override
-        public long wake(long delay, Runnable what) {
-            timers.put(++last, what);
-            return last;
+        public long schedule(long delayMicros, Runnable action) {
+            timers.put(++lastTimer, action);
+            return lastTimer;
         }
 
         @Override
-        public void unwake(long timer) {
+        public void cancelTimer(long timer) {
             timers.remove(timer);
         }
 
@@ -88,12 +88,12 @@
 
     private void begin() throws Exception {
         JSONObject config = new JSONObject(Files.readString(Path.of("examples/config.json")));
-        ledger = new Ledger<>(
+        coordinator = new RpcCoordinator<>(
                 new Balancer(new SettingsReader(1, config.getJSONObject("settings")).settings),
                 new Clock(),
-                ports,
+                outbound,
                 figures);
-        ledger.resolved(
+        coordinator.onListUpdate(
                 new ListUpdate(
                         1,
                         true,
@@ -104,67 +104,67 @@
     }
 
     private void open() {
-        ledger.open(new RpcInfo("t", 0, 0, 3_000_000, 1, false), "m", channel);
+        coordinator.open(new RpcInfo("t", 0, 0, 3_000_000, 1, false), "m", channel);
     }
 
     @Test
-    public void theFirstResultIsTheAnswerAndNothingStays() throws Exception {
+    public void firstResultIsTheOnlyAnswerAndLeavesNoState() throws Exception {
         begin();
         open();
         started.get(0).served("r", null);
         started.get(0).served("again", null);
         started.get(0).ended(Outcome.RESET, null);
         assertEquals(List.of("r"), answers);
-        assertEquals(0, ledger.unanswered());
-        assertEquals("the deadline's timer is cancelled", 0, timers.size());
+        assertEquals(0, coordinator.unansweredCount());
+        assertEquals("the deadline timer is cancelled", 0, timers.size());
     }
 
-    /** Guards against an RPC left without an answer because carrying out a step failed. */
+    /** An RPC must not stay unanswered because the execution of a step threw an exception. */
     @Test
-    public void anErrorOnTheWayStillLeavesOneAnswerAtTheDeadline() throws Exception {
+    public void failedStepStillLeadsToOneAnswerAtTheDeadline() throws Exception {
         begin();
-        broken = true;
+        startFails = true;
         open();
         assertEquals(1, logged.size());
         timers.firstEntry().getValue().run();
         assertEquals(1, answers.size());
-        assertEquals(0, ledger.unanswered());
+        assertEquals(0, coordinator.unansweredCount());
     }
 
-    /** An Error on the way must not leave the ledger waiting for itself: later RPCs are served. */
+    /** An Error thrown by a step must not block the queue of pending work: later RPCs are still processed. */
     @Test
-    public void anErrorOfTheVirtualMachineEndsOneAttemptOnly() throws Exception {
+    public void virtualMachineErrorEndsOneAttemptOnly() throws Exception {
         begin();
-        error = new NoClassDefFoundError("what could not be loaded");
+        error = new NoClassDefFoundError("missing class");
         open();
         assertEquals(1, logged.size());
-        assertEquals("tried at the next worker or told, never left", 0, started.size());
+        assertEquals("the failed attempt does not count as started", 0, started.size());
         error = null;
-        ledger.open(new RpcInfo("v", 0, 0, 3_000_000, 1, false), "m", channel);
-        ledger.report(new BalancerEvent.Room(true));
+        coordinator.open(new RpcInfo("v", 0, 0, 3_000_000, 1, false), "m", channel);
+        coordinator.report(new BalancerEvent.Room(true));
         timers.values().stream().toList().forEach(Runnable::run);
-        assertEquals("each has its one answer", 2, answers.size());
+        assertEquals("each RPC has one answer", 2, answers.size());
     }
 
-    /** While no connection can be opened nothing is sent, whatever is free; the rest waits its turn. */
+    /** While no connection can be opened, RPCs are held even if workers are free. */
     @Test
-    public void withoutRoomNothingIsSentUntilThereIsSome() throws Exception {
+    public void rpcsAreHeldWhileNoConnectionCanBeOpened() throws Exception {
         begin();
-        ledger.report(new BalancerEvent.Room(false));
+        coordinator.report(new BalancerEvent.Room(false));
         open();
         assertEquals(0, started.size());
         assertEquals(List.of(), answers);
-        ledger.report(new BalancerEvent.Room(true));
+        coordinator.report(new BalancerEvent.Room(true));
         assertEquals(1, started.size());
         started.get(0).served("r", null);
         assertEquals(List.of("r"), answers);
     }
 
-    /** Guards against an RPC left without an answer because the balancer itself failed. */
+    /** An RPC must not stay unanswered because the balancer itself threw an exception. */
     @Test
-    public void anErrorInTheBalancerFailsTheRpcAtOnce() throws Exception {
+    public void balancerErrorFailsTheRpcImmediately() throws Exception {
         begin();
-        ledger.open(new RpcInfo("u", 99, 0, 3_000_000, 1, false), "m", channel);
+        coordinator.open(new RpcInfo("u", 99, 0, 3_000_000, 1, false), "m", channel);
         assertEquals(List.of("failed"), answers);
         open();
         started.get(0).served("r", null);
@@ -172,12 +172,12 @@
     }
 
     @Test
-    public void aClientThatIsGoneIsOwedNothing() throws Exception {
+    public void disconnectedClientGetsNoAnswer() throws Exception {
         begin();
         open();
-        ledger.clientGone(1);
-        ledger.clientGone(1);
+        coordinator.clientDisconnected(1);
+        coordinator.clientDisconnected(1);
         assertEquals(List.of(), answers);
-        assertEquals(0, ledger.unanswered());
+        assertEquals(0, coordinator.unansweredCount());
     }
 }
