--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -7,7 +7,7 @@
 import saffronferry.ops.Bans;
 import saffronferry.ops.Call;
 import saffronferry.ops.ControlSpend;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.state.Ledger;
 import saffronferry.wire.ConsoleServer;
 
@@ -25,7 +25,7 @@
 
     private final Vertx vertx;
     private final Ledger<?> ledger;
-    private final Figures figures;
+    private final Metrics metrics;
     private final ControlSpend spend;
     private final BanFile file;
     private final Floor floor;
@@ -35,14 +35,14 @@
     Console(
             Vertx vertx,
             Ledger<?> ledger,
-            Figures figures,
+            Metrics metrics,
             ControlSpend spend,
             BanFile file,
             Floor floor,
             BoundedLog log) {
         this.vertx = vertx;
         this.ledger = ledger;
-        this.figures = figures;
+        this.metrics = metrics;
         this.spend = spend;
         this.file = file;
         this.floor = floor;
@@ -54,7 +54,7 @@
         Call call = Call.read(method, path);
         switch (call.kind()) {
             case READINESS -> reply.say(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
-            case STATS -> reply.say(200, figures.text(ledger.now()) + spend.text());
+            case STATS -> reply.say(200, metrics.format(ledger.now()) + spend.text());
             case WORKER_DOWN -> ban(call.worker(), bans -> bans.with(call.worker()), "is out", reply);
             case WORKER_UP -> ban(call.worker(), bans -> bans.without(call.worker()), "is back", reply);
             case DRAIN_START -> {
--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -20,7 +20,7 @@
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
 import saffronferry.ops.Drain;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.settings.SettingsReader;
 import saffronferry.state.RpcInfo;
 import saffronferry.wire.BoundedTransport;
@@ -59,7 +59,7 @@
     private final BoundedLog log;
     private final Descriptors descriptors;
     private final BoundedTransport transport;
-    private final Figures figures;
+    private final Metrics metrics;
     private final Drain drain = new Drain();
     private final CountDownLatch drained = new CountDownLatch(1);
     private Wire wire;
@@ -94,7 +94,7 @@
         descriptors = descriptors(config);
         transport = transports.apply(new AcceptGate(descriptors), log);
         descriptors.onFree(transport::freed);
-        figures = new Figures(
+        metrics = new Metrics(
                 config.settings.settings.classes().stream().map(c -> c.name()).toList());
         vertx = new VertxBuilder(new VertxOptions()
                         .setEventLoopPoolSize(1)
@@ -180,7 +180,7 @@
                         s.connectTimeout,
                         !s.settings.listOnDemand()),
                 new Balancer(s.settings),
-                figures,
+                metrics,
                 descriptors,
                 transport,
                 log);
@@ -190,7 +190,7 @@
             console = openConsole();
         }
         if (inForce != null) {
-            inForce.start(vertx, wire, figures);
+            inForce.start(vertx, wire, metrics);
         }
         return console.compose(v -> wire.begin(config.takeKnown()))
                 .onSuccess(v -> keepCompany())
@@ -246,7 +246,7 @@
         desk = new Console(
                 vertx,
                 wire.ledger(),
-                figures,
+                metrics,
                 transport.control(),
                 banFile,
                 new Console.Floor() {
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -18,8 +18,8 @@
 import saffronferry.agree.Gossip;
 import saffronferry.agree.Key;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.Figures;
-import saffronferry.ops.Figures.More;
+import saffronferry.ops.Metrics;
+import saffronferry.ops.Metrics.Metric;
 import saffronferry.state.Clock;
 import saffronferry.wire.Wire;
 
@@ -76,9 +76,9 @@
         return Collections.unmodifiableList(names);
     }
 
-    void start(Vertx vertx, Wire wire, Figures figures) {
+    void start(Vertx vertx, Wire wire, Metrics metrics) {
         this.wire = wire;
-        figures.also(this::figures);
+        metrics.setAdditionalMetrics(this::metrics);
         wire.onSettings((peer, bytes) -> gossip.hear(clock.now(), peer, bytes));
         tick(vertx);
     }
@@ -160,7 +160,7 @@
         return is == 0 || Double.parseDouble(inFile) < is ? inFile : agreed;
     }
 
-    private List<More> figures() {
+    private List<Metric> metrics() {
         Agreement a = gossip.agreement(clock.now());
         return List.of(
                 gauge(
@@ -187,11 +187,11 @@
                 counter("app_settings_dropped", "Datagrams forged, garbled, late or of another version.", a.dropped()));
     }
 
-    private static More gauge(String name, String help, double value) {
-        return new More(name, "gauge", help, value);
+    private static Metric gauge(String name, String help, double value) {
+        return new Metric(name, "gauge", help, value);
     }
 
-    private static More counter(String name, String help, double value) {
-        return new More(name, "counter", help, value);
+    private static Metric counter(String name, String help, double value) {
+        return new Metric(name, "counter", help, value);
     }
 }
--- a/src/main/java/saffronferry/ops/ControlSpend.java
+++ b/src/main/java/saffronferry/ops/ControlSpend.java
@@ -73,10 +73,10 @@
         }
     }
 
-    /** All figures as text, one to a line, as {@link Figures} has them. */
+    /** All figures as text, one to a line, as {@link Metrics} has them. */
     public String text() {
         StringBuilder text = new StringBuilder();
-        Figures.head(text, "app_control_bytes", "counter", "Bytes of control read and written, by kind.");
+        Metrics.appendHeader(text, "app_control_bytes", "counter", "Bytes of control read and written, by kind.");
         for (Kind kind : Kind.values()) {
             line(text, "app_control_bytes{kind=\"" + kind.label + "\",way=\"in\"}", heard(kind));
             line(text, "app_control_bytes{kind=\"" + kind.label + "\",way=\"out\"}", said(kind));
@@ -89,7 +89,7 @@
                 "app_control_bytes_per_second",
                 "The same, all kinds and both ways, over the last minute.",
                 seconds > 0 ? (last.bytes - first.bytes) / seconds : 0);
-        Figures.head(text, "app_control_cpu_seconds", "counter", "Processor time of the process, jobs included.");
+        Metrics.appendHeader(text, "app_control_cpu_seconds", "counter", "Processor time of the process, jobs included.");
         line(text, "app_control_cpu_seconds", last == null ? 0 : last.cpu / 1e3);
         gauge(
                 text,
@@ -101,7 +101,7 @@
     }
 
     private static void gauge(StringBuilder text, String name, String help, double value) {
-        Figures.head(text, name, "gauge", help);
+        Metrics.appendHeader(text, name, "gauge", help);
         line(text, name, value);
     }
 
--- a/src/main/java/saffronferry/state/Ledger.java
+++ b/src/main/java/saffronferry/state/Ledger.java
@@ -20,8 +20,8 @@
 import saffronferry.News;
 import saffronferry.Step;
 import saffronferry.ops.Bans;
-import saffronferry.ops.Figures;
-import saffronferry.ops.Figures.Result;
+import saffronferry.ops.Metrics;
+import saffronferry.ops.Metrics.Result;
 
 /**
  * The one owner of all open RPCs: it asks the balancer, carries out what it says, and sees to it that each
@@ -36,7 +36,7 @@
     private final Balancer balancer;
     private final Clock clock;
     private final Ports<M> ports;
-    private final Figures figures;
+    private final Metrics figures;
     private final ResolverResult resolved = new ResolverResult();
     private final Map<Long, Rpc<M>> open = new HashMap<>();
     private final Set<String> names = new HashSet<>();
@@ -47,7 +47,7 @@
     private int unanswered;
 
     /** Counts answers and attempts in the figures, by class. */
-    public Ledger(Balancer balancer, Clock clock, Ports<M> ports, Figures figures) {
+    public Ledger(Balancer balancer, Clock clock, Ports<M> ports, Metrics figures) {
         this.balancer = balancer;
         this.clock = clock;
         this.ports = ports;
@@ -134,7 +134,7 @@
         forgetIfDone(rpc);
         unanswered--;
         if (result != null) {
-            figures.answered(rpc.rpcClass, result);
+            figures.recordResult(rpc.rpcClass, result);
         }
         how.accept(channel);
     }
@@ -199,8 +199,8 @@
     }
 
     /** What holds now, beside what is counted. */
-    public Figures.Now now() {
-        return new Figures.Now(
+    public Metrics.Snapshot now() {
+        return new Metrics.Snapshot(
                 unanswered,
                 resolved.size(),
                 resolved.banned() + balancer.avoided(),
@@ -209,7 +209,7 @@
 
     @Override
     public void written(CallAttempt a) {
-        figures.tried(a.rpcClass);
+        figures.recordAttempt(a.rpcClass);
     }
 
     @Override
--- a/src/main/java/saffronferry/state/Shared.java
+++ b/src/main/java/saffronferry/state/Shared.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import saffronferry.fleet.Sharing;
-import saffronferry.ops.Figures.More;
+import saffronferry.ops.Metrics.Metric;
 
 /** What a dispatcher shares with others, as operators' figures. */
 final class Shared {
     private Shared() {}
 
-    static List<More> figures(Sharing s) {
+    static List<Metric> figures(Sharing s) {
         return List.of(
                 gauge("app_peers", "Dispatchers of the fleet, this one included.", s.peers()),
                 gauge("app_peers_heard", "Of these, those that are heard, this one included.", s.heard()),
@@ -28,11 +28,11 @@
                 counter("app_cold_borrowed_seconds", "Slot time borrowed.", s.borrowed()));
     }
 
-    private static More gauge(String name, String help, double value) {
-        return new More(name, "gauge", help, value);
+    private static Metric gauge(String name, String help, double value) {
+        return new Metric(name, "gauge", help, value);
     }
 
-    private static More counter(String name, String help, long micros) {
-        return new More(name, "counter", help, Math.round(micros / 1e3) / 1e3);
+    private static Metric counter(String name, String help, long micros) {
+        return new Metric(name, "counter", help, Math.round(micros / 1e3) / 1e3);
     }
 }
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -13,7 +13,7 @@
 import java.util.Locale;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Drain.Phase;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.state.Channel;
 import saffronferry.state.Ledger;
 import saffronferry.state.RpcInfo;
@@ -28,7 +28,7 @@
     private final RpcParser parser;
     private final Ledger<HttpMessage> ledger;
     private final Admission admission;
-    private final Figures figures;
+    private final Metrics figures;
     private final BoundedLog log;
     private boolean ready;
     private Phase phase = Phase.OPEN;
@@ -41,7 +41,7 @@
             RpcParser parser,
             Ledger<HttpMessage> ledger,
             BoundedTransport transport,
-            Figures figures,
+            Metrics figures,
             BoundedLog log) {
         this.parser = parser;
         this.ledger = ledger;
@@ -176,7 +176,7 @@
     private void open(HttpServerRequest request, RpcInfo info, Buffer body) {
         if (ending && phase == Phase.EMPTY) {
             // a whole answer to a request read whole, or the close would reset it over its unread rest
-            figures.answered(info.rpcClass(), Figures.Result.SHED);
+            figures.recordResult(info.rpcClass(), Metrics.Result.SHED);
             reject(request, new BadRequest(503, "shutting down"));
             return;
         }
--- a/src/main/java/saffronferry/wire/Wire.java
+++ b/src/main/java/saffronferry/wire/Wire.java
@@ -15,7 +15,7 @@
 import saffronferry.limit.AttemptRoom;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Clock;
 import saffronferry.state.Ledger;
@@ -57,7 +57,7 @@
             Vertx vertx,
             Options o,
             Balancer balancer,
-            Figures figures,
+            Metrics figures,
             Descriptors descriptors,
             BoundedTransport transport,
             BoundedLog log) {
--- a/src/test/java/saffronferry/ops/OpsTest.java
+++ b/src/test/java/saffronferry/ops/OpsTest.java
@@ -13,27 +13,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import saffronferry.ops.Drain.Phase;
-import saffronferry.ops.Figures.Result;
+import saffronferry.ops.Metrics.Result;
 
-/** Figures, bans and the drain's states, without sockets or files. */
+/** Metrics, bans and the drain's states, without sockets or files. */
 class OpsTest {
     @Test
     void figuresAreWrittenInTheOperatorsForm() {
-        Figures figures = new Figures(List.of("page", "gift"));
-        figures.answered(0, Result.OK);
-        figures.answered(0, Result.OK);
-        figures.answered(1, Result.SHED);
-        figures.answered(1, Result.ERRORS);
-        figures.tried(1);
-        figures.answered(7, Result.OK); // of no class: counts nowhere and breaks nothing
-        figures.tried(-1);
-        List<String> lines = figures.text(new Figures.Now(
+        Metrics metrics = new Metrics(List.of("page", "gift"));
+        metrics.recordResult(0, Result.OK);
+        metrics.recordResult(0, Result.OK);
+        metrics.recordResult(1, Result.SHED);
+        metrics.recordResult(1, Result.ERRORS);
+        metrics.recordAttempt(1);
+        metrics.recordResult(7, Result.OK); // of no class: counts nowhere and breaks nothing
+        metrics.recordAttempt(-1);
+        List<String> lines = metrics.format(new Metrics.Snapshot(
                         14,
                         9,
                         2,
                         List.of(
-                                new Figures.More("app_x", "gauge", "x", 0.25),
-                                new Figures.More("app_y", "counter", "y", 1e9))))
+                                new Metrics.Metric("app_x", "gauge", "x", 0.25),
+                                new Metrics.Metric("app_y", "counter", "y", 1e9))))
                 .lines()
                 .filter(l -> !l.startsWith("#"))
                 .toList();
@@ -88,7 +88,7 @@
 
     @Test
     void aClassCannotEndItsLabelEarly() {
-        String text = new Figures(List.of("a\"} 9\nb\\")).text(new Figures.Now(0, 0, 0, List.of()));
+        String text = new Metrics(List.of("a\"} 9\nb\\")).format(new Metrics.Snapshot(0, 0, 0, List.of()));
         assertTrue(text.contains("app_tries{kind=\"a\\\"} 9\\nb\\\\\"} 0\n"), text);
     }
 
--- a/src/test/java/saffronferry/state/LedgerTest.java
+++ b/src/test/java/saffronferry/state/LedgerTest.java
@@ -14,7 +14,7 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.News;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.settings.SettingsReader;
 
 /** The ledger without sockets: one final answer whatever fails, and nothing kept of what is over. */
@@ -25,7 +25,7 @@
     private final TreeMap<Long, Runnable> timers = new TreeMap<>();
     private boolean broken;
     private Error error;
-    private final Figures figures = new Figures(List.of("directory-page", "record-gift"));
+    private final Metrics figures = new Metrics(List.of("directory-page", "record-gift"));
     private Ledger<String> ledger;
 
     private final Channel channel = new Channel() {
