--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -6,7 +6,7 @@
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
 import saffronferry.ops.Call;
-import saffronferry.ops.ControlSpend;
+import saffronferry.ops.ControlUsage;
 import saffronferry.ops.Metrics;
 import saffronferry.state.Ledger;
 import saffronferry.wire.ConsoleServer;
@@ -26,7 +26,7 @@
     private final Vertx vertx;
     private final Ledger<?> ledger;
     private final Metrics metrics;
-    private final ControlSpend spend;
+    private final ControlUsage usage;
     private final BanFile file;
     private final Floor floor;
     private final BoundedLog log;
@@ -36,14 +36,14 @@
             Vertx vertx,
             Ledger<?> ledger,
             Metrics metrics,
-            ControlSpend spend,
+            ControlUsage usage,
             BanFile file,
             Floor floor,
             BoundedLog log) {
         this.vertx = vertx;
         this.ledger = ledger;
         this.metrics = metrics;
-        this.spend = spend;
+        this.usage = usage;
         this.file = file;
         this.floor = floor;
         this.log = log;
@@ -54,7 +54,7 @@
         Call call = Call.read(method, path);
         switch (call.kind()) {
             case READINESS -> reply.say(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
-            case STATS -> reply.say(200, metrics.format(ledger.now()) + spend.text());
+            case STATS -> reply.say(200, metrics.format(ledger.now()) + usage.format());
             case WORKER_DOWN -> ban(call.worker(), bans -> bans.with(call.worker()), "is out", reply);
             case WORKER_UP -> ban(call.worker(), bans -> bans.without(call.worker()), "is back", reply);
             case DRAIN_START -> {
--- a/src/main/java/saffronferry/lifecycle/OwnUse.java
+++ b/src/main/java/saffronferry/lifecycle/OwnUse.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import saffronferry.ops.ControlSpend;
+import saffronferry.ops.ControlUsage;
 
 /** Looks, a few times a minute, at what the system says this process has used, for operators to see. */
 final class OwnUse {
@@ -19,12 +19,12 @@
     private OwnUse() {}
 
     /** To be called on the event loop. A system that says nothing costs the figures alone. */
-    static void keep(Vertx vertx, ControlSpend spend) {
+    static void keep(Vertx vertx, ControlUsage usage) {
         vertx.executeBlocking(OwnUse::read).onComplete(use -> {
             if (use.succeeded()) {
-                spend.sampled(System.nanoTime() / 1_000_000, use.result().cpu, use.result().resident);
+                usage.recordSample(System.nanoTime() / 1_000_000, use.result().cpu, use.result().resident);
             }
-            vertx.setTimer(EVERY_MS, t -> keep(vertx, spend));
+            vertx.setTimer(EVERY_MS, t -> keep(vertx, usage));
         });
     }
 
--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.TimeUnit;
 import saffronferry.limit.AcceptGate;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.ControlSpend;
+import saffronferry.ops.ControlUsage;
 
 /**
  * The library's transport with two changes. Connections are accepted on the event loop itself: the library's
@@ -43,7 +43,7 @@
 
     private final Door clients;
     private final BoundedLog log;
-    private final ControlSpend control = new ControlSpend();
+    private final ControlUsage control = new ControlUsage();
     private final List<Acceptor> acceptors = new ArrayList<>();
     private EventLoopGroup loops;
     private Runnable onListenerLost = () -> {};
@@ -62,7 +62,7 @@
     }
 
     /** What goes over the sockets made here for control; those who open them count. */
-    public ControlSpend control() {
+    public ControlUsage control() {
         return control;
     }
 
--- a/src/main/java/saffronferry/wire/Dialer.java
+++ b/src/main/java/saffronferry/wire/Dialer.java
@@ -21,8 +21,8 @@
 import saffronferry.Contract.Outcome;
 import saffronferry.limit.Descriptors;
 import saffronferry.limit.Descriptors.Purpose;
-import saffronferry.ops.ControlSpend;
-import saffronferry.ops.ControlSpend.Kind;
+import saffronferry.ops.ControlUsage;
+import saffronferry.ops.ControlUsage.Kind;
 
 /** Opens a connection for each request that goes out, within what its purpose may hold. */
 final class Dialer {
@@ -53,23 +53,23 @@
     /** Counts what goes over a connection, heads included: it stands next to the socket. */
     @ChannelHandler.Sharable
     private static final class ByteCounter extends ChannelDuplexHandler {
-        private final ControlSpend spend;
+        private final ControlUsage spend;
         private final Kind kind;
 
-        ByteCounter(ControlSpend spend, Kind kind) {
+        ByteCounter(ControlUsage spend, Kind kind) {
             this.spend = spend;
             this.kind = kind;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            spend.heard(kind, size(bytes));
+            spend.recordReceived(kind, size(bytes));
             ctx.fireChannelRead(bytes);
         }
 
         @Override
         public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
-            spend.said(kind, size(bytes));
+            spend.recordSent(kind, size(bytes));
             ctx.write(bytes, promise);
         }
 
--- a/src/main/java/saffronferry/wire/PeerSocket.java
+++ b/src/main/java/saffronferry/wire/PeerSocket.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.ControlSpend;
-import saffronferry.ops.ControlSpend.Kind;
+import saffronferry.ops.ControlUsage;
+import saffronferry.ops.ControlUsage.Kind;
 
 /** Datagrams to and from the other dispatchers; a peer's number is its place in the configuration's list. */
 final class PeerSocket {
@@ -24,11 +24,11 @@
     private final Map<String, Integer> numbers = new HashMap<>();
     private final BiConsumer<Integer, byte[]> heard;
     private final BoundedLog log;
-    private final ControlSpend spend;
+    private final ControlUsage spend;
     private boolean closed = true;
 
     PeerSocket(
-            Vertx vertx, List<Address> peers, BiConsumer<Integer, byte[]> heard, ControlSpend spend, BoundedLog log) {
+            Vertx vertx, List<Address> peers, BiConsumer<Integer, byte[]> heard, ControlUsage spend, BoundedLog log) {
         this.peers = peers;
         this.heard = heard;
         this.spend = spend;
@@ -65,13 +65,13 @@
             log.line("datagram not sent", bytes.length + " bytes to peer " + peer);
             return;
         }
-        spend.said(Kind.DATAGRAMS, bytes.length);
+        spend.recordSent(Kind.DATAGRAMS, bytes.length);
         Address to = peers.get(peer);
         socket.send(Buffer.buffer(bytes), to.port(), to.host());
     }
 
     private void receive(DatagramPacket packet) {
-        spend.heard(Kind.DATAGRAMS, packet.data().length());
+        spend.recordReceived(Kind.DATAGRAMS, packet.data().length());
         Integer peer = numbers.get(
                 packet.sender().hostAddress() + ":" + packet.sender().port());
         if (peer == null || packet.data().length() > MOST_BYTES) {
--- a/src/test/java/saffronferry/ops/OpsTest.java
+++ b/src/test/java/saffronferry/ops/OpsTest.java
@@ -57,14 +57,14 @@
 
     @Test
     void whatControlCostsIsCountedByKindAndToldAsRatesOfTheLastMinute() {
-        ControlSpend spend = new ControlSpend();
-        assertTrue(spend.text().contains("\napp_control_core_percent 0\n"), "nothing is known yet");
-        spend.sampled(1_000, 500, 1);
-        spend.heard(ControlSpend.Kind.LISTS, 3_000);
-        spend.heard(ControlSpend.Kind.LISTS, 500);
-        spend.said(ControlSpend.Kind.DATAGRAMS, 256);
-        spend.heard(ControlSpend.Kind.PROBES, 44);
-        spend.sampled(11_000, 650, 70_000_000);
+        ControlUsage usage = new ControlUsage();
+        assertTrue(usage.format().contains("\napp_control_core_percent 0\n"), "nothing is known yet");
+        usage.recordSample(1_000, 500, 1);
+        usage.recordReceived(ControlUsage.Kind.LISTS, 3_000);
+        usage.recordReceived(ControlUsage.Kind.LISTS, 500);
+        usage.recordSent(ControlUsage.Kind.DATAGRAMS, 256);
+        usage.recordReceived(ControlUsage.Kind.PROBES, 44);
+        usage.recordSample(11_000, 650, 70_000_000);
         assertEquals(
                 List.of(
                         "app_control_bytes{kind=\"lists\",way=\"in\"} 3500",
@@ -77,13 +77,13 @@
                         "app_control_cpu_seconds 0.650",
                         "app_control_core_percent 1.500",
                         "app_control_resident_bytes 70000000"),
-                spend.text().lines().filter(l -> !l.startsWith("#")).toList());
+                usage.format().lines().filter(l -> !l.startsWith("#")).toList());
         for (int s = 16; s <= 300; s += 5) {
-            spend.sampled(s * 1_000, 650 + s, 1);
+            usage.recordSample(s * 1_000, 650 + s, 1);
         }
         assertTrue(
-                spend.text().contains("\napp_control_core_percent 0.100\n"), "the burst is long ago: " + spend.text());
-        assertTrue(spend.text().contains("\napp_control_bytes_per_second 0\n"), spend.text());
+                usage.format().contains("\napp_control_core_percent 0.100\n"), "the burst is long ago: " + usage.format());
+        assertTrue(usage.format().contains("\napp_control_bytes_per_second 0\n"), usage.format());
     }
 
     @Test
