--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -19,7 +19,7 @@
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
-import saffronferry.ops.Drain;
+import saffronferry.ops.DrainState;
 import saffronferry.ops.Metrics;
 import saffronferry.settings.SettingsReader;
 import saffronferry.state.RpcInfo;
@@ -60,7 +60,7 @@
     private final Descriptors descriptors;
     private final BoundedTransport transport;
     private final Metrics metrics;
-    private final Drain drain = new Drain();
+    private final DrainState drain = new DrainState();
     private final CountDownLatch drained = new CountDownLatch(1);
     private Wire wire;
     /** Null where settings hold as they were read at the start. */
@@ -229,11 +229,11 @@
 
     /** Leaves clients to a process that serves in our place by now, or takes them again when it is gone. */
     private void leave(boolean served) {
-        if (drain.ending()) {
+        if (drain.isShuttingDown()) {
             return;
         }
         log.line(served ? "replaced" : "not replaced any more", "at " + config.listen);
-        drain.away(served);
+        drain.setReplaced(served);
         if (served) {
             wire.handOver();
         } else {
@@ -252,7 +252,7 @@
                 new Console.Floor() {
                     @Override
                     public boolean ready() {
-                        return ready && !drain.ending();
+                        return ready && !drain.isShuttingDown();
                     }
 
                     @Override
@@ -321,22 +321,22 @@
     private void drain(boolean elsewhere) {
         long counted = Math.max(STILL_LISTEN_MS, Math.min(longest(JobClass::deadline), LONGEST_MS));
         log.line("draining", wire.ledger().unanswered() + " RPCs are open");
-        if (drain.elsewhere() != elsewhere) {
+        if (drain.isReplaced() != elsewhere) {
             leave(elsewhere);
         }
-        drain.end(now(), counted - LAST_INTAKE_MS, elsewhere);
+        drain.shutDown(now(), counted - LAST_INTAKE_MS, elsewhere);
         followDrain();
         vertx.setTimer(STILL_LISTEN_MS, t -> wire.ledger().endWithin(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
     }
 
     /** Has clients treated as the drain's phase says, now and whenever it changes by itself. */
     private void followDrain() {
-        Drain.Phase phase = drain.phase(now());
-        wire.server().drain(phase, drain.ending(), drain.elsewhere());
-        long next = drain.untilNext(now());
+        DrainState.Phase phase = drain.phase(now());
+        wire.server().drain(phase, drain.isShuttingDown(), drain.isReplaced());
+        long next = drain.msUntilNextPhase(now());
         if (next >= 0) {
             vertx.setTimer(Math.max(1, next), t -> followDrain());
-        } else if (drain.ending() && !lastIntake) {
+        } else if (drain.isShuttingDown() && !lastIntake) {
             lastIntake = true;
             // guards a request in the system's queue, or one that would come there yet, against our end
             wire.takeTheLast();
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Locale;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.Drain.Phase;
+import saffronferry.ops.DrainState.Phase;
 import saffronferry.ops.Metrics;
 import saffronferry.state.Channel;
 import saffronferry.state.Ledger;
@@ -31,7 +31,7 @@
     private final Metrics figures;
     private final BoundedLog log;
     private boolean ready;
-    private Phase phase = Phase.OPEN;
+    private Phase phase = Phase.SERVING;
     private boolean ending;
     private boolean elsewhere;
     private boolean heard;
@@ -82,14 +82,14 @@
         phase = next;
         ending = processEnds;
         elsewhere = servedElsewhere;
-        if (phase == Phase.EMPTY) {
+        if (phase == Phase.CLOSING_IDLE) {
             admission.closeIdle();
         }
     }
 
     /** Whether a connection is to be closed once its request has its answer. */
     private boolean leaving() {
-        return phase.compareTo(Phase.LEAVING) >= 0;
+        return phase.compareTo(Phase.CLOSING_AFTER_RESPONSE) >= 0;
     }
 
     /** Whether no request is half here, and no answer still on its way out. */
@@ -125,7 +125,7 @@
             framing(request);
             if (request.method() == HttpMethod.GET && "/up".equals(request.path())) {
                 admission.whole(connection);
-                boolean up = ready && (phase == Phase.OPEN || elsewhere);
+                boolean up = ready && (phase == Phase.SERVING || elsewhere);
                 request.response().setStatusCode(up ? 200 : 503).end(up ? "up\n" : "not up\n");
                 return;
             }
@@ -174,7 +174,7 @@
     }
 
     private void open(HttpServerRequest request, RpcInfo info, Buffer body) {
-        if (ending && phase == Phase.EMPTY) {
+        if (ending && phase == Phase.CLOSING_IDLE) {
             // a whole answer to a request read whole, or the close would reset it over its unread rest
             figures.recordResult(info.rpcClass(), Metrics.Result.SHED);
             reject(request, new BadRequest(503, "shutting down"));
--- a/src/test/java/saffronferry/ops/OpsTest.java
+++ b/src/test/java/saffronferry/ops/OpsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import saffronferry.ops.Drain.Phase;
+import saffronferry.ops.DrainState.Phase;
 import saffronferry.ops.Metrics.Result;
 
 /** Metrics, bans and the drain's states, without sockets or files. */
@@ -119,61 +119,61 @@
 
     @ParameterizedTest
     @CsvSource({
-        "0, TURNING, 300",
-        "299, TURNING, 1",
-        "300, LEAVING, 900",
-        "1199, LEAVING, 1",
-        "1200, EMPTY, -1",
-        "100000, EMPTY, -1"
+        "0, FAILING_HEALTH_CHECKS, 300",
+        "299, FAILING_HEALTH_CHECKS, 1",
+        "300, CLOSING_AFTER_RESPONSE, 900",
+        "1199, CLOSING_AFTER_RESPONSE, 1",
+        "1200, CLOSING_IDLE, -1",
+        "100000, CLOSING_IDLE, -1"
     })
     void aCallEmptiesInSteps(long after, Phase phase, long untilNext) {
-        Drain drain = new Drain();
-        assertEquals(Phase.OPEN, drain.phase(5));
+        DrainState drain = new DrainState();
+        assertEquals(Phase.SERVING, drain.phase(5));
         drain.start(5);
         drain.start(5 + after); // a repeated call starts nothing anew
         assertEquals(phase, drain.phase(5 + after));
-        assertEquals(untilNext, drain.untilNext(5 + after));
+        assertEquals(untilNext, drain.msUntilNextPhase(5 + after));
         assertTrue(drain.stop());
-        assertEquals(Phase.OPEN, drain.phase(5 + after));
-        assertEquals(-1, drain.untilNext(5 + after));
+        assertEquals(Phase.SERVING, drain.phase(5 + after));
+        assertEquals(-1, drain.msUntilNextPhase(5 + after));
     }
 
     @Test
     void theEndIsNotTakenBackAndWhicheverIsFurtherCounts() {
-        Drain drain = new Drain();
+        DrainState drain = new DrainState();
         drain.start(0);
-        drain.end(1_000, 2_900, false);
-        drain.end(2_000, 2_900, true); // a second signal changes nothing
-        assertEquals(Phase.LEAVING, drain.phase(1_100));
-        assertEquals(Phase.EMPTY, drain.phase(1_200));
+        drain.shutDown(1_000, 2_900, false);
+        drain.shutDown(2_000, 2_900, true); // a second signal changes nothing
+        assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(1_100));
+        assertEquals(Phase.CLOSING_IDLE, drain.phase(1_200));
         assertFalse(drain.stop());
-        assertEquals(Phase.TURNING, drain.phase(1_300));
-        assertEquals(2_600, drain.untilNext(1_300));
-        assertEquals(Phase.EMPTY, drain.phase(3_900));
+        assertEquals(Phase.FAILING_HEALTH_CHECKS, drain.phase(1_300));
+        assertEquals(2_600, drain.msUntilNextPhase(1_300));
+        assertEquals(Phase.CLOSING_IDLE, drain.phase(3_900));
     }
 
     @Test
     void whereAnotherProcessServesConnectionsLeaveAtOnce() {
-        Drain drain = new Drain();
-        drain.end(1_000, 2_900, true);
-        assertEquals(Phase.LEAVING, drain.phase(1_000));
-        assertEquals(Phase.EMPTY, drain.phase(3_900));
+        DrainState drain = new DrainState();
+        drain.shutDown(1_000, 2_900, true);
+        assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(1_000));
+        assertEquals(Phase.CLOSING_IDLE, drain.phase(3_900));
     }
 
     @Test
     void whileAnotherProcessServesConnectionsLeaveAndItMayBeTakenBackUntilTheEnd() {
-        Drain drain = new Drain();
-        drain.away(true);
-        assertEquals(Phase.LEAVING, drain.phase(0));
-        assertTrue(drain.elsewhere() && !drain.ending());
-        assertEquals(-1, drain.untilNext(0)); // nothing is closed that is idle
-        drain.away(false);
-        assertEquals(Phase.OPEN, drain.phase(0));
-        drain.away(true);
-        drain.end(1_000, 2_900, true);
-        assertEquals(Phase.LEAVING, drain.phase(1_000));
-        assertEquals(Phase.EMPTY, drain.phase(3_900));
-        assertTrue(drain.elsewhere());
+        DrainState drain = new DrainState();
+        drain.setReplaced(true);
+        assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(0));
+        assertTrue(drain.isReplaced() && !drain.isShuttingDown());
+        assertEquals(-1, drain.msUntilNextPhase(0)); // nothing is closed that is idle
+        drain.setReplaced(false);
+        assertEquals(Phase.SERVING, drain.phase(0));
+        drain.setReplaced(true);
+        drain.shutDown(1_000, 2_900, true);
+        assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(1_000));
+        assertEquals(Phase.CLOSING_IDLE, drain.phase(3_900));
+        assertTrue(drain.isReplaced());
     }
 
     /** Whatever is called in whatever order: no yes while a drain holds, and the phase is waited for rightly. */
@@ -181,13 +181,13 @@
     void anySequenceOfCallsKeepsTheStatesInOrder() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            Drain drain = new Drain();
+            DrainState drain = new DrainState();
             boolean called = false;
             boolean ended = false;
             long now = random.nextInt(1_000);
             for (int i = 0; i < 100; i++) {
                 Phase before = drain.phase(now);
-                long next = drain.untilNext(now);
+                long next = drain.msUntilNextPhase(now);
                 long step = 1 + random.nextInt(700);
                 if (next < 0 || step < next) {
                     assertEquals(before, drain.phase(now + step - 1), "it changed though none was told");
@@ -204,14 +204,14 @@
                     }
                     case 4 -> {
                         if (i > 80) {
-                            drain.end(now, 2_900, random.nextBoolean());
+                            drain.shutDown(now, 2_900, random.nextBoolean());
                             ended = true;
                         }
                     }
                     default -> {}
                 }
-                assertEquals(!called && !ended, drain.phase(now) == Phase.OPEN);
-                assertEquals(ended, drain.ending());
+                assertEquals(!called && !ended, drain.phase(now) == Phase.SERVING);
+                assertEquals(ended, drain.isShuttingDown());
             }
         }
     }
