--- a/src/main/java/saffronferry/lifecycle/BanFile.java
+++ b/src/main/java/saffronferry/lifecycle/BanFile.java
@@ -37,7 +37,7 @@
     synchronized Bans read() throws IOException {
         try {
             lastSeen = stamp();
-            return Bans.read(Files.readString(file));
+            return Bans.parse(Files.readString(file));
         } catch (NoSuchFileException e) {
             return Bans.NONE;
         } catch (IllegalArgumentException e) {
@@ -72,7 +72,7 @@
             Path whole =
                     Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
             try {
-                Files.writeString(whole, next.text());
+                Files.writeString(whole, next.toJson());
                 // guards against a reader, or a start, that finds half a file
                 Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE);
             } finally {
--- a/src/main/java/saffronferry/ops/Bans.java
+++ b/src/main/java/saffronferry/ops/Bans.java
@@ -7,8 +7,8 @@
 import org.json.JSONObject;
 
 /**
- * The workers that operators have taken out, by id, and how they are written down. A ban has no count: two
- * calls out need one call back. Immutable.
+ * The ids of the workers that operators have taken out of service, with their stored form. Bans are not counted:
+ * banning a worker twice needs only one call to bring it back. Immutable.
  */
 public record Bans(Set<String> workers) {
     public static final Bans NONE = new Bans(Set.of());
@@ -18,7 +18,7 @@
         workers = Set.copyOf(workers);
     }
 
-    public boolean has(String worker) {
+    public boolean contains(String worker) {
         return workers.contains(worker);
     }
 
@@ -34,15 +34,17 @@
         return new Bans(fewer);
     }
 
-    public String text() {
+    public String toJson() {
         JSONArray down = new JSONArray(new TreeSet<>(workers));
         return new JSONObject().put("version", VERSION).put("down", down) + "\n";
     }
 
     /**
-     * Reads {@link #text}; an {@link IllegalArgumentException} says what is damaged, or of another version.
+     * Parses the output of {@link #toJson}.
+     *
+     * @throws IllegalArgumentException if the text is malformed or of another version
      */
-    public static Bans read(String text) {
+    public static Bans parse(String text) {
         try {
             JSONObject json = new JSONObject(text);
             if (json.getInt("version") != VERSION) {
--- a/src/main/java/saffronferry/state/Ledger.java
+++ b/src/main/java/saffronferry/state/Ledger.java
@@ -181,7 +181,7 @@
             report(new News.Resolved(ListKind.CHANGES, changed));
         }
         // guards against what the balancer cannot recall: an attempt whose connection is yet to come up
-        giveUpUnbegun(subchannel -> next.has(subchannel) && !before.has(subchannel));
+        giveUpUnbegun(subchannel -> next.contains(subchannel) && !before.contains(subchannel));
     }
 
     /** What another process of this dispatcher should know while it runs beside this one. */
@@ -303,7 +303,7 @@
         String address = resolved.address(s.subchannel());
         if (rpc.answered() || now >= rpc.deadline) {
             a.ended(Outcome.NOT_SENT, null);
-        } else if (resolved.bans().has(s.subchannel())) {
+        } else if (resolved.bans().contains(s.subchannel())) {
             // guards the ban against a step that was decided before it
             a.ended(Outcome.NOT_SENT, null);
         } else if (address == null) {
@@ -327,7 +327,7 @@
     }
 
     private void probe(String subchannel) {
-        String address = resolved.bans().has(subchannel) ? null : resolved.address(subchannel);
+        String address = resolved.bans().contains(subchannel) ? null : resolved.address(subchannel);
         if (address == null) {
             report(new News.Probed(subchannel, Outcome.CONNECT_FAILED, null));
         } else {
--- a/src/main/java/saffronferry/state/ResolverResult.java
+++ b/src/main/java/saffronferry/state/ResolverResult.java
@@ -63,7 +63,7 @@
     }
 
     private WorkerInfo shown(WorkerInfo w) {
-        return bans.has(w.address()) && w.state() == WorkerState.IN_SERVICE
+        return bans.contains(w.address()) && w.state() == WorkerState.IN_SERVICE
                 ? with(w, WorkerState.DRAINING, w.startedAt())
                 : w;
     }
@@ -79,8 +79,8 @@
         List<WorkerInfo> changed = new ArrayList<>();
         for (ListUpdate.Entry e : entries.values()) {
             WorkerInfo w = e.info();
-            if (w.state() == WorkerState.IN_SERVICE && before.has(w.address()) != next.has(w.address())) {
-                changed.add(next.has(w.address()) ? shown(w) : with(w, w.state(), now));
+            if (w.state() == WorkerState.IN_SERVICE && before.contains(w.address()) != next.contains(w.address())) {
+                changed.add(next.contains(w.address()) ? shown(w) : with(w, w.state(), now));
             }
         }
         return changed;
@@ -92,7 +92,7 @@
 
     /** Whether anybody has, or had, a subchannel of this id. */
     boolean knows(String subchannel) {
-        return entries.containsKey(subchannel) || lost.contains(subchannel) || bans.has(subchannel);
+        return entries.containsKey(subchannel) || lost.contains(subchannel) || bans.contains(subchannel);
     }
 
     int size() {
@@ -117,7 +117,7 @@
     /** Whether new attempts may go there, as far as told: on the list, in service, and not banned. */
     boolean inService(String subchannel) {
         ListUpdate.Entry e = entries.get(subchannel);
-        return e != null && e.info().state() == WorkerState.IN_SERVICE && !bans.has(subchannel);
+        return e != null && e.info().state() == WorkerState.IN_SERVICE && !bans.contains(subchannel);
     }
 
     long revision() {
--- a/src/main/java/saffronferry/wire/Wire.java
+++ b/src/main/java/saffronferry/wire/Wire.java
@@ -184,7 +184,7 @@
     public void probe(String subchannel, String address) {
         subchannels.probe(
                 address,
-                () -> !ledger.bans().has(subchannel),
+                () -> !ledger.bans().contains(subchannel),
                 (outcome, load) -> ledger.report(new News.Probed(subchannel, outcome, load)));
     }
 
--- a/src/test/java/saffronferry/ops/OpsTest.java
+++ b/src/test/java/saffronferry/ops/OpsTest.java
@@ -95,9 +95,9 @@
     @Test
     void bansHaveNoCountAndSurviveBeingWritten() {
         Bans bans = Bans.NONE.with("a").with("a").with("b\n\"c").without("x");
-        assertEquals(bans, Bans.read(bans.text()));
+        assertEquals(bans, Bans.parse(bans.toJson()));
         assertEquals(Set.of("b\n\"c"), bans.without("a").workers());
-        assertEquals(Bans.NONE, Bans.read(Bans.NONE.text()));
+        assertEquals(Bans.NONE, Bans.parse(Bans.NONE.toJson()));
     }
 
     @ParameterizedTest
@@ -114,7 +114,7 @@
                 "\u0000\u0000"
             })
     void aDamagedFileOfBansIsNamedAsSuch(String text) {
-        assertThrows(IllegalArgumentException.class, () -> Bans.read(text));
+        assertThrows(IllegalArgumentException.class, () -> Bans.parse(text));
     }
 
     @ParameterizedTest
