--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/Console.java
@@ -5,7 +5,7 @@
 import java.util.function.UnaryOperator;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
-import saffronferry.ops.Call;
+import saffronferry.ops.OperatorCall;
 import saffronferry.ops.ControlUsage;
 import saffronferry.ops.Metrics;
 import saffronferry.state.Ledger;
@@ -51,7 +51,7 @@
 
     @Override
     public void called(String method, String path, ConsoleServer.Reply reply) {
-        Call call = Call.read(method, path);
+        OperatorCall call = OperatorCall.parse(method, path);
         switch (call.kind()) {
             case READINESS -> reply.say(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
             case STATS -> reply.say(200, metrics.format(ledger.now()) + usage.format());
--- a/src/main/java/saffronferry/ops/package-info.java
+++ b/src/main/java/saffronferry/ops/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Day-to-day running: the operators' calls, the figures they read, workers banned by hand, and the states of
- * a drain. Decisions and data only: no socket, no file, no thread, no clock.
+ * Operation of a dispatcher: the calls to the operators' console, the metrics, the workers banned by operators, and
+ * the states of a drain. Decisions and data only: no sockets, files, threads or clocks.
  */
 package saffronferry.ops;
--- a/src/test/java/saffronferry/ops/CallTest.java
+++ b/src/test/java/saffronferry/ops/OperatorCallTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import saffronferry.ops.Call.Kind;
+import saffronferry.ops.OperatorCall.Kind;
 
-class CallTest {
+class OperatorCallTest {
     @ParameterizedTest
     @CsvSource({
         "GET, /ops/readiness, READINESS,",
@@ -29,6 +29,6 @@
         "GET, '', UNKNOWN,"
     })
     void readsMethodAndPath(String method, String path, Kind kind, String worker) {
-        assertEquals(new Call(kind, worker), Call.read(method, path));
+        assertEquals(new OperatorCall(kind, worker), OperatorCall.parse(method, path));
     }
 }
