--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -28,7 +28,7 @@
 import saffronferry.wire.Wire;
 
 /** One real dispatcher, from start to the end of its drain. Everything runs on one event loop. */
-final class Node {
+final class DispatcherServer {
     /** How long after SIGTERM new connections come; what comes later must be answered before SIGKILL. */
     private static final long STILL_LISTEN_MS = 500;
     /** SIGKILL comes no sooner than the longest deadline, counted as this where it is longer, and 700 ms. */
@@ -83,12 +83,12 @@
      *
      * @throws IllegalArgumentException if it cannot do with the descriptors it may hold
      */
-    Node(Config config) {
+    DispatcherServer(Config config) {
         this(config, new BoundedLog(), BoundedTransport::new);
     }
 
     /** With another transport, so that tests can make the system's calls fail. */
-    Node(Config config, BoundedLog log, BiFunction<AcceptGate, BoundedLog, BoundedTransport> transports) {
+    DispatcherServer(Config config, BoundedLog log, BiFunction<AcceptGate, BoundedLog, BoundedTransport> transports) {
         this.config = config;
         this.log = log;
         descriptors = descriptors(config);
--- a/src/main/java/saffronferry/lifecycle/Serve.java
+++ b/src/main/java/saffronferry/lifecycle/Serve.java
@@ -14,7 +14,7 @@
     /** Starts it; the process ends with 1 where it cannot run, with 2 where the configuration is at fault. */
     public static void run() {
         BoundedLog log = new BoundedLog();
-        AtomicReference<Node> serving = new AtomicReference<>();
+        AtomicReference<DispatcherServer> serving = new AtomicReference<>();
         AtomicBoolean missed = new AtomicBoolean();
         // first of all: the default of SIGHUP ends the process, and one may come while it starts
         Signal.handle(new Signal("HUP"), s -> {
@@ -29,24 +29,24 @@
                     "as this process was started: no new configuration is followed;"
                             + " start it by `env --default-signal=HUP`, as run in deploy/balancer.toml does");
         }
-        Node node;
+        DispatcherServer server;
         try {
-            node = new Node(Config.read(System.getenv()), log, BoundedTransport::new);
+            server = new DispatcherServer(Config.read(System.getenv()), log, BoundedTransport::new);
         } catch (IllegalArgumentException e) {
             System.err.println("saffronferry: " + e.getMessage());
             System.exit(2);
             return;
         }
         // halt: the drain that an exit starts would wait for the loop that hangs
-        node.onUnable(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
-        Thread drain = new Thread(node::awaitDrain, "drain");
-        node.start()
+        server.onUnable(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
+        Thread drain = new Thread(server::awaitDrain, "drain");
+        server.start()
                 .onSuccess(v -> {
                     Runtime.getRuntime().addShutdownHook(drain);
-                    serving.set(node);
+                    serving.set(server);
                     if (missed.get()) {
                         // guards against a configuration that changed after we read it; not on the loop
-                        new Thread(() -> reload(node), "reload").start();
+                        new Thread(() -> reload(server), "reload").start();
                     }
                 })
                 .onFailure(e -> {
@@ -55,9 +55,9 @@
                 });
     }
 
-    private static void reload(Node node) {
-        if (node != null) {
-            node.reload(() -> Config.read(System.getenv()));
+    private static void reload(DispatcherServer server) {
+        if (server != null) {
+            server.reload(() -> Config.read(System.getenv()));
         }
     }
 }
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -304,11 +304,11 @@
 
     @Test
     public void bansOutliveTheProcessAndADamagedFileEndsNoStart() throws Exception {
-        Node first = node();
+        DispatcherServer first = newServer();
         start(first);
         yes("/ops/workers/down/a");
         first.close().toCompletionStage().toCompletableFuture().get();
-        Node second = node();
+        DispatcherServer second = newServer();
         start(second);
         assertEquals(1, figure("app_pool_ejected"));
         assertEquals(200, get(gift(3000)).statusCode());
--- a/src/test/java/saffronferry/lifecycle/CrowdTest.java
+++ b/src/test/java/saffronferry/lifecycle/CrowdTest.java
@@ -181,7 +181,7 @@
                 return super.accept(from);
             }
         }
-        start(new Node(new Config(config, folder), new BoundedLog(), Failing::new));
+        start(new DispatcherServer(new Config(config, folder), new BoundedLog(), Failing::new));
         return calls;
     }
 
--- a/src/test/java/saffronferry/lifecycle/HangingMain.java
+++ b/src/test/java/saffronferry/lifecycle/HangingMain.java
@@ -5,11 +5,11 @@
     private HangingMain() {}
 
     public static void main(String[] args) {
-        Node node = new Node(Config.read(System.getenv()));
-        node.onUnable(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
-        node.patience(1_000);
-        node.start()
-                .onSuccess(v -> node.onLoop(() -> {
+        DispatcherServer server = new DispatcherServer(Config.read(System.getenv()));
+        server.onUnable(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
+        server.patience(1_000);
+        server.start()
+                .onSuccess(v -> server.onLoop(() -> {
                     while (true) {
                         Thread.onSpinWait();
                     }
--- a/src/test/java/saffronferry/lifecycle/SocketsFixture.java
+++ b/src/test/java/saffronferry/lifecycle/SocketsFixture.java
@@ -125,16 +125,16 @@
     }
 
     void start() throws Exception {
-        start(node());
+        start(newServer());
     }
 
-    Node node() {
-        return new Node(new Config(config, folder));
+    DispatcherServer newServer() {
+        return new DispatcherServer(new Config(config, folder));
     }
 
-    void start(Node node) throws Exception {
-        keep(() -> node.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
-        node.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+    void start(DispatcherServer server) throws Exception {
+        keep(() -> server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+        server.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
     HttpRequest.Builder request(String path) {
