--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -76,7 +76,7 @@
     private Bans bans = Bans.NONE;
     private boolean ready;
     private boolean lastIntake;
-    private Runnable onUnable = () -> {};
+    private Runnable onFatalFailure = () -> {};
 
     /**
      * Makes a dispatcher that is yet to start.
@@ -105,7 +105,7 @@
                 .init()
                 .vertx();
         context = vertx.getOrCreateContext();
-        patience(Watchdog.GIVE_UP_MS);
+        setHangTimeout(Watchdog.GIVE_UP_MS);
         if (config.console != null) {
             banFile = new BanFile(config.folder, config.fileName());
             bans = Console.atStart(banFile, log);
@@ -128,23 +128,23 @@
     }
 
     /** How long the loop may stand still before this dispatcher is given up. */
-    void patience(long ms) {
+    void setHangTimeout(long ms) {
         watchdog = new Watchdog(ms, () -> unable("the event loop hangs"));
     }
 
-    void onLoop(Runnable what) {
+    void runOnLoop(Runnable what) {
         context.runOnContext(v -> what.run());
     }
 
     /** Runs something, on any thread, when this dispatcher cannot serve any more. */
-    void onUnable(Runnable listener) {
-        onUnable = listener;
+    void onFatalFailure(Runnable listener) {
+        onFatalFailure = listener;
     }
 
     private void unable(String why) {
         if (!closing) {
             log.line("cannot serve any more", why);
-            onUnable.run();
+            onFatalFailure.run();
         }
     }
 
--- a/src/main/java/saffronferry/lifecycle/Serve.java
+++ b/src/main/java/saffronferry/lifecycle/Serve.java
@@ -38,7 +38,7 @@
             return;
         }
         // halt: the drain that an exit starts would wait for the loop that hangs
-        server.onUnable(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
+        server.onFatalFailure(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
         Thread drain = new Thread(server::awaitDrain, "drain");
         server.start()
                 .onSuccess(v -> {
--- a/src/test/java/saffronferry/lifecycle/HangingMain.java
+++ b/src/test/java/saffronferry/lifecycle/HangingMain.java
@@ -1,15 +1,15 @@
 package saffronferry.lifecycle;
 
-/** A dispatcher whose event loop hangs for good soon after its start; its watchdog has little patience. */
+/** A dispatcher whose event loop hangs for good soon after its start; its watchdog has little setHangTimeout. */
 final class HangingMain {
     private HangingMain() {}
 
     public static void main(String[] args) {
         DispatcherServer server = new DispatcherServer(Config.read(System.getenv()));
-        server.onUnable(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
-        server.patience(1_000);
+        server.onFatalFailure(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
+        server.setHangTimeout(1_000);
         server.start()
-                .onSuccess(v -> server.onLoop(() -> {
+                .onSuccess(v -> server.runOnLoop(() -> {
                     while (true) {
                         Thread.onSpinWait();
                     }
