--- a/src/main/java/saffronferry/lifecycle/Console.java
+++ b/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
@@ -12,15 +12,15 @@
 import saffronferry.wire.ConsoleServer;
 
 /** Does what operators call for, and takes over what the bans' file says. For the event loop. */
-final class Console implements ConsoleServer.Desk {
+final class ConsoleHandler implements ConsoleServer.Desk {
     /** What the node itself does for a call. */
-    interface Floor {
-        boolean ready();
+    interface ServerControl {
+        boolean isReady();
 
-        void drain();
+        void startDrain();
 
         /** False if the process is ending. */
-        boolean undrain();
+        boolean cancelDrain();
     }
 
     private final Vertx vertx;
@@ -28,24 +28,24 @@
     private final Metrics metrics;
     private final ControlUsage usage;
     private final BanFile file;
-    private final Floor floor;
+    private final ServerControl server;
     private final BoundedLog log;
-    private int changing;
+    private int pendingWrites;
 
-    Console(
+    ConsoleHandler(
             Vertx vertx,
             Ledger<?> ledger,
             Metrics metrics,
             ControlUsage usage,
             BanFile file,
-            Floor floor,
+            ServerControl server,
             BoundedLog log) {
         this.vertx = vertx;
         this.ledger = ledger;
         this.metrics = metrics;
         this.usage = usage;
         this.file = file;
-        this.floor = floor;
+        this.server = server;
         this.log = log;
     }
 
@@ -53,16 +53,16 @@
     public void called(String method, String path, ConsoleServer.Reply reply) {
         OperatorCall call = OperatorCall.parse(method, path);
         switch (call.kind()) {
-            case READINESS -> reply.say(floor.ready() ? 200 : 503, floor.ready() ? "ready\n" : "not ready\n");
+            case READINESS -> reply.say(server.isReady() ? 200 : 503, server.isReady() ? "ready\n" : "not ready\n");
             case STATS -> reply.say(200, metrics.format(ledger.now()) + usage.format());
             case WORKER_DOWN -> ban(call.worker(), bans -> bans.with(call.worker()), "is out", reply);
             case WORKER_UP -> ban(call.worker(), bans -> bans.without(call.worker()), "is back", reply);
             case DRAIN_START -> {
-                floor.drain();
+                server.startDrain();
                 reply.say(200, "draining\n");
             }
             case DRAIN_STOP -> {
-                boolean open = floor.undrain();
+                boolean open = server.cancelDrain();
                 reply.say(open ? 200 : 409, open ? "taking clients\n" : "the process is ending\n");
             }
             case WRONG_METHOD -> reply.say(405, "another method is wanted here\n");
@@ -77,11 +77,11 @@
         }
         Bans before = ledger.bans();
         ledger.ban(how.apply(before)); // at once; yes is said when it will also outlive this process
-        changing++;
+        pendingWrites++;
         vertx.<Bans>executeBlocking(() -> file.change(how)).onComplete(written -> {
-            changing--;
+            pendingWrites--;
             if (written.succeeded()) {
-                follow(written.result());
+                applyBansFromFile(written.result());
                 log.line("worker " + done, worker);
                 reply.say(200, worker + " " + done + "\n");
             } else {
@@ -94,14 +94,14 @@
     }
 
     /** What the file says holds, unless a change of ours is yet to reach it. */
-    void follow(Bans bans) {
-        if (changing == 0 && !bans.equals(ledger.bans())) {
+    void applyBansFromFile(Bans bans) {
+        if (pendingWrites == 0 && !bans.equals(ledger.bans())) {
             ledger.ban(bans);
         }
     }
 
     /** Reads the bans that a start is to begin with; what is damaged is logged and ends nothing. */
-    static Bans atStart(BanFile file, BoundedLog log) {
+    static Bans readInitialBans(BanFile file, BoundedLog log) {
         try {
             return file.read();
         } catch (IOException e) {
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -69,7 +69,7 @@
     private Watchdog watchdog;
     private volatile boolean closing;
     private BanFile banFile;
-    private Console desk;
+    private ConsoleHandler consoleHandler;
     /** Null where there is no console, and so nobody who would replace a process under load. */
     private Company company;
 
@@ -108,7 +108,7 @@
         setHangTimeout(Watchdog.GIVE_UP_MS);
         if (config.console != null) {
             banFile = new BanFile(config.folder, config.fileName());
-            bans = Console.atStart(banFile, log);
+            bans = ConsoleHandler.readInitialBans(banFile, log);
             Succession succession = new Succession(config.folder, config.fileName());
             company = new Company(vertx, succession, banFile, descriptors, log);
         }
@@ -216,7 +216,7 @@
 
                 @Override
                 public void banned(Bans next) {
-                    desk.follow(next);
+                    consoleHandler.applyBansFromFile(next);
                 }
 
                 @Override
@@ -243,26 +243,26 @@
     }
 
     private Future<Void> openConsole() {
-        desk = new Console(
+        consoleHandler = new ConsoleHandler(
                 vertx,
                 wire.ledger(),
                 metrics,
                 transport.control(),
                 banFile,
-                new Console.Floor() {
+                new ConsoleHandler.ServerControl() {
                     @Override
-                    public boolean ready() {
+                    public boolean isReady() {
                         return ready && !drain.isShuttingDown();
                     }
 
                     @Override
-                    public void drain() {
+                    public void startDrain() {
                         drain.start(now());
                         followDrain();
                     }
 
                     @Override
-                    public boolean undrain() {
+                    public boolean cancelDrain() {
                         boolean open = drain.stop();
                         followDrain();
                         return open;
@@ -270,7 +270,7 @@
                 },
                 log);
         OwnUse.keep(vertx, transport.control());
-        return new ConsoleServer(vertx, descriptors, transport, desk).listen(config.console);
+        return new ConsoleServer(vertx, descriptors, transport, consoleHandler).listen(config.console);
     }
 
     /**
--- a/src/test/java/saffronferry/lifecycle/Crowd.java
+++ b/src/test/java/saffronferry/lifecycle/Crowd.java
@@ -48,7 +48,7 @@
         }
     }
 
-    /** How long until {@code /up} says 200, each try with a second's setHangTimeout, in ms. */
+    /** How long until {@code /up} says 200, with a timeout of 1 s per attempt, in ms. */
     static long untilUp(int port) throws Exception {
         long begun = System.nanoTime();
         while (System.nanoTime() - begun < 20_000_000_000L) {
--- a/src/test/java/saffronferry/lifecycle/HangingMain.java
+++ b/src/test/java/saffronferry/lifecycle/HangingMain.java
@@ -1,6 +1,6 @@
 package saffronferry.lifecycle;
 
-/** A dispatcher whose event loop hangs for good soon after its start; its watchdog has little setHangTimeout. */
+/** A dispatcher whose event loop hangs for good soon after its start; its watchdog has a short timeout. */
 final class HangingMain {
     private HangingMain() {}
 
