--- a/src/main/java/saffronferry/lifecycle/Company.java
+++ b/src/main/java/saffronferry/lifecycle/Company.java
@@ -10,7 +10,7 @@
 import saffronferry.ops.Bans;
 
 /**
- * Keeps this process in step with others of its dispatcher: one look for all that lies in the folder they
+ * Keeps this process in step with siblings of its dispatcher: one look for all that lies in the folder they
  * share, the marks and the bans. While nobody else lives a look finds nothing but somebody who starts, so
  * there are fewer: a hundred dispatchers that look ten times a second each are a thousand looks. For the
  * event loop, the constructor apart.
@@ -22,7 +22,7 @@
     private static final long ALONE_MS = 250;
 
     /** What one look has found; the bans are null where nobody else has changed them. */
-    private record Found(Succession.Company others, Bans bans, boolean replaced) {}
+    private record Found(ProcessRegistry.Siblings siblings, Bans bans, boolean replaced) {}
 
     /** Who hears of it. For the event loop. */
     interface Listener {
@@ -37,59 +37,59 @@
     }
 
     private final Vertx vertx;
-    private final Succession succession;
+    private final ProcessRegistry registry;
     private final BanFile file;
     private final Descriptors descriptors;
     private final BoundedLog log;
-    private Succession.Company last;
+    private ProcessRegistry.Siblings last;
     private Supplier<Beside> own;
     private Listener listener;
     private boolean announced;
     private boolean replaced;
 
     /** Announces this process, so that others share with it what a dispatcher may hold. Reads files. */
-    Company(Vertx vertx, Succession succession, BanFile file, Descriptors descriptors, BoundedLog log) {
+    Company(Vertx vertx, ProcessRegistry registry, BanFile file, Descriptors descriptors, BoundedLog log) {
         this.vertx = vertx;
-        this.succession = succession;
+        this.registry = registry;
         this.file = file;
         this.descriptors = descriptors;
         this.log = log;
         try {
-            succession.started();
-            last = succession.exchange(Beside.NOBODY);
+            registry.registerStarted();
+            last = registry.exchangeState(Beside.NOBODY);
         } catch (IOException e) {
             log.line("not announced", String.valueOf(e));
-            last = new Succession.Company(0, Beside.NOBODY);
+            last = new ProcessRegistry.Siblings(0, Beside.NOBODY);
         }
-        descriptors.share(1 + last.others());
+        descriptors.share(1 + last.count());
     }
 
     /** From now on others are told what {@code own} says, and what comes of them is handed on. */
     void keep(Supplier<Beside> own, Listener listener) {
         this.own = own;
         this.listener = listener;
-        listener.told(last.told());
+        listener.told(last.state());
         lookLater();
     }
 
     private void lookLater() {
-        vertx.setTimer(last.others() > 0 ? TOGETHER_MS : ALONE_MS, t -> look());
+        vertx.setTimer(last.count() > 0 ? TOGETHER_MS : ALONE_MS, t -> look());
     }
 
     /** The next look is set when this one has ended: looks must not pile up behind a slow folder. */
     private void look() {
-        Beside said = last.others() > 0 ? own.get() : Beside.NOBODY;
+        Beside said = last.count() > 0 ? own.get() : Beside.NOBODY;
         vertx.executeBlocking(() -> {
-                    Succession.Company others = succession.exchange(said);
-                    return new Found(others, changedBans(), others.others() > 0 && succession.replaced());
+                    ProcessRegistry.Siblings siblings = registry.exchangeState(said);
+                    return new Found(siblings, changedBans(), siblings.count() > 0 && registry.isReplaced());
                 })
                 .onComplete(found -> {
                     lookLater();
                     if (found.failed()) {
-                        log.line("no look at the others", String.valueOf(found.cause()));
+                        log.line("no look at the siblings", String.valueOf(found.cause()));
                         return;
                     }
-                    meet(found.result().others());
+                    meet(found.result().siblings());
                     if (found.result().bans() != null) {
                         listener.banned(found.result().bans());
                     }
@@ -110,13 +110,13 @@
         }
     }
 
-    private void meet(Succession.Company next) {
-        if (next.others() != last.others()) {
-            log.line("processes of this dispatcher", Integer.toString(1 + next.others()));
-            descriptors.share(1 + next.others());
+    private void meet(ProcessRegistry.Siblings next) {
+        if (next.count() != last.count()) {
+            log.line("processes of this dispatcher", Integer.toString(1 + next.count()));
+            descriptors.share(1 + next.count());
         }
-        if (!next.told().equals(last.told())) {
-            listener.told(next.told());
+        if (!next.state().equals(last.state())) {
+            listener.told(next.state());
         }
         last = next;
     }
@@ -124,7 +124,7 @@
     /** Tells a process that serves already that it is replaced: once we say yes, its end may come. */
     Future<Void> announce() {
         return vertx.<Void>executeBlocking(() -> {
-                    succession.serving();
+                    registry.registerServing();
                     return null;
                 })
                 .onSuccess(v -> announced = true)
@@ -137,11 +137,11 @@
 
     /** Whether another process, alive now, came to serve after this one. Reads files. */
     boolean replaced() {
-        return succession.replaced();
+        return registry.isReplaced();
     }
 
     /** This process is about to end. Writes files. */
     void ended() {
-        succession.ended();
+        registry.unregister();
     }
 }
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -109,8 +109,8 @@
         if (config.console != null) {
             banFile = new BanFile(config.folder, config.fileName());
             bans = ConsoleHandler.readInitialBans(banFile, log);
-            Succession succession = new Succession(config.folder, config.fileName());
-            company = new Company(vertx, succession, banFile, descriptors, log);
+            ProcessRegistry registry = new ProcessRegistry(config.folder, config.fileName());
+            company = new Company(vertx, registry, banFile, descriptors, log);
         }
         transport.onListenerLost(() -> unable("the listening socket is closed"));
     }
--- a/src/main/java/saffronferry/lifecycle/Succession.java
+++ b/src/main/java/saffronferry/lifecycle/ProcessRegistry.java
@@ -20,39 +20,39 @@
  * process that has started, and one that names who came to serve last. Marks of processes that are gone count
  * for nothing. All of it blocks: nothing here is for the event loop.
  */
-class Succession {
-    private static final String STARTED = ".process-";
-    private static final String TOLD = ".told-";
+class ProcessRegistry {
+    private static final String PROCESS_MARK = ".process-";
+    private static final String STATE_FILE = ".told-";
     /** File systems count the times of changes in steps of two seconds at most. */
-    private static final long STEP_MS = 2_000;
+    private static final long FILE_TIME_STEP_MS = 2_000;
 
     private final Path folder;
     private final String name;
     private final long self = ProcessHandle.current().pid();
     /** When the folder was last changed before a look that found nobody; null: it has to be read. */
-    private FileTime nobodyAt;
+    private FileTime emptyFolderModifiedAt;
 
-    Succession(Path folder, String name) {
+    ProcessRegistry(Path folder, String name) {
         this.folder = folder;
         this.name = name;
     }
 
     /** This process is about to take its share of what both may hold. */
-    void started() throws IOException {
-        Files.writeString(mark(self), "");
+    void registerStarted() throws IOException {
+        Files.writeString(markFile(self), "");
     }
 
     /** This process serves: one that served before it is replaced. */
-    void serving() throws IOException {
-        write(folder.resolve(name + ".serving"), Long.toString(self));
+    void registerServing() throws IOException {
+        writeAtomically(folder.resolve(name + ".serving"), Long.toString(self));
     }
 
     /** Whether another process, alive now, came to serve after this one. */
-    boolean replaced() {
+    boolean isReplaced() {
         try {
             long latest = Long.parseLong(
                     Files.readString(folder.resolve(name + ".serving")).trim());
-            return latest != self && alive(latest);
+            return latest != self && isAlive(latest);
         } catch (IOException | NumberFormatException e) {
             return false; // no mark that can be read: nobody is known to serve in our place
         }
@@ -62,21 +62,21 @@
      * The other processes of this dispatcher that live. Nobody starts without a mark, and a mark that is made
      * changes the folder: while nothing has, and nobody was there, it need not be read again.
      */
-    synchronized List<Long> others() {
-        FileTime changed = changed();
-        if (changed != null && changed.equals(nobodyAt)) {
+    synchronized List<Long> liveSiblings() {
+        FileTime changed = folderModifiedAt();
+        if (changed != null && changed.equals(emptyFolderModifiedAt)) {
             return List.of();
         }
         List<Long> alive = new ArrayList<>();
         // guards against a mark made after the folder was read, in the same step of its time
-        boolean settled = changed != null && System.currentTimeMillis() - changed.toMillis() > STEP_MS;
-        boolean whole = read(alive);
-        nobodyAt = alive.isEmpty() && settled && whole ? changed : null;
+        boolean settled = changed != null && System.currentTimeMillis() - changed.toMillis() > FILE_TIME_STEP_MS;
+        boolean whole = readMarks(alive);
+        emptyFolderModifiedAt = alive.isEmpty() && settled && whole ? changed : null;
         return alive;
     }
 
     /** Null if it cannot be told. */
-    private FileTime changed() {
+    private FileTime folderModifiedAt() {
         try {
             return Files.getLastModifiedTime(folder);
         } catch (IOException e) {
@@ -85,15 +85,15 @@
     }
 
     /** Whether all marks could be read. */
-    private boolean read(List<Long> alive) {
-        try (DirectoryStream<Path> marks = Files.newDirectoryStream(folder, name + STARTED + "*")) {
+    private boolean readMarks(List<Long> alive) {
+        try (DirectoryStream<Path> marks = Files.newDirectoryStream(folder, name + PROCESS_MARK + "*")) {
             for (Path mark : marks) {
                 long pid = pidOf(mark);
-                if (pid != self && alive(pid)) {
+                if (pid != self && isAlive(pid)) {
                     alive.add(pid);
                 } else if (pid != self) {
                     Files.deleteIfExists(mark);
-                    Files.deleteIfExists(told(pid));
+                    Files.deleteIfExists(stateFile(pid));
                 }
             }
         } catch (IOException | java.nio.file.DirectoryIteratorException e) {
@@ -103,29 +103,29 @@
     }
 
     /** How many others live, and what they tell. */
-    record Company(int others, Beside told) {}
+    record Siblings(int count, Beside state) {}
 
     /** Tells the others, where there are any, what this process has to say, and hears them. */
-    Company exchange(Beside own) throws IOException {
-        List<Long> others = others();
+    Siblings exchangeState(Beside own) throws IOException {
+        List<Long> others = liveSiblings();
         if (others.isEmpty()) {
-            return new Company(0, Beside.NOBODY);
+            return new Siblings(0, Beside.NOBODY);
         }
         JSONObject json =
                 new JSONObject().put("jobs", new JSONObject(own.jobs())).put("learned", new JSONArray(own.learned()));
-        write(told(self), json.toString());
+        writeAtomically(stateFile(self), json.toString());
         Map<String, Integer> jobs = new HashMap<>();
         double[] learned = {};
         for (long other : others) {
-            Beside b = read(told(other));
+            Beside b = readState(stateFile(other));
             b.jobs().forEach((worker, slots) -> jobs.merge(worker, slots, Integer::sum));
             learned = b.learned().length > 0 ? b.learned() : learned;
         }
-        return new Company(others.size(), new Beside(jobs, learned));
+        return new Siblings(others.size(), new Beside(jobs, learned));
     }
 
     /** A process that has not spoken yet, or whose version speaks otherwise, says nothing. */
-    private static Beside read(Path file) {
+    private static Beside readState(Path file) {
         try {
             JSONObject json = new JSONObject(Files.readString(file));
             Map<String, Integer> jobs = new HashMap<>();
@@ -143,40 +143,40 @@
     }
 
     /** Whole, or not at all: a reader finds no half. */
-    private void write(Path file, String text) throws IOException {
+    private void writeAtomically(Path file, String text) throws IOException {
         Path whole = Files.createTempFile(folder, name, ".new");
         Files.writeString(whole, text);
         Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private Path told(long pid) {
-        return folder.resolve(name + TOLD + pid);
+    private Path stateFile(long pid) {
+        return folder.resolve(name + STATE_FILE + pid);
     }
 
     /** This process is about to end. */
-    void ended() {
+    void unregister() {
         try {
-            Files.deleteIfExists(mark(self));
-            Files.deleteIfExists(told(self));
+            Files.deleteIfExists(markFile(self));
+            Files.deleteIfExists(stateFile(self));
         } catch (IOException e) {
             // whoever looks next sees that we are gone
         }
     }
 
-    private Path mark(long pid) {
-        return folder.resolve(name + STARTED + pid);
+    private Path markFile(long pid) {
+        return folder.resolve(name + PROCESS_MARK + pid);
     }
 
     private long pidOf(Path mark) {
         try {
-            return Long.parseLong(mark.getFileName().toString().substring((name + STARTED).length()));
+            return Long.parseLong(mark.getFileName().toString().substring((name + PROCESS_MARK).length()));
         } catch (NumberFormatException e) {
             return -1;
         }
     }
 
     /** A process that has ended and is yet to be reaped serves nobody. */
-    private static boolean alive(long pid) {
+    private static boolean isAlive(long pid) {
         try {
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
             return stat.charAt(stat.lastIndexOf(')') + 2) != 'Z';
--- a/src/test/java/saffronferry/lifecycle/CompanyTest.java
+++ b/src/test/java/saffronferry/lifecycle/CompanyTest.java
@@ -35,11 +35,11 @@
         try {
             Company company = new Company(
                     vertx,
-                    new Succession(at, "d") {
+                    new ProcessRegistry(at, "d") {
                         @Override
-                        Company exchange(Beside own) throws IOException {
+                        Siblings exchangeState(Beside own) throws IOException {
                             looks.incrementAndGet();
-                            return super.exchange(own);
+                            return super.exchangeState(own);
                         }
                     },
                     file,
--- a/src/test/java/saffronferry/lifecycle/SuccessionTest.java
+++ b/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
@@ -19,17 +19,17 @@
 import saffronferry.Beside;
 
 /** The marks by which processes of one dispatcher know of each other; a sleeping process plays the other. */
-public class SuccessionTest {
+public class ProcessRegistryTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    private Succession self;
+    private ProcessRegistry registry;
     private Process other;
 
     @Before
     public void begin() throws IOException {
-        self = new Succession(folder.getRoot().toPath(), "d");
-        self.started();
+        registry = new ProcessRegistry(folder.getRoot().toPath(), "d");
+        registry.registerStarted();
         other = new ProcessBuilder("sleep", "60").start();
     }
 
@@ -44,16 +44,16 @@
 
     @Test
     public void aProcessIsReplacedOnlyByOneThatServesAndLives() throws Exception {
-        assertFalse("no mark", self.replaced());
-        self.serving();
-        assertFalse("its own mark", self.replaced());
+        assertFalse("no mark", registry.isReplaced());
+        registry.registerServing();
+        assertFalse("its own mark", registry.isReplaced());
         Files.writeString(file("d.serving"), "" + other.pid());
-        assertTrue(self.replaced());
+        assertTrue(registry.isReplaced());
         other.destroyForcibly().waitFor();
-        assertFalse("it has died", self.replaced());
+        assertFalse("it has died", registry.isReplaced());
         for (String damaged : List.of("", "x", "-1", "99999999999999999999")) {
             Files.writeString(file("d.serving"), damaged);
-            assertFalse(damaged, self.replaced());
+            assertFalse(damaged, registry.isReplaced());
         }
     }
 
@@ -62,52 +62,52 @@
     public void whoeverComesIsSeenThoughTheFolderIsNotReadEachTime() throws Exception {
         FileTime longAgo = FileTime.fromMillis(System.currentTimeMillis() - 60_000);
         Files.setLastModifiedTime(folder.getRoot().toPath(), longAgo);
-        assertEquals(List.of(), self.others());
+        assertEquals(List.of(), registry.liveSiblings());
         Files.writeString(file("d.process-" + other.pid()), "");
-        assertEquals("a mark changes the folder", List.of(other.pid()), self.others());
+        assertEquals("a mark changes the folder", List.of(other.pid()), registry.liveSiblings());
         other.destroyForcibly().waitFor();
-        assertEquals("an end changes nothing there", List.of(), self.others());
+        assertEquals("an end changes nothing there", List.of(), registry.liveSiblings());
         Process next = new ProcessBuilder("sleep", "60").start();
         try {
-            assertEquals(List.of(), self.others());
+            assertEquals(List.of(), registry.liveSiblings());
             FileTime now = Files.getLastModifiedTime(folder.getRoot().toPath());
             Files.writeString(file("d.process-" + next.pid()), "");
             Files.setLastModifiedTime(folder.getRoot().toPath(), now);
-            assertEquals("within a step of the folder's time", List.of(next.pid()), self.others());
+            assertEquals("within a step of the folder's time", List.of(next.pid()), registry.liveSiblings());
         } finally {
             next.destroyForcibly().waitFor();
         }
         Files.setLastModifiedTime(folder.getRoot().toPath(), longAgo);
-        assertEquals(List.of(), self.others());
+        assertEquals(List.of(), registry.liveSiblings());
         Files.writeString(
                 file("d.process-"
                         + ProcessHandle.current().parent().orElseThrow().pid()),
                 "");
         Files.setLastModifiedTime(folder.getRoot().toPath(), longAgo);
-        assertEquals("not read: this test has put the time back", List.of(), self.others());
+        assertEquals("not read: this test has put the time back", List.of(), registry.liveSiblings());
     }
 
     @Test
     public void onlyProcessesThatLiveAreCompany() throws Exception {
-        assertEquals(0, self.exchange(Beside.NOBODY).others());
+        assertEquals(0, registry.exchangeState(Beside.NOBODY).count());
         assertFalse(
                 "nobody is there to read",
                 Files.exists(file("d.told-" + ProcessHandle.current().pid())));
         Files.writeString(file("d.process-" + other.pid()), "");
         Files.writeString(file("d.process-rubbish"), "");
-        assertEquals(new Succession.Company(1, Beside.NOBODY), self.exchange(Beside.NOBODY));
+        assertEquals(new ProcessRegistry.Siblings(1, Beside.NOBODY), registry.exchangeState(Beside.NOBODY));
         Files.writeString(file("d.told-" + other.pid()), "{\"jobs\":{\"w\":3,\"x\":-2},\"learned\":[1,2.5]}");
         Beside heard =
-                self.exchange(new Beside(Map.of("y", 1), new double[] {7})).told();
+                registry.exchangeState(new Beside(Map.of("y", 1), new double[] {7})).state();
         assertEquals(new Beside(Map.of("w", 3, "x", 0), new double[] {1, 2.5}), heard);
         String told = Files.readString(file("d.told-" + ProcessHandle.current().pid()));
         assertTrue(told, new JSONObject("{\"jobs\":{\"y\":1},\"learned\":[7]}").similar(new JSONObject(told)));
         for (String damaged : List.of("", "{\"jobs\":{\"w\":3", "{\"jobs\":{\"w\":\"many\"},\"learned\":[]}")) {
             Files.writeString(file("d.told-" + other.pid()), damaged);
-            assertEquals(damaged, Beside.NOBODY, self.exchange(Beside.NOBODY).told());
+            assertEquals(damaged, Beside.NOBODY, registry.exchangeState(Beside.NOBODY).state());
         }
         other.destroyForcibly().waitFor();
-        assertEquals(0, self.exchange(Beside.NOBODY).others());
+        assertEquals(0, registry.exchangeState(Beside.NOBODY).count());
         assertFalse("its marks are cleared away", Files.exists(file("d.told-" + other.pid())));
     }
 }
