--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -71,7 +71,7 @@
     private BanFile banFile;
     private ConsoleHandler consoleHandler;
     /** Null where there is no console, and so nobody who would replace a process under load. */
-    private Company company;
+    private SiblingMonitor siblingMonitor;
 
     private Bans bans = Bans.NONE;
     private boolean ready;
@@ -110,7 +110,7 @@
             banFile = new BanFile(config.folder, config.fileName());
             bans = ConsoleHandler.readInitialBans(banFile, log);
             ProcessRegistry registry = new ProcessRegistry(config.folder, config.fileName());
-            company = new Company(vertx, registry, banFile, descriptors, log);
+            siblingMonitor = new SiblingMonitor(vertx, registry, banFile, descriptors, log);
         }
         transport.onListenerLost(() -> unable("the listening socket is closed"));
     }
@@ -193,11 +193,11 @@
             inForce.start(vertx, wire, metrics);
         }
         return console.compose(v -> wire.begin(config.takeKnown()))
-                .onSuccess(v -> keepCompany())
+                .onSuccess(v -> startSiblingMonitor())
                 .compose(v -> wire.server().listen(config.listen))
                 .compose(v -> wire.warmUp(config.listen))
                 .compose(v -> wire.listed())
-                .compose(v -> company == null ? Future.succeededFuture() : company.announce())
+                .compose(v -> siblingMonitor == null ? Future.succeededFuture() : siblingMonitor.announceServing())
                 .onSuccess(v -> {
                     ready = true;
                     wire.server().ready();
@@ -206,35 +206,35 @@
                 .mapEmpty();
     }
 
-    private void keepCompany() {
-        if (company != null) {
-            company.keep(wire.ledger()::beside, new Company.Listener() {
+    private void startSiblingMonitor() {
+        if (siblingMonitor != null) {
+            siblingMonitor.start(wire.ledger()::beside, new SiblingMonitor.Listener() {
                 @Override
-                public void told(Beside beside) {
-                    wire.ledger().report(new News.RunsBeside(beside));
+                public void siblingStateChanged(Beside state) {
+                    wire.ledger().report(new News.RunsBeside(state));
                 }
 
                 @Override
-                public void banned(Bans next) {
+                public void bansChanged(Bans next) {
                     consoleHandler.applyBansFromFile(next);
                 }
 
                 @Override
-                public void replaced(boolean served) {
-                    leave(served);
+                public void replacedChanged(boolean isReplaced) {
+                    setReplaced(isReplaced);
                 }
             });
         }
     }
 
     /** Leaves clients to a process that serves in our place by now, or takes them again when it is gone. */
-    private void leave(boolean served) {
+    private void setReplaced(boolean isReplaced) {
         if (drain.isShuttingDown()) {
             return;
         }
-        log.line(served ? "replaced" : "not replaced any more", "at " + config.listen);
-        drain.setReplaced(served);
-        if (served) {
+        log.line(isReplaced ? "replaced" : "not replaced any more", "at " + config.listen);
+        drain.setReplaced(isReplaced);
+        if (isReplaced) {
             wire.handOver();
         } else {
             wire.takeBack(config.listen);
@@ -301,13 +301,13 @@
 
     /** SIGTERM runs this: the process ends when it returns. */
     void awaitDrain() {
-        boolean elsewhere = company != null && company.replaced();
-        context.runOnContext(v -> drain(elsewhere));
+        boolean isReplaced = siblingMonitor != null && siblingMonitor.isReplaced();
+        context.runOnContext(v -> drain(isReplaced));
         try {
             // danger: to end before SIGKILL comes loses what was taken and is not answered yet
             drained.await(longest(RpcInfo::longest) + DRAIN_SLACK_MS, TimeUnit.MILLISECONDS);
-            if (company != null) {
-                company.ended();
+            if (siblingMonitor != null) {
+                siblingMonitor.unregister();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -318,13 +318,13 @@
      * Clients keep using the connections they have, and no other dispatcher may be near: these are served for
      * as long as what they ask can still be answered before SIGKILL. What was open before has its full time.
      */
-    private void drain(boolean elsewhere) {
+    private void drain(boolean isReplaced) {
         long counted = Math.max(STILL_LISTEN_MS, Math.min(longest(JobClass::deadline), LONGEST_MS));
         log.line("draining", wire.ledger().unanswered() + " RPCs are open");
-        if (drain.isReplaced() != elsewhere) {
-            leave(elsewhere);
+        if (drain.isReplaced() != isReplaced) {
+            setReplaced(isReplaced);
         }
-        drain.shutDown(now(), counted - LAST_INTAKE_MS, elsewhere);
+        drain.shutDown(now(), counted - LAST_INTAKE_MS, isReplaced);
         followDrain();
         vertx.setTimer(STILL_LISTEN_MS, t -> wire.ledger().endWithin(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
     }
--- a/src/test/java/saffronferry/lifecycle/CompanyTest.java
+++ b/src/test/java/saffronferry/lifecycle/SiblingMonitorTest.java
@@ -19,7 +19,7 @@
 import saffronferry.ops.Bans;
 
 /** Looks at the folder that processes of one dispatcher share: how often, and that none of them is missed. */
-public class CompanyTest {
+public class SiblingMonitorTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
@@ -33,7 +33,7 @@
         Vertx vertx = Vertx.vertx();
         Process other = new ProcessBuilder("sleep", "60").start();
         try {
-            Company company = new Company(
+            SiblingMonitor monitor = new SiblingMonitor(
                     vertx,
                     new ProcessRegistry(at, "d") {
                         @Override
@@ -46,17 +46,17 @@
                     new Descriptors(1024, 32),
                     new BoundedLog());
             looks.set(0);
-            vertx.runOnContext(v -> company.keep(() -> Beside.NOBODY, new Company.Listener() {
+            vertx.runOnContext(v -> monitor.start(() -> Beside.NOBODY, new SiblingMonitor.Listener() {
                 @Override
-                public void told(Beside beside) {}
+                public void siblingStateChanged(Beside state) {}
 
                 @Override
-                public void banned(Bans bans) {
+                public void bansChanged(Bans bans) {
                     heard.complete(bans);
                 }
 
                 @Override
-                public void replaced(boolean served) {}
+                public void replacedChanged(boolean isReplaced) {}
             }));
             Thread.sleep(1500);
             int alone = looks.get();
