--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -64,7 +64,7 @@
     private final CountDownLatch drained = new CountDownLatch(1);
     private Wire wire;
     /** Null where settings hold as they were read at the start. */
-    private SettingsInForce inForce;
+    private EffectiveSettings effectiveSettings;
 
     private Watchdog watchdog;
     private volatile boolean closing;
@@ -166,7 +166,7 @@
         watchdog.start(vertx);
         SettingsReader s = config.settings;
         config.unreadable.forEach(bad -> log.line("list entry left out", bad));
-        inForce = config.agree == null ? null : new SettingsInForce(config, log);
+        effectiveSettings = config.agree == null ? null : new EffectiveSettings(config, log);
         wire = new Wire(
                 vertx,
                 new Wire.Options(
@@ -174,7 +174,7 @@
                         config.peerListen,
                         config.peers,
                         s.settings.classes(),
-                        inForce == null ? s.tenants : inForce.names(),
+                        effectiveSettings == null ? s.tenants : effectiveSettings.tenantNames(),
                         config.lists,
                         s.fieldOf("free slots"),
                         s.connectTimeout,
@@ -189,8 +189,8 @@
             wire.ledger().ban(bans); // before the first decision
             console = openConsole();
         }
-        if (inForce != null) {
-            inForce.start(vertx, wire, metrics);
+        if (effectiveSettings != null) {
+            effectiveSettings.start(vertx, wire, metrics);
         }
         return console.compose(v -> wire.begin(config.takeKnown()))
                 .onSuccess(v -> startSiblingMonitor())
@@ -290,8 +290,8 @@
 
     private void follow(Config next) {
         try {
-            if (inForce != null) {
-                inForce.follow(next);
+            if (effectiveSettings != null) {
+                effectiveSettings.applyFile(next);
             }
             wire.follow(next.discovery);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
@@ -27,7 +27,7 @@
  * The settings that hold now: those of the file, and over them what dispatchers have agreed upon since. For
  * the event loop.
  */
-final class SettingsInForce {
+final class EffectiveSettings {
     private static final int TOLD = 4; // of changes taken at once so many are logged by name
 
     private final BoundedLog log;
@@ -41,7 +41,7 @@
     private Wire wire;
     private Agreement.State state;
 
-    SettingsInForce(Config config, BoundedLog log) {
+    EffectiveSettings(Config config, BoundedLog log) {
         this.log = log;
         file = config.json;
         inFile = ConfigDiff.values(file);
@@ -72,7 +72,7 @@
     }
 
     /** The tenants' names by index: the list grows, and an index never becomes another tenant's. */
-    List<String> names() {
+    List<String> tenantNames() {
         return Collections.unmodifiableList(names);
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** Tells all what differs in a new file; {@link IllegalArgumentException} names what is wrong in it. */
-    void follow(Config next) {
+    void applyFile(Config next) {
         if (next.json == null) {
             throw new IllegalArgumentException("configuration key agree: is read at a start only");
         }
