--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -269,7 +269,7 @@
                     }
                 },
                 log);
-        OwnUse.keep(vertx, transport.control());
+        ProcessUsage.startSampling(vertx, transport.control());
         return new ConsoleServer(vertx, descriptors, transport, consoleHandler).listen(config.console);
     }
 
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -180,11 +180,11 @@
     @Test
     public void whatTheSystemSaysOfTheProcessIsRead() throws Exception {
         String stat = "7 (a) b (c) S 1 1 1 0 -1 0 9 9 9 9 120 30 0 0 20 0 9";
-        assertEquals(new OwnUse.Use(1_500, 2_048), OwnUse.read(stat, "Name:\tx\nVmRSS:\t     2 kB\n"));
+        assertEquals(new ProcessUsage.Sample(1_500, 2_048), ProcessUsage.read(stat, "Name:\tx\nVmRSS:\t     2 kB\n"));
         for (String[] bad : new String[][] {{"", ""}, {stat, "Name:\tx\n"}, {"7 (a) S 1", "VmRSS: 2 kB"}}) {
-            assertThrows(IOException.class, () -> OwnUse.read(bad[0], bad[1]));
+            assertThrows(IOException.class, () -> ProcessUsage.read(bad[0], bad[1]));
         }
-        assertTrue(OwnUse.read().resident() > 10_000_000 && OwnUse.read().cpu() > 0);
+        assertTrue(ProcessUsage.read().resident() > 10_000_000 && ProcessUsage.read().cpu() > 0);
     }
 
     @Test
