--- a/src/main/java/saffronferry/lifecycle/AgreeOptions.java
+++ b/src/main/java/saffronferry/lifecycle/AgreementOptions.java
@@ -7,28 +7,28 @@
 import saffronferry.wire.Address;
 
 /**
- * How a dispatcher agrees with others on settings that change while they run.
+ * The options by which dispatchers agree on settings that change at run time.
  *
- * @param secret the fleet's: who does not have it cannot change settings by datagrams
- * @param bytesPerS what may be said of settings in any second
+ * @param secret shared by the fleet; without it settings cannot be changed by datagrams
+ * @param bytesPerS the limit on bytes sent about settings per second
  */
-record AgreeOptions(byte[] secret, int bytesPerS) {
-    private static final int LEAST_SECRET = 16;
-    private static final int BYTES_PER_S = 2_000;
+record AgreementOptions(byte[] secret, int bytesPerS) {
+    private static final int MIN_SECRET_BYTES = 16;
+    private static final int DEFAULT_BYTES_PER_S = 2_000;
 
-    static AgreeOptions read(JSONObject json, Address peerListen, List<Address> peers, int self) {
+    static AgreementOptions read(JSONObject json, Address peerListen, List<Address> peers, int self) {
         if (peerListen == null || self < 0 || self >= peers.size()) {
             throw new IllegalArgumentException("needs peer_listen, and peers with one for each dispatcher");
         }
         byte[] secret = json.getString("secret").getBytes(StandardCharsets.UTF_8);
-        if (secret.length < LEAST_SECRET) {
-            throw new IllegalArgumentException("secret must have " + LEAST_SECRET + " bytes at least");
+        if (secret.length < MIN_SECRET_BYTES) {
+            throw new IllegalArgumentException("secret must have " + MIN_SECRET_BYTES + " bytes at least");
         }
-        int bytesPerS = json.isNull("bytes_per_s") ? BYTES_PER_S : json.getInt("bytes_per_s");
+        int bytesPerS = json.isNull("bytes_per_s") ? DEFAULT_BYTES_PER_S : json.getInt("bytes_per_s");
         if (bytesPerS < Gossip.LEAST_BYTES_PER_S) {
             throw new IllegalArgumentException(
                     "bytes_per_s must be " + Gossip.LEAST_BYTES_PER_S + " at least: " + bytesPerS);
         }
-        return new AgreeOptions(secret, bytesPerS);
+        return new AgreementOptions(secret, bytesPerS);
     }
 }
--- a/src/main/java/saffronferry/lifecycle/Config.java
+++ b/src/main/java/saffronferry/lifecycle/Config.java
@@ -34,7 +34,7 @@
 
     final SettingsReader settings;
     /** How settings are agreed upon while dispatchers run; null where they are not. */
-    final AgreeOptions agree;
+    final AgreementOptions agree;
     /** What was read, to be compared with what is read later; null where nothing follows from that. */
     final JSONObject json;
 
@@ -97,7 +97,7 @@
                 ? null
                 : key(
                         "agree",
-                        () -> AgreeOptions.read(
+                        () -> AgreementOptions.read(
                                 json.getJSONObject("agree"), peerListen, peers, settings.settings.self()));
         if (agree != null) {
             ConfigDiff.values(json);
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -116,12 +116,12 @@
     }
 
     private static Descriptors descriptors(Config config) {
-        int most = ProcessLimits.most();
+        int most = ProcessLimits.maxOpenFiles();
         String key = most < config.sockets
                 ? "the process's own limit, below the key limits.sockets"
                 : "configuration key limits.sockets";
         try {
-            return new Descriptors(Math.min(most, config.sockets), ProcessLimits.open() + STILL_TO_OPEN);
+            return new Descriptors(Math.min(most, config.sockets), ProcessLimits.openFiles() + STILL_TO_OPEN);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(key + ": " + e.getMessage());
         }
--- a/src/main/java/saffronferry/lifecycle/ProcessLimits.java
+++ b/src/main/java/saffronferry/lifecycle/ProcessLimits.java
@@ -5,24 +5,24 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the system says of this process: descriptors and signals; where it says nothing, cautious guesses. */
+/** What the system reports of this process's file descriptors and signals, with cautious defaults. */
 final class ProcessLimits {
-    /** A JVM of ours holds fewer at its start. */
-    private static final int OPEN_GUESS = 24;
+    /** More than the descriptors that the JVM holds at the start; used if the system does not report them. */
+    private static final int DEFAULT_OPEN_FILES = 24;
 
     private ProcessLimits() {}
 
-    /** How many descriptors the system lets the process hold; the largest number if it does not say. */
-    static int most() {
+    /** The number of descriptors that the process may hold; the largest number if the system does not report it. */
+    static int maxOpenFiles() {
         try {
-            return most(Files.readString(Path.of("/proc/self/limits")));
+            return maxOpenFiles(Files.readString(Path.of("/proc/self/limits")));
         } catch (IOException e) {
             return Integer.MAX_VALUE;
         }
     }
 
-    /** The soft limit in the text of a {@code limits} file as proc(5) has it. */
-    static int most(String limits) {
+    /** The soft limit in the text of a {@code limits} file of proc(5). */
+    static int maxOpenFiles(String limits) {
         return limits.lines()
                 .filter(line -> line.startsWith("Max open files"))
                 .map(line -> line.substring("Max open files".length()).trim().split("\\s+")[0])
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Whether this process was started with SIGHUP ignored. The JVM leaves a signal so that it finds so, and
-     * takes a handler for it without a word that is never called.
+     * Whether this process was started with SIGHUP ignored. The JVM leaves an ignored signal ignored: it accepts a
+     * handler without an error, but never calls it.
      */
     static boolean hangupIgnored() {
         try {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Bit 0 of the mask of ignored signals in the text of a {@code status} file as proc(5) has it. */
+    /** Bit 0 of the mask of ignored signals in the text of a {@code status} file of proc(5). */
     static boolean hangupIgnored(String status) {
         return status.lines()
                 .filter(line -> line.matches("SigIgn:\\s*[0-9a-f]{1,16}"))
@@ -52,9 +52,9 @@
                 .anyMatch(lowest -> (Integer.parseInt(lowest, 16) & 1) != 0);
     }
 
-    /** How many descriptors the process holds now. */
-    static int open() {
+    /** The number of descriptors that the process holds now. */
+    static int openFiles() {
         String[] names = new File("/proc/self/fd").list();
-        return names == null ? OPEN_GUESS : names.length - 1; // without the one that reads the folder
+        return names == null ? DEFAULT_OPEN_FILES : names.length - 1; // without the one that reads the folder
     }
 }
--- a/src/test/java/saffronferry/lifecycle/ConfigTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigTest.java
@@ -138,7 +138,7 @@
             {"" + Integer.MAX_VALUE, ""},
         };
         for (String[] c : cases) {
-            assertEquals(c[1], Integer.parseInt(c[0]), ProcessLimits.most(c[1]));
+            assertEquals(c[1], Integer.parseInt(c[0]), ProcessLimits.maxOpenFiles(c[1]));
         }
     }
 }
