--- a/src/test/java/saffronferry/lifecycle/BadClientsTest.java
+++ b/src/test/java/saffronferry/lifecycle/BadClientsTest.java
@@ -66,7 +66,7 @@
             Socket s = connect();
             long begun = System.nanoTime();
             try {
-                Peer.write(s.getOutputStream(), c[1]);
+                ScriptedServer.write(s.getOutputStream(), c[1]);
             } catch (java.net.SocketException e) {
                 // turned away before all of it was sent
             }
@@ -83,7 +83,7 @@
     public void whatStaysUnfinishedIsEndedInTimeButIdleConnectionsStay() throws Exception {
         start();
         Socket usual = connect();
-        Peer.write(usual.getOutputStream(), GOOD + EMPTY);
+        ScriptedServer.write(usual.getOutputStream(), GOOD + EMPTY);
         assertTrue(readLine(usual).contains("200"));
         String[] unfinished = {
             "",
@@ -95,7 +95,7 @@
         List<Socket> sockets = new ArrayList<>();
         for (String text : unfinished) {
             Socket s = connect();
-            Peer.write(s.getOutputStream(), text);
+            ScriptedServer.write(s.getOutputStream(), text);
             sockets.add(s);
         }
         long begun = System.nanoTime();
@@ -106,7 +106,7 @@
         assertTrue(System.nanoTime() - begun < 2_900_000_000L);
         assertEquals(List.of("", "", "", "408", "408"), ends);
         Thread.sleep(500);
-        Peer.write(usual.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
+        ScriptedServer.write(usual.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
         assertTrue(readLine(usual).contains("200"));
         assertEquals(2, passedOn().size());
     }
@@ -124,7 +124,7 @@
         config.getJSONObject("limits").put("sockets", 384);
         start();
         Socket usual = connect();
-        Peer.write(usual.getOutputStream(), GOOD + EMPTY);
+        ScriptedServer.write(usual.getOutputStream(), GOOD + EMPTY);
         assertTrue(readLine(usual).contains("200"));
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
@@ -134,7 +134,7 @@
                 "the longest silent is closed",
                 -1,
                 crowd.get(0).getInputStream().read());
-        Peer.write(usual.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
+        ScriptedServer.write(usual.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
         assertTrue(readLine(usual).contains("200"));
         assertEquals(200, get(gift(3000)).statusCode());
     }
@@ -142,8 +142,8 @@
     /** A second RPC by the name of an open one is turned away, and the first goes on untouched. */
     @Test
     public void theIdOfAnOpenRpcIsNotTakenTwice() throws Exception {
-        a.script = Peer.slow(400);
-        b.script = Peer.slow(400);
+        a.script = ScriptedServer.serveAfterMs(400);
+        b.script = ScriptedServer.serveAfterMs(400);
         start();
         CompletableFuture<HttpResponse<String>> first = ask("same", "directory-page", 3000);
         await(() -> passedOn().size() == 1);
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -25,7 +25,7 @@
     private Socket caller(String said) throws IOException {
         Socket s = keep(new Socket("127.0.0.1", consolePort()));
         s.setSoTimeout(5000);
-        Peer.write(s.getOutputStream(), said);
+        ScriptedServer.write(s.getOutputStream(), said);
         return s;
     }
 
@@ -105,7 +105,7 @@
 
     @Test
     public void theFiguresAreWhatClientsAndWorkersSaw() throws Exception {
-        a.script = Peer.slow(300);
+        a.script = ScriptedServer.serveAfterMs(300);
         b.close(); // connecting there fails, and is no attempt written
         members(
                 entry("a", a.address(), 1, "SERVING", 0),
@@ -123,7 +123,7 @@
         }
         a.script = (request, out) -> false; // takes the job and breaks
         assertEquals(500, get(gift(3000)).statusCode());
-        a.script = Peer.slow(1500);
+        a.script = ScriptedServer.serveAfterMs(1500);
         CompletableFuture<HttpResponse<String>> late = ask("directory-page", 400); // the worker holds it too long
         assertTrue(get(late).statusCode() >= 500);
         long answers = 0;
@@ -189,8 +189,8 @@
 
     @Test
     public void whatWasTakenOutGetsNothingUntilTheCallBackWhateverTheListSays() throws Exception {
-        a.script = Peer.slow(400);
-        b.script = Peer.slow(400);
+        a.script = ScriptedServer.serveAfterMs(400);
+        b.script = ScriptedServer.serveAfterMs(400);
         discovery.script = (request, out) -> {
             Thread.sleep(800);
             return tell("{\"revision\":2,\"complete\":true,\"members\":["
@@ -201,7 +201,7 @@
         start();
         CompletableFuture<HttpResponse<String>> running = gift(5000);
         await(() -> a.requests.size() + b.requests.size() == 1);
-        Peer out = a.requests.isEmpty() ? b : a;
+        ScriptedServer out = a.requests.isEmpty() ? b : a;
         yes("/ops/workers/down/" + (out == a ? "a" : "b"));
         List<CompletableFuture<HttpResponse<String>>> held = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
@@ -247,7 +247,7 @@
         Random random = new Random(7);
         int banned = 0;
         for (int round = 0; round < 40; round++) {
-            Peer out = round % 2 == 0 ? a : b;
+            ScriptedServer out = round % 2 == 0 ? a : b;
             long surplus = surplus();
             List<CompletableFuture<HttpResponse<String>>> load = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
@@ -362,9 +362,9 @@
         start();
         Socket kept = connect();
         Socket idle = connect();
-        Peer.write(kept.getOutputStream(), job(1));
+        ScriptedServer.write(kept.getOutputStream(), job(1));
         assertTrue(answer(kept).startsWith("HTTP/1.1 200 "));
-        Peer.write(idle.getOutputStream(), job(2));
+        ScriptedServer.write(idle.getOutputStream(), job(2));
         assertTrue(answer(idle).startsWith("HTTP/1.1 200 "));
         yes("/ops/drain/start");
         long begun = System.nanoTime();
@@ -372,13 +372,13 @@
                 503,
                 client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding())
                         .statusCode());
-        Peer.write(kept.getOutputStream(), job(3));
+        ScriptedServer.write(kept.getOutputStream(), job(3));
         String early = answer(kept);
         assertTrue(
                 "the front may not have turned away yet: " + early,
                 early.startsWith("HTTP/1.1 200 ") && !early.toLowerCase().contains("connection: close"));
         Thread.sleep(500);
-        Peer.write(kept.getOutputStream(), job(4));
+        ScriptedServer.write(kept.getOutputStream(), job(4));
         String last = readAll(kept);
         assertTrue("an answer, and then the end: " + last, last.startsWith("HTTP/1.1 200 "));
         assertEquals("idle ones end", "", readAll(idle));
@@ -389,18 +389,18 @@
                 client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding())
                         .statusCode());
         Socket again = connect();
-        Peer.write(again.getOutputStream(), job(5));
+        ScriptedServer.write(again.getOutputStream(), job(5));
         assertTrue(answer(again).startsWith("HTTP/1.1 200 "));
         Thread.sleep(1500); // the stopped drain's times have passed
-        Peer.write(again.getOutputStream(), job(6));
+        ScriptedServer.write(again.getOutputStream(), job(6));
         assertTrue("it is kept", answer(again).startsWith("HTTP/1.1 200 "));
     }
 
     /** Whoever drained a dispatcher by call may end it too, and it ends when all has its answer. */
     @Test
     public void sigtermInADrainEndsTheProcessAndLosesNothing() throws Exception {
-        a.script = Peer.slow(1200);
-        b.script = Peer.slow(1200);
+        a.script = ScriptedServer.serveAfterMs(1200);
+        b.script = ScriptedServer.serveAfterMs(1200);
         Process process = startProcess(configFile());
         CompletableFuture<HttpResponse<String>> open = gift(5000);
         await(() -> a.requests.size() + b.requests.size() == 1);
--- a/src/test/java/saffronferry/lifecycle/CrowdTest.java
+++ b/src/test/java/saffronferry/lifecycle/CrowdTest.java
@@ -129,8 +129,8 @@
     /** Workers that hang hold what is left for workers; every RPC still has its answer in time. */
     @Test
     public void attemptsThatHangTakeNoMoreThanTheirPart() throws Exception {
-        a.script = Peer::keepSilent;
-        b.script = Peer::keepSilent;
+        a.script = ScriptedServer::neverAnswer;
+        b.script = ScriptedServer::neverAnswer;
         Process process = serve(256);
         awaitUp();
         try (Crowd.Held held = new Crowd.Held(process.pid())) {
@@ -149,8 +149,8 @@
             assertTrue("in " + took + " ms", took < 7500);
             assertTrue("" + held.most(), held.most() <= 256 - KEPT_FREE);
         }
-        a.script = Peer::serve;
-        b.script = Peer::serve;
+        a.script = ScriptedServer::serve;
+        b.script = ScriptedServer::serve;
         await(() -> unchecked(() -> {
             try {
                 return get(gift(3000)).statusCode() == 200;
--- a/src/test/java/saffronferry/lifecycle/EndingsTest.java
+++ b/src/test/java/saffronferry/lifecycle/EndingsTest.java
@@ -33,9 +33,9 @@
         /** Sends what this way of going sends beside its one request, then goes. */
         void go(Socket s, String another) throws IOException {
             if (this == CLOSE_BEHIND_A_PIPELINED_REQUEST) {
-                Peer.write(s.getOutputStream(), another);
+                ScriptedServer.write(s.getOutputStream(), another);
             } else if (this == CLOSE_BEHIND_A_FLOOD) {
-                Peer.write(s.getOutputStream(), another.repeat(40_000));
+                ScriptedServer.write(s.getOutputStream(), another.repeat(40_000));
             }
             if (this == HALF_CLOSE) {
                 s.shutdownOutput();
@@ -68,7 +68,7 @@
         start();
         for (Leave leave : Leave.values()) {
             Socket s = connect();
-            Peer.write(s.getOutputStream(), raw("held-" + leave, "body"));
+            ScriptedServer.write(s.getOutputStream(), raw("held-" + leave, "body"));
             await(() -> active() == 1);
             leave.go(s, raw("more-" + leave, "body"));
             long took = untilNoneIsOpen();
@@ -87,7 +87,7 @@
         for (int i = 0; i < 100; i++) {
             flood.append(raw("turn-" + i, "body"));
         }
-        Peer.write(s.getOutputStream(), flood.toString());
+        ScriptedServer.write(s.getOutputStream(), flood.toString());
         String answers = readAll(s);
         int served = answers.split("HTTP/1.1 200 OK", -1).length - 1;
         assertTrue(served + " served: " + answers, served > 1 && served < 100);
@@ -109,20 +109,20 @@
     @Test
     public void anAnswerThatGoesOnAfterItsEndIsClosed() throws Exception {
         b.close();
-        List<Peer.Script> endless = List.of(
+        List<ScriptedServer.Script> endless = List.of(
                 (request, out) -> {
-                    Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                    Peer.chunk(out, "{\"state\":\"done\",\"result\":\"made\"}");
+                    ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    ScriptedServer.chunk(out, "{\"state\":\"done\",\"result\":\"made\"}");
                     return true; // neither a last chunk nor a close
                 },
                 (request, out) -> {
-                    Peer.write(out, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 70000\r\n\r\nhalf");
+                    ScriptedServer.write(out, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 70000\r\n\r\nhalf");
                     return true;
                 },
                 (request, out) -> {
-                    Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     for (int i = 0; i < 1000; i++) {
-                        Peer.chunk(
+                        ScriptedServer.chunk(
                                 out, "{\"state\":\"running\",\"share\":0.1,\"more\":\"" + "x".repeat(10_000) + "\"}");
                     }
                     return true;
@@ -130,16 +130,16 @@
         config.getJSONObject("settings").getJSONObject("limits").put("probes", false); // whose connections close, too
         start();
         int closed = 0;
-        for (Peer.Script script : endless) {
-            a.script = (request, out) -> a.requests.size() > 1 ? Peer.serve(request, out) : script.play(request, out);
+        for (ScriptedServer.Script script : endless) {
+            a.script = (request, out) -> a.requests.size() > 1 ? ScriptedServer.serve(request, out) : script.play(request, out);
             a.requests.clear();
             ask("directory-page", 6000);
             await(() -> a.requests.size() >= 1);
             int before = closed;
-            await(() -> a.closedByOther.get() > before || a.brokenByOther.get() > before);
-            a.script = Peer::serve;
+            await(() -> a.connectionsClosedByPeer.get() > before || a.connectionsBrokenByPeer.get() > before);
+            a.script = ScriptedServer::serve;
             await(() -> active() == 0);
-            closed = Math.max(a.closedByOther.get(), a.brokenByOther.get());
+            closed = Math.max(a.connectionsClosedByPeer.get(), a.connectionsBrokenByPeer.get());
         }
     }
 
@@ -220,7 +220,7 @@
             members(entry("late", late.address(), 1, "SERVING", 0));
             start();
             Socket s = connect();
-            Peer.write(s.getOutputStream(), raw("dialled-" + cancel, "body"));
+            ScriptedServer.write(s.getOutputStream(), raw("dialled-" + cancel, "body"));
             await(() -> active() == 1);
             s.close();
             await(() -> active() == 0);
@@ -249,15 +249,15 @@
         start();
         Socket s = connect();
         String request = raw("slow", "body");
-        Peer.write(s.getOutputStream(), request.substring(0, 20));
+        ScriptedServer.write(s.getOutputStream(), request.substring(0, 20));
         Thread.sleep(1000); // the client's own pace; the first piece is surely read within half of it
-        Peer.write(s.getOutputStream(), request.substring(20) + "\r\n");
+        ScriptedServer.write(s.getOutputStream(), request.substring(20) + "\r\n");
         await(() -> a.requests.size() == 1);
         assertTrue(a.requests.get(0), told(a.requests.get(0)) <= 5500);
         // an empty line that came long before belongs to no request
         Thread.sleep(1000);
         long sent = System.nanoTime();
-        Peer.write(s.getOutputStream(), raw("next", "body"));
+        ScriptedServer.write(s.getOutputStream(), raw("next", "body"));
         await(() -> a.requests.size() == 2);
         long took = (System.nanoTime() - sent) / 1_000_000;
         assertTrue(a.requests.get(1) + " after " + took, told(a.requests.get(1)) >= 6000 - took - 3);
@@ -274,7 +274,7 @@
         members(entry("late", late.address(), 1, "SERVING", 0));
         start();
         Socket s = connect();
-        Peer.write(s.getOutputStream(), raw("dialled", "body"));
+        ScriptedServer.write(s.getOutputStream(), raw("dialled", "body"));
         await(() -> active() == 1);
         Thread.sleep(300); // the connection's own time to come up
         late.open();
@@ -296,12 +296,12 @@
                 .put("probes", false);
         members(entry("late", late.address(), 1, "SERVING", 0));
         discovery.script = (request, out) -> {
-            Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Peer.chunk(out, "{\"revision\":1,\"complete\":false,\"members\":[]}");
+            ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            ScriptedServer.chunk(out, "{\"revision\":1,\"complete\":false,\"members\":[]}");
             while (!dialled.await(100, java.util.concurrent.TimeUnit.MILLISECONDS)) {
-                Peer.chunk(out, "");
+                ScriptedServer.chunk(out, "");
             }
-            Peer.chunk(
+            ScriptedServer.chunk(
                     out,
                     "{\"revision\":2,\"complete\":false,\"members\":[" + entry("late", late.address(), 1, "DRAINING", 0)
                             + "," + entry("a", a.address(), 2, "SERVING", 0) + "]}");
@@ -310,7 +310,7 @@
         };
         start();
         Socket s = connect();
-        Peer.write(s.getOutputStream(), raw("drained", "body"));
+        ScriptedServer.write(s.getOutputStream(), raw("drained", "body"));
         await(() -> active() == 1);
         dialled.countDown();
         await(() -> a.requests.size() == 1); // the RPC goes to the one that is in service
@@ -339,12 +339,12 @@
             b.requests.clear();
             a.script = (request, out) -> {
                 if (when.compareTo(Break.BEHIND_THE_ANSWERS_HEAD) >= 0) {
-                    Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 }
                 if (when == Break.BEHIND_THE_START) {
-                    Peer.chunk(out, "{\"state\":\"started\"}");
+                    ScriptedServer.chunk(out, "{\"state\":\"started\"}");
                 }
-                throw new Peer.Reset();
+                throw new ScriptedServer.Reset();
             };
             b.script = a.script;
             assertEquals(when.name(), 500, get(ask("directory-page", 3000)).statusCode());
@@ -358,11 +358,11 @@
         members();
         CountDownLatch gone = new CountDownLatch(1);
         discovery.script = (request, out) -> {
-            Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             for (int i = 0; i < 600 && !gone.await(100, java.util.concurrent.TimeUnit.MILLISECONDS); i++) {
-                Peer.chunk(out, "");
+                ScriptedServer.chunk(out, "");
             }
-            Peer.chunk(
+            ScriptedServer.chunk(
                     out,
                     "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", a.address(), 1, "SERVING", 0)
                             + "]}");
@@ -373,7 +373,7 @@
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
             all.add(connect());
-            Peer.write(all.get(i).getOutputStream(), raw("burst-" + i, "body"));
+            ScriptedServer.write(all.get(i).getOutputStream(), raw("burst-" + i, "body"));
         }
         await(() -> active() == 150);
         for (int i = 0; i < 150; i++) {
@@ -395,18 +395,18 @@
         members(entry("a", a.address(), 1, "SERVING", 0));
         CountDownLatch turnedAway = new CountDownLatch(1);
         a.script = (request, out) -> {
-            Peer.status("503 Full", "X-Turned-Away: 1\r\n").play(request, out);
+            ScriptedServer.answerWith("503 Full", "X-Turned-Away: 1\r\n").play(request, out);
             turnedAway.countDown();
             return true;
         };
         start();
         Socket s = connect();
-        Peer.write(s.getOutputStream(), raw("between", "body"));
+        ScriptedServer.write(s.getOutputStream(), raw("between", "body"));
         turnedAway.await();
         s.close();
         await(() -> active() == 0);
         int before = a.requests.size();
-        a.script = Peer::serve;
+        a.script = ScriptedServer::serve;
         assertEquals(200, get(ask("after", "directory-page", 6000)).statusCode());
         assertEquals(before + 1, a.requests.size());
     }
--- a/src/test/java/saffronferry/lifecycle/ReloadTest.java
+++ b/src/test/java/saffronferry/lifecycle/ReloadTest.java
@@ -22,8 +22,8 @@
 
     @Test
     public void sighupFollowsTheNewDiscoveryAndKeepsTheRest() throws Exception {
-        a.script = Peer.slow(1000);
-        b.script = Peer.slow(1000);
+        a.script = ScriptedServer.serveAfterMs(1000);
+        b.script = ScriptedServer.serveAfterMs(1000);
         Path file = configFile();
         Process process = startProcess(file);
         await(() -> discovery.requests.size() == 1);
@@ -36,7 +36,7 @@
         assertTrue("a faulty file ends nothing", process.isAlive());
 
         // the new one counts its revisions anew, fails at first, and says that one worker drains
-        Peer next = keep(new Peer(Peer.status("503 Late", "")));
+        ScriptedServer next = keep(new ScriptedServer(ScriptedServer.answerWith("503 Late", "")));
         Files.writeString(file, config.put("discovery", next.address()).toString());
         hangUp(process);
         await(() -> next.requests.size() == 1);
@@ -65,7 +65,7 @@
         Path pipe = folder.resolve("config.json");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         Process process = launch(pipe, 1024, "saffronferry.cli.Main", "serve");
-        Peer next = keep(new Peer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        ScriptedServer next = keep(new ScriptedServer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         String before = config.toString();
         try (java.io.Writer out = Files.newBufferedWriter(pipe)) { // opens once the process has begun to read it
             hangUp(process);
@@ -90,7 +90,7 @@
         Path file = configFile();
         Process process = launchIgnoringHangup(before, file);
         awaitUp();
-        Peer next = keep(new Peer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        ScriptedServer next = keep(new ScriptedServer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         Files.writeString(file, config.put("discovery", next.address()).toString());
         hangUp(process);
         await(() -> next.requests.size() == 1);
--- a/src/test/java/saffronferry/lifecycle/RulesOnSocketsTest.java
+++ b/src/test/java/saffronferry/lifecycle/RulesOnSocketsTest.java
@@ -35,11 +35,11 @@
     /** Rule 1: a silent worker must not leave the client without its final answer. */
     @Test
     public void anRpcHasItsFinalAnswerByItsDeadline() throws Exception {
-        a.script = Peer::keepSilent;
-        b.script = Peer::keepSilent;
+        a.script = ScriptedServer::neverAnswer;
+        b.script = ScriptedServer::neverAnswer;
         start();
         assertEquals(500, get(gift(700)).statusCode());
-        await(() -> a.closedByOther.get() + b.closedByOther.get() >= 1); // the attempt is given up
+        await(() -> a.connectionsClosedByPeer.get() + b.connectionsClosedByPeer.get() >= 1); // the attempt is given up
     }
 
     /** Rule 2: a keyed RPC that may have run goes to no other cell and is never called refused. */
@@ -55,7 +55,7 @@
     /** A worker's own 503 proves nothing and must not reach the client as a refusal. */
     @Test
     public void aBare503OfAWorkerIsNoRefusal() throws Exception {
-        a.script = Peer.status("503 Busy", "");
+        a.script = ScriptedServer.answerWith("503 Busy", "");
         b.script = a.script;
         start();
         assertEquals(500, get(gift(3000)).statusCode());
@@ -64,7 +64,7 @@
 
     @Test
     public void anRpcTurnedAwayOrNotConnectedGoesToAnotherCell() throws Exception {
-        a.script = Peer.status("503 Full", "X-Turned-Away: 1\r\n");
+        a.script = ScriptedServer.answerWith("503 Full", "X-Turned-Away: 1\r\n");
         start();
         for (int i = 0; i < 4; i++) {
             assertEquals(200, get(gift(3000)).statusCode());
@@ -91,8 +91,8 @@
     @Test
     public void aDrainNoticeStopsSends() throws Exception {
         discovery.script = (request, out) -> {
-            Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Peer.chunk(
+            ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            ScriptedServer.chunk(
                     out,
                     "{\"revision\":2,\"complete\":false,\"members\":[" + entry("a", a.address(), 1, "DRAINING", 0)
                             + "]}");
@@ -101,7 +101,7 @@
         };
         b.script = (request, out) -> {
             Thread.sleep(200); // long enough that jobs asked together would be spread over both
-            return Peer.serve(request, out);
+            return ScriptedServer.serve(request, out);
         };
         start();
         await(() -> discovery.requests.size() == 1);
@@ -120,7 +120,7 @@
     /** Rule 4: of a burst, a worker that has just started is sent less than a warm one takes. */
     @Test
     public void aColdWorkerIsNotPushedOver() throws Exception {
-        a.script = Peer::keepSilent;
+        a.script = ScriptedServer::neverAnswer;
         a.load = "x0=12,x1=12";
         members(entry("a", a.address(), 1, "SERVING", System.currentTimeMillis()));
         start();
@@ -141,10 +141,10 @@
         discovery.script = (request, out) -> {
             int turn = discovery.requests.size();
             if (turn == 1) {
-                return Peer.status("503 Late", "").play(request, out);
+                return ScriptedServer.answerWith("503 Late", "").play(request, out);
             }
-            Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Peer.chunk(out, turn == 2 ? "nonsense" : one);
+            ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            ScriptedServer.chunk(out, turn == 2 ? "nonsense" : one);
             Thread.sleep(turn == 3 ? 30_000 : 1); // the third stays open and silent
             return false;
         };
@@ -198,14 +198,14 @@
     /** What a worker cannot use ends there: it goes to no other worker, and none is held to be at fault. */
     @Test
     public void anRpcThatAWorkerFindsFaultWithFailsAtOnceAndBlamesNobody() throws Exception {
-        a.script = Peer.status("400 Bad Request", "");
+        a.script = ScriptedServer.answerWith("400 Bad Request", "");
         b.script = a.script;
         start();
         for (int i = 1; i <= 6; i++) {
             assertEquals(500, get(ask("directory-page", 5000)).statusCode());
             assertEquals(i, a.requests.size() + b.requests.size());
         }
-        a.script = Peer::serve;
+        a.script = ScriptedServer::serve;
         b.script = a.script;
         assertEquals(
                 200, ask("directory-page", 5000).get(700, TimeUnit.MILLISECONDS).statusCode());
@@ -215,7 +215,7 @@
     @Test
     public void noJobIsWrittenToAConnectionThatWasUsedBefore() throws Exception {
         Set<Object> used = Collections.synchronizedSet(new HashSet<>());
-        a.script = (request, out) -> used.add(out) && Peer.serve(request, out);
+        a.script = (request, out) -> used.add(out) && ScriptedServer.serve(request, out);
         b.script = a.script;
         start();
         for (int i = 0; i < 6; i++) {
@@ -227,26 +227,26 @@
     /** The attempt's connection is closed by us then, and the worker must not be held to have broken it. */
     @Test
     public void aClientThatGoesAwayEndsItsAttemptAndTheWorkerIsNotBlamed() throws Exception {
-        a.script = Peer::keepSilent;
+        a.script = ScriptedServer::neverAnswer;
         members(entry("a", a.address(), 1, "SERVING", 0));
         start();
         try (java.net.Socket s = connect()) {
-            Peer.write(
+            ScriptedServer.write(
                     s.getOutputStream(),
                     "POST /record-gift HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\n"
                             + "X-Remaining-Ms: 20000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
             await(() -> a.requests.size() == 1);
         }
-        await(() -> a.closedByOther.get() >= 1);
-        a.script = Peer::serve;
+        await(() -> a.connectionsClosedByPeer.get() >= 1);
+        a.script = ScriptedServer::serve;
         assertEquals(200, gift(3000).get(700, TimeUnit.MILLISECONDS).statusCode());
     }
 
     /** After SIGTERM clients are served on, what comes late is answered before SIGKILL, and the process ends. */
     @Test
     public void sigtermDrains() throws Exception {
-        a.script = Peer.slow(1200);
-        b.script = Peer.slow(1200);
+        a.script = ScriptedServer.serveAfterMs(1200);
+        b.script = ScriptedServer.serveAfterMs(1200);
         Process process = startProcess(configFile());
         CompletableFuture<HttpResponse<String>> before = gift(8000);
         await(() -> a.requests.size() + b.requests.size() == 1);
@@ -257,8 +257,8 @@
         assertEquals(200, get(before).statusCode());
         assertEquals(200, get(after).statusCode());
         assertEquals("a kept connection", 200, get(gift(8000)).statusCode());
-        a.script = Peer::keepSilent;
-        b.script = Peer::keepSilent;
+        a.script = ScriptedServer::neverAnswer;
+        b.script = ScriptedServer::neverAnswer;
         assertEquals("not lost", 500, get(gift(20_000)).statusCode());
         assertTrue("before SIGKILL", System.nanoTime() - begun < 3_700_000_000L);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
@@ -267,7 +267,7 @@
     /** What runs at SIGTERM for longer than any drain usually takes is answered, unless SIGKILL comes. */
     @Test
     public void sigtermLosesNothingThatRunsOn() throws Exception {
-        a.script = Peer.slow(6500);
+        a.script = ScriptedServer.serveAfterMs(6500);
         b.script = a.script;
         Process process = startProcess(configFile());
         CompletableFuture<HttpResponse<String>> before = gift(20_000);
@@ -286,19 +286,19 @@
                     .getJSONObject(i)
                     .put("deadline", 0.5);
         }
-        a.script = Peer.slow(300);
+        a.script = ScriptedServer.serveAfterMs(300);
         b.script = a.script;
         Process process = startProcess(configFile());
         java.net.Socket resting = connect();
-        Peer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+        ScriptedServer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         java.net.Socket half = connect();
-        Peer.write(
+        ScriptedServer.write(
                 half.getOutputStream(),
                 "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: half\r\n"
                         + "X-Remaining-Ms: 500\r\nContent-Length: 60000\r\n\r\nfirst");
         process.destroy();
         assertTrue(readAll(resting).startsWith("HTTP/1.1 ")); // until it is closed: the last intake
-        Peer.write(half.getOutputStream(), "x".repeat(59_995));
+        ScriptedServer.write(half.getOutputStream(), "x".repeat(59_995));
         String answer = readAll(half);
         assertTrue(answer, answer.startsWith("HTTP/1.1 503 ") && answer.endsWith("shutting down\n"));
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
@@ -312,13 +312,13 @@
     @Test
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
     public void behindTheLastIntakeNoConnectionComesIn() throws Exception {
-        a.script = Peer.slow(6500);
+        a.script = ScriptedServer.serveAfterMs(6500);
         b.script = a.script;
         Process process = startProcess(configFile());
         CompletableFuture<HttpResponse<String>> before = gift(20_000);
         await(() -> a.requests.size() + b.requests.size() == 1);
         java.net.Socket resting = connect();
-        Peer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+        ScriptedServer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         process.destroy();
         assertTrue(readAll(resting).startsWith("HTTP/1.1 ")); // until it is closed: the last intake
         await(() -> {
@@ -351,7 +351,7 @@
                     }
                 });
         int before = a.requests.size();
-        a.script = Peer::keepSilent;
+        a.script = ScriptedServer::neverAnswer;
         List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             all.add(gift(20_000));
--- a/src/test/java/saffronferry/lifecycle/Peer.java
+++ b/src/test/java/saffronferry/lifecycle/ScriptedServer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** The other end of a socket, played by a script: a subchannel or discovery. */
-final class Peer implements AutoCloseable {
+final class ScriptedServer implements AutoCloseable {
     /** What to do with a request; the connection closes when it returns false. */
     interface Script {
         boolean play(String request, OutputStream out) throws IOException, InterruptedException;
@@ -25,25 +25,25 @@
     /** Head and body of each job or watch, probes left out. */
     final List<String> requests = new CopyOnWriteArrayList<>();
 
-    final AtomicInteger closedByOther = new AtomicInteger();
+    final AtomicInteger connectionsClosedByPeer = new AtomicInteger();
     /** Connections that broke while we wrote to them. */
-    final AtomicInteger brokenByOther = new AtomicInteger();
+    final AtomicInteger connectionsBrokenByPeer = new AtomicInteger();
 
     volatile Script script;
     volatile String load = "x0=4,x1=4";
 
-    Peer(Script script) throws IOException {
+    ScriptedServer(Script script) throws IOException {
         this(0, script);
     }
 
     /** At a port of its own choice where it is 0, else at that one, which another may just have left. */
-    Peer(int port, Script script) throws IOException {
+    ScriptedServer(int port, Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
         daemon(() -> {
             while (true) {
                 Socket socket = server.accept();
-                daemon(() -> converse(socket));
+                daemon(() -> handleConnection(socket));
             }
         });
     }
@@ -78,18 +78,18 @@
     }
 
     /** Connections of all peers, to be hung up when a test is over: scripts may sleep on. */
-    private static final Set<Socket> TAKEN = ConcurrentHashMap.newKeySet();
+    private static final Set<Socket> CONNECTIONS = ConcurrentHashMap.newKeySet();
 
     /** Gives back what scripts still hold: further tests count the descriptors of this process. */
-    static void hangUpAll() throws IOException {
-        for (Socket s : TAKEN) {
+    static void closeAllConnections() throws IOException {
+        for (Socket s : CONNECTIONS) {
             s.close();
         }
-        TAKEN.clear();
+        CONNECTIONS.clear();
     }
 
-    private void converse(Socket socket) throws IOException, InterruptedException {
-        TAKEN.add(socket);
+    private void handleConnection(Socket socket) throws IOException, InterruptedException {
+        CONNECTIONS.add(socket);
         try (socket) {
             InputStream in = socket.getInputStream();
             OutputStream out = socket.getOutputStream();
@@ -107,7 +107,7 @@
                         socket.setSoLinger(true, 0);
                         throw e;
                     } catch (IOException e) {
-                        brokenByOther.incrementAndGet();
+                        connectionsBrokenByPeer.incrementAndGet();
                         throw e;
                     }
                 }
@@ -116,9 +116,9 @@
                 }
                 request = read(in);
             }
-            closedByOther.incrementAndGet();
+            connectionsClosedByPeer.incrementAndGet();
         } finally {
-            TAKEN.remove(socket);
+            CONNECTIONS.remove(socket);
         }
     }
 
@@ -160,7 +160,7 @@
     }
 
     /** A subchannel whose jobs take so long. */
-    static Script slow(int ms) {
+    static Script serveAfterMs(int ms) {
         return (request, out) -> {
             Thread.sleep(ms);
             return serve(request, out);
@@ -168,11 +168,11 @@
     }
 
     /** A subchannel that takes jobs and never answers. */
-    static boolean keepSilent(String request, OutputStream out) {
+    static boolean neverAnswer(String request, OutputStream out) {
         return true;
     }
 
-    static Script status(String status, String header) {
+    static Script answerWith(String status, String header) {
         return (request, out) -> {
             write(out, "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n" + header + "\r\n");
             return true;
--- a/src/test/java/saffronferry/lifecycle/SocketsFixture.java
+++ b/src/test/java/saffronferry/lifecycle/SocketsFixture.java
@@ -33,9 +33,9 @@
     final List<AutoCloseable> open = new ArrayList<>();
     final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    Peer discovery;
-    Peer a;
-    Peer b;
+    ScriptedServer discovery;
+    ScriptedServer a;
+    ScriptedServer b;
     DatagramSocket peer;
     int asked;
     JSONObject config;
@@ -46,9 +46,9 @@
 
     @Before
     public void setUp() throws IOException {
-        discovery = keep(new Peer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
-        a = keep(new Peer(Peer::serve));
-        b = keep(new Peer(Peer::serve));
+        discovery = keep(new ScriptedServer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        a = keep(new ScriptedServer(ScriptedServer::serve));
+        b = keep(new ScriptedServer(ScriptedServer::serve));
         peer = keep(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
         peer.setSoTimeout(3000);
         config = new JSONObject(Files.readString(Path.of("examples/config.json")));
@@ -68,7 +68,7 @@
         for (int i = open.size(); i > 0; i--) {
             open.get(i - 1).close();
         }
-        Peer.hangUpAll();
+        ScriptedServer.closeAllConnections();
         System.gc(); // a client of ours gives its descriptors back once nobody refers to it
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file : files.toList()) {
@@ -84,13 +84,13 @@
     }
 
     /** A watch that tells one list and then only that it lives. */
-    static Peer.Script tell(String list) {
+    static ScriptedServer.Script tell(String list) {
         return (request, out) -> {
-            Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Peer.chunk(out, list);
+            ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            ScriptedServer.chunk(out, list);
             for (int i = 0; i < 60; i++) {
                 Thread.sleep(1000);
-                Peer.chunk(out, "");
+                ScriptedServer.chunk(out, "");
             }
             return false;
         };
--- a/src/test/java/saffronferry/lifecycle/UpgradeTest.java
+++ b/src/test/java/saffronferry/lifecycle/UpgradeTest.java
@@ -60,7 +60,7 @@
                 socket = new Socket("127.0.0.1", port());
                 socket.setSoTimeout(8000);
             }
-            Peer.write(
+            ScriptedServer.write(
                     socket.getOutputStream(),
                     "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: c" + number + "-" + ++asked
                             + "\r\nX-Lane: directory-page\r\nX-Remaining-Ms: 6000\r\nContent-Length: 0\r\n\r\n");
@@ -118,8 +118,8 @@
 
     @Test
     public void aProcessIsReplacedUnderLoadAndNoRequestEndsAtTheDoor() throws Exception {
-        a.script = Peer.slow(20);
-        b.script = Peer.slow(20);
+        a.script = ScriptedServer.serveAfterMs(20);
+        b.script = ScriptedServer.serveAfterMs(20);
         Process serving = next(config);
         awaitReady();
         yes("/ops/workers/down/b");
@@ -170,8 +170,8 @@
     @Test
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
     public void theOldOneLeavesClientsAtTheNewOnesYesAndTakesThemBackWhenThatDies() throws Exception {
-        a.script = Peer.slow(5);
-        b.script = Peer.slow(5);
+        a.script = ScriptedServer.serveAfterMs(5);
+        b.script = ScriptedServer.serveAfterMs(5);
         Process old = next(config);
         awaitReady();
         String console = config.getString("console");
@@ -215,7 +215,7 @@
         Socket s = connect();
         serving.destroy();
         Thread.sleep(300);
-        Peer.write(
+        ScriptedServer.write(
                 s.getOutputStream(),
                 "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: k\r\n"
                         + "X-Lane: directory-page\r\nX-Remaining-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
--- a/src/test/java/saffronferry/lifecycle/WatchEndsTest.java
+++ b/src/test/java/saffronferry/lifecycle/WatchEndsTest.java
@@ -17,7 +17,7 @@
     }
 
     /** Then tells that b drains; what is left to take jobs is a. */
-    private void thenTellThatBDrains(Peer.Script first) {
+    private void thenTellThatBDrains(ScriptedServer.Script first) {
         discovery.script = (request, out) -> discovery.requests.size() == 1
                 ? first.play(request, out)
                 : tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))
@@ -42,10 +42,10 @@
     @Test
     public void halfALineThatGoesOnForEverIsASilentWatch() throws Exception {
         thenTellThatBDrains((request, out) -> {
-            Peer.write(out, HEAD);
-            Peer.chunk(out, list(1, false));
+            ScriptedServer.write(out, HEAD);
+            ScriptedServer.chunk(out, list(1, false));
             while (true) {
-                Peer.write(out, "1\r\n{\r\n");
+                ScriptedServer.write(out, "1\r\n{\r\n");
                 Thread.sleep(100);
             }
         });
@@ -56,13 +56,13 @@
     @Test
     public void aCallThatTellsNoListIsFollowedByAnother() throws Exception {
         for (String said : new String[] {"", HEAD, HEAD + "1\r\n\n\r\n"}) {
-            discovery = keep(new Peer(Peer::keepSilent));
+            discovery = keep(new ScriptedServer(ScriptedServer::neverAnswer));
             thenTellThatBDrains((request, out) -> {
-                Peer.write(out, said);
+                ScriptedServer.write(out, said);
                 for (int i = 0; i < 60; i++) {
                     Thread.sleep(1000);
                     if (said.length() > HEAD.length()) {
-                        Peer.chunk(out, ""); // alive, and no list all the same
+                        ScriptedServer.chunk(out, ""); // alive, and no list all the same
                     }
                 }
                 return false;
@@ -117,10 +117,10 @@
         List<Socket> resting = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             Socket s = connect();
-            Peer.write(s.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+            ScriptedServer.write(s.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
             resting.add(s);
         }
-        discovery = keep(new Peer(port, tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))));
+        discovery = keep(new ScriptedServer(port, tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))));
         await(() -> discovery.requests.size() >= 1);
         for (Socket s : resting) {
             s.close();
