--- a/src/test/java/saffronferry/lifecycle/Crowd.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionFlood.java
@@ -13,14 +13,14 @@
 import java.util.stream.Stream;
 
 /** Many connections at once that say nothing, and what a process holds meanwhile. */
-final class Crowd implements AutoCloseable {
-    private final List<SocketChannel> members = new ArrayList<>();
+final class ConnectionFlood implements AutoCloseable {
+    private final List<SocketChannel> connections = new ArrayList<>();
 
     /** Opens so many at once, waiting for none. */
-    Crowd(int port, int size) throws IOException {
+    ConnectionFlood(int port, int size) throws IOException {
         for (int i = 0; i < size; i++) {
             SocketChannel s = SocketChannel.open();
-            members.add(s);
+            connections.add(s);
             s.configureBlocking(false);
             s.connect(new InetSocketAddress("127.0.0.1", port));
         }
@@ -28,13 +28,13 @@
 
     @Override
     public void close() throws IOException {
-        for (SocketChannel s : members) {
+        for (SocketChannel s : connections) {
             s.close();
         }
     }
 
     /** Connections that open and close at once, at so many a second. */
-    static void churn(int port, int perSecond, int seconds) throws Exception {
+    static void openAndClose(int port, int perSecond, int seconds) throws Exception {
         long begun = System.nanoTime();
         for (int i = 0; i < perSecond * seconds; i++) {
             try (SocketChannel s = SocketChannel.open()) {
@@ -49,7 +49,7 @@
     }
 
     /** How long until {@code /up} says 200, with a timeout of 1 s per attempt, in ms. */
-    static long untilUp(int port) throws Exception {
+    static long msUntilUp(int port) throws Exception {
         long begun = System.nanoTime();
         while (System.nanoTime() - begun < 20_000_000_000L) {
             try (java.net.Socket s = new java.net.Socket()) {
@@ -68,11 +68,11 @@
     }
 
     /** The most descriptors that a process holds, looked at often. */
-    static final class Held implements AutoCloseable {
+    static final class DescriptorPeak implements AutoCloseable {
         private final AtomicInteger most = new AtomicInteger();
         private final Thread thread;
 
-        Held(long pid) {
+        DescriptorPeak(long pid) {
             thread = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
                     try (Stream<Path> all = Files.list(Path.of("/proc/" + pid + "/fd"))) {
--- a/src/test/java/saffronferry/lifecycle/CrowdTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
@@ -20,7 +20,7 @@
 import saffronferry.wire.BoundedTransport;
 
 /** Crowds, exhaustion and threads that die: a dispatcher goes on serving, or ends so that all can see it. */
-public class CrowdTest extends SocketsFixture {
+public class ConnectionFloodTest extends SocketsFixture {
     private static final int KEPT_FREE = 16;
 
     private Process serve(int descriptors) throws Exception {
@@ -31,12 +31,12 @@
     private void crowdsAgainst(int descriptors) throws Exception {
         Process process = serve(descriptors);
         awaitUp();
-        try (Crowd.Held held = new Crowd.Held(process.pid())) {
+        try (ConnectionFlood.DescriptorPeak held = new ConnectionFlood.DescriptorPeak(process.pid())) {
             for (int size : new int[] {400, 800, 3000}) {
-                Crowd crowd = new Crowd(port(), size);
+                ConnectionFlood crowd = new ConnectionFlood(port(), size);
                 Thread.sleep(500);
                 crowd.close();
-                long up = Crowd.untilUp(port());
+                long up = ConnectionFlood.msUntilUp(port());
                 assertTrue(size + " against " + descriptors + ": up after " + up, up <= 1000);
             }
             assertTrue(held.most() + " of " + descriptors, held.most() <= descriptors - KEPT_FREE);
@@ -67,13 +67,13 @@
         }
         int served = 0;
         for (int round = 0; round < 4; round++) {
-            try (Crowd crowd = round == 0 ? null : new Crowd(port(), round == 3 ? 3000 : 800)) {
+            try (ConnectionFlood crowd = round == 0 ? null : new ConnectionFlood(port(), round == 3 ? 3000 : 800)) {
                 List<CompletableFuture<Integer>> answers = new ArrayList<>();
                 for (int i = 0; i < usual.size(); i++) {
                     SocketChannel s = usual.get(i);
                     String request = "POST /directory-page HTTP/1.1\r\nHost: h\r\nX-Txn: r" + round + "-" + i
                             + "\r\nX-Remaining-Ms: 5000\r\nContent-Length: 0\r\n\r\n";
-                    answers.add(CompletableFuture.supplyAsync(() -> unchecked(() -> Crowd.status(s, request))));
+                    answers.add(CompletableFuture.supplyAsync(() -> unchecked(() -> ConnectionFlood.status(s, request))));
                 }
                 for (CompletableFuture<Integer> answer : answers) {
                     served += answer.get(10, TimeUnit.SECONDS) == 200 ? 1 : 0;
@@ -100,17 +100,17 @@
     public void aCrowdWaitsAtARestart() throws Exception {
         serve(384).destroyForcibly().waitFor();
         Process process = serve(384);
-        List<Crowd> crowds = new ArrayList<>();
+        List<ConnectionFlood> crowds = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            crowds.add(keep(new Crowd(port(), 200)));
+            crowds.add(keep(new ConnectionFlood(port(), 200)));
             Thread.sleep(100);
         }
-        long up = Crowd.untilUp(port());
+        long up = ConnectionFlood.msUntilUp(port());
         assertTrue("up after " + up, up <= 5000);
-        for (Crowd crowd : crowds) {
+        for (ConnectionFlood crowd : crowds) {
             crowd.close();
         }
-        assertTrue(Crowd.untilUp(port()) <= 1000);
+        assertTrue(ConnectionFlood.msUntilUp(port()) <= 1000);
         assertTrue(process.isAlive());
     }
 
@@ -118,9 +118,9 @@
     public void connectionsThatOpenAndCloseAllTheTimeDoNoHarm() throws Exception {
         Process process = serve(256);
         awaitUp();
-        try (Crowd.Held held = new Crowd.Held(process.pid())) {
-            Crowd.churn(port(), 2000, 10);
-            assertTrue(Crowd.untilUp(port()) <= 1000);
+        try (ConnectionFlood.DescriptorPeak held = new ConnectionFlood.DescriptorPeak(process.pid())) {
+            ConnectionFlood.openAndClose(port(), 2000, 10);
+            assertTrue(ConnectionFlood.msUntilUp(port()) <= 1000);
             assertTrue("" + held.most(), held.most() <= 256 - KEPT_FREE);
         }
         assertEquals(200, get(gift(3000)).statusCode());
@@ -133,7 +133,7 @@
         b.script = ScriptedServer::neverAnswer;
         Process process = serve(256);
         awaitUp();
-        try (Crowd.Held held = new Crowd.Held(process.pid())) {
+        try (ConnectionFlood.DescriptorPeak held = new ConnectionFlood.DescriptorPeak(process.pid())) {
             List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
             long begun = System.nanoTime();
             for (int i = 0; i < 200; i++) {
@@ -218,7 +218,7 @@
         signal(process, "STOP");
         Thread.sleep(3000);
         signal(process, "CONT");
-        assertTrue(Crowd.untilUp(port()) <= 1000);
+        assertTrue(ConnectionFlood.msUntilUp(port()) <= 1000);
         assertEquals(200, get(gift(3000)).statusCode());
         assertTrue(process.isAlive());
     }
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -80,7 +80,7 @@
     public void answersComeInASecondBesideSilentAndHalfCallersAndACrowdOfClients() throws Exception {
         launch(configFile(), 192, "saffronferry.cli.Main", "serve");
         awaitUp();
-        try (Crowd crowd = new Crowd(port(), 400)) {
+        try (ConnectionFlood crowd = new ConnectionFlood(port(), 400)) {
             for (int i = 0; i < 60; i++) {
                 caller(i % 2 == 0 ? "" : "GET /ops/st");
                 if (i % 5 == 0) {
@@ -100,7 +100,7 @@
         Socket silent = caller("");
         assertTrue(readAll(half).startsWith("HTTP/1.1 408 "));
         assertEquals("", readAll(silent));
-        assertEquals("nothing came of it", 200, Crowd.untilUp(port()) < 1000 ? 200 : 0);
+        assertEquals("nothing came of it", 200, ConnectionFlood.msUntilUp(port()) < 1000 ? 200 : 0);
     }
 
     @Test
