--- a/src/test/java/saffronferry/lifecycle/AgreeTest.java
+++ b/src/test/java/saffronferry/lifecycle/AgreeTest.java
@@ -25,7 +25,7 @@
     private final List<JSONObject> configs = new ArrayList<>();
     private final List<Path> files = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
-    private LossyLinks links;
+    private LossyNetwork links;
 
     private static void signal(Process process, String name) throws Exception {
         assertEquals(
@@ -50,7 +50,7 @@
         for (int i = 0; i < SIZE; i++) {
             listen[i] = new InetSocketAddress("127.0.0.1", freePort());
         }
-        links = keep(new LossyLinks(listen));
+        links = keep(new LossyNetwork(listen));
         for (int i = 0; i < SIZE; i++) {
             JSONObject c = new JSONObject(config.toString());
             c.put("listen", "127.0.0.1:" + freePort()).put("console", "127.0.0.1:" + freePort());
--- a/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
@@ -232,7 +232,7 @@
     /** A loop that hangs ends the process with the code that the operators' page names. */
     @Test
     public void aLoopThatHangsEndsTheProcessLoudly() throws Exception {
-        Process process = launch(configFile(), 384, HangingMain.class.getName());
+        Process process = launch(configFile(), 384, HungEventLoopMain.class.getName());
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(Watchdog.EXIT_UNABLE, process.exitValue());
     }
--- a/src/test/java/saffronferry/lifecycle/HangingMain.java
+++ b/src/test/java/saffronferry/lifecycle/HungEventLoopMain.java
@@ -1,8 +1,8 @@
 package saffronferry.lifecycle;
 
 /** A dispatcher whose event loop hangs for good soon after its start; its watchdog has a short timeout. */
-final class HangingMain {
-    private HangingMain() {}
+final class HungEventLoopMain {
+    private HungEventLoopMain() {}
 
     public static void main(String[] args) {
         DispatcherServer server = new DispatcherServer(Config.read(System.getenv()));
--- a/src/test/java/saffronferry/lifecycle/LossyLinks.java
+++ b/src/test/java/saffronferry/lifecycle/LossyNetwork.java
@@ -15,7 +15,7 @@
  * them.
  */
 @SuppressWarnings("try") // close waits for the thread and may be interrupted
-final class LossyLinks extends Thread implements AutoCloseable {
+final class LossyNetwork extends Thread implements AutoCloseable {
     private record Late(long at, int from, int to, byte[] bytes) {}
 
     volatile double loss;
@@ -34,7 +34,7 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(2048);
     private volatile boolean closed;
 
-    LossyLinks(InetSocketAddress... listen) throws IOException {
+    LossyNetwork(InetSocketAddress... listen) throws IOException {
         super("links");
         this.listen = listen;
         channels = new DatagramChannel[listen.length][listen.length];
