--- a/src/main/java/saffronferry/lifecycle/BanFile.java
+++ b/src/main/java/saffronferry/lifecycle/BanFile.java
@@ -16,13 +16,13 @@
 import saffronferry.ops.Bans;
 
 /**
- * The file that keeps bans over the replacement of the process. Both processes of one may change it, since an
- * operator's call may reach either. Reads and writes block: nothing here is for the event loop.
+ * The file that keeps the bans across restarts and replacements of the process. During a replacement both processes
+ * may change it, since an operator's call may reach either. Reads and writes block; not for the event loop.
  */
 final class BanFile {
     private final Path file;
     private final Path lock;
-    private List<Object> lastSeen = List.of();
+    private List<Object> lastFingerprint = List.of();
 
     BanFile(Path folder, String name) {
         file = folder.resolve(name + ".bans");
@@ -30,13 +30,13 @@
     }
 
     /**
-     * What is written there; none where there is no file.
+     * Reads the bans; none if the file does not exist.
      *
-     * @throws IOException if it is damaged, of another version, or cannot be read
+     * @throws IOException if the file is damaged, of another version, or cannot be read
      */
     synchronized Bans read() throws IOException {
         try {
-            lastSeen = stamp();
+            lastFingerprint = fingerprint();
             return Bans.parse(Files.readString(file));
         } catch (NoSuchFileException e) {
             return Bans.NONE;
@@ -45,45 +45,48 @@
         }
     }
 
-    /** What is written there if another process has written since the last look, else null. */
+    /** Reads the bans if another process has written the file since the last read or change, else returns null. */
     synchronized Bans readIfChanged() throws IOException {
-        List<Object> now = stamp();
-        // guards the bans against a folder that somebody has emptied: only a call back ends one
-        return now.isEmpty() || now.equals(lastSeen) ? null : read();
+        List<Object> now = fingerprint();
+        // A missing file is no change: only an operator's call ends a ban, not a folder that was emptied.
+        return now.isEmpty() || now.equals(lastFingerprint) ? null : read();
     }
 
-    /** What tells one written file from the next: each is renamed into place, so its key is another. */
-    private List<Object> stamp() throws IOException {
+    /** Identifies a version of the file: each is renamed into place and so has another file key; empty without a file. */
+    private List<Object> fingerprint() throws IOException {
         try {
-            BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-            return List.of(String.valueOf(a.fileKey()), a.lastModifiedTime().toMillis(), a.size());
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return List.of(
+                    String.valueOf(attributes.fileKey()),
+                    attributes.lastModifiedTime().toMillis(),
+                    attributes.size());
         } catch (NoSuchFileException e) {
             return List.of();
         }
     }
 
-    /** Changes what is written there, calls to the other process included; the result is what holds now. */
+    /** Applies a change to the bans in the file, which include those made by other processes; returns the result. */
     @SuppressWarnings("try") // the lock is held for the block and not read in it
-    synchronized Bans change(UnaryOperator<Bans> how) throws IOException {
-        // guards against a change by the other process between our reading and our renaming
+    synchronized Bans change(UnaryOperator<Bans> operation) throws IOException {
+        // The lock prevents another process from changing the file between this read and this rename.
         try (FileChannel channel = FileChannel.open(lock, CREATE, WRITE);
                 FileLock held = channel.lock()) {
-            Bans next = how.apply(readOrNone());
-            Path whole =
+            Bans next = operation.apply(readOrNone());
+            Path temporary =
                     Files.createTempFile(file.getParent(), file.getFileName().toString(), ".new");
             try {
-                Files.writeString(whole, next.toJson());
-                // guards against a reader, or a start, that finds half a file
-                Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE);
+                Files.writeString(temporary, next.toJson());
+                // The rename is atomic, so that no reader sees a partly written file.
+                Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
             } finally {
-                Files.deleteIfExists(whole);
+                Files.deleteIfExists(temporary);
             }
-            lastSeen = stamp();
+            lastFingerprint = fingerprint();
             return next;
         }
     }
 
-    /** A damaged file must not keep an operator from taking a worker out. */
+    /** A damaged file counts as empty here, so that it cannot keep an operator from banning a worker. */
     private Bans readOrNone() {
         try {
             return read();
--- a/src/main/java/saffronferry/lifecycle/Config.java
+++ b/src/main/java/saffronferry/lifecycle/Config.java
@@ -15,35 +15,39 @@
 import saffronferry.wire.ListParser;
 
 /**
- * The configuration of a real dispatcher: the one place where it is read, checked and given defaults. What is
- * wrong is an {@link IllegalArgumentException} that names the key.
+ * The configuration of a dispatcher process: reads it, checks it and supplies the defaults. Errors are reported as an
+ * {@link IllegalArgumentException} that names the key.
  */
 public final class Config {
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final int MIN_DESCRIPTORS = 64;
+
     final Address listen;
     final Address discovery;
-    /** Null where dispatchers do not speak with each other. */
+    /** The address for datagrams of other dispatchers; null if dispatchers do not communicate. */
     final Address peerListen;
 
     final List<Address> peers;
-    /** Where operators call; null where they do not. */
+    /** The address of the operators' console; null if there is none. */
     final Address console;
 
+    /** The folder of the files that outlive the process. */
     final Path folder;
-    /** How many descriptors the process may hold in all. */
-    final int sockets;
+    /** The maximum number of file descriptors of the process. */
+    final int maxDescriptors;
 
     final SettingsReader settings;
-    /** How settings are agreed upon while dispatchers run; null where they are not. */
-    final AgreementOptions agree;
-    /** What was read, to be compared with what is read later; null where nothing follows from that. */
+    /** How dispatchers agree on settings that change at run time; null if settings do not change. */
+    final AgreementOptions agreement;
+    /** The parsed file, to compare a reloaded one with; null if settings do not change at run time. */
     final JSONObject json;
 
-    final ListParser lists;
-    private ListUpdate known;
-    /** What of the known list could not be read, and is left out. */
-    final List<String> unreadable = new ArrayList<>();
+    final ListParser listParser;
+    private ListUpdate knownList;
+    /** Entries of the known list that could not be parsed and are left out. */
+    final List<String> unreadableEntries = new ArrayList<>();
 
-    /** Reads the file that {@code BALANCER_CONFIG} names; other variables stand in for missing keys. */
+    /** Reads the file that {@code BALANCER_CONFIG} names; other environment variables supply missing keys. */
     static Config read(Map<String, String> environment) {
         String file = environment.get("BALANCER_CONFIG");
         if (file == null) {
@@ -51,15 +55,18 @@
         }
         try {
             String text = Files.readString(Path.of(file));
-            int[] at = ListParser.find(text, "known");
+            int[] knownSpan = ListParser.find(text, "known");
             JSONObject json =
-                    new JSONObject(at == null ? text : text.substring(0, at[0]) + "null" + text.substring(at[1]));
-            standIn(json, "listen", environment.get("BALANCER_LISTEN"));
-            standIn(json, "discovery", environment.get("BALANCER_DISCOVERY"));
-            standIn(json, "console", environment.get("BALANCER_CONSOLE"));
+                    new JSONObject(
+                            knownSpan == null
+                                    ? text
+                                    : text.substring(0, knownSpan[0]) + "null" + text.substring(knownSpan[1]));
+            putIfMissing(json, "listen", environment.get("BALANCER_LISTEN"));
+            putIfMissing(json, "discovery", environment.get("BALANCER_DISCOVERY"));
+            putIfMissing(json, "console", environment.get("BALANCER_CONSOLE"));
             return new Config(
                     json,
-                    at == null ? null : text.substring(at[0], at[1]),
+                    knownSpan == null ? null : text.substring(knownSpan[0], knownSpan[1]),
                     Path.of(System.getProperty("java.io.tmpdir")));
         } catch (IOException e) {
             throw new IllegalArgumentException("BALANCER_CONFIG: cannot read " + file);
@@ -68,18 +75,22 @@
         }
     }
 
-    /** Reads a file as {@code serve} does; {@link IllegalArgumentException} names what is wrong. */
+    /**
+     * Checks a file as {@code serve} does.
+     *
+     * @throws IllegalArgumentException naming the faulty key
+     */
     public static void check(Path file) {
         read(Map.of("BALANCER_CONFIG", file.toString()));
     }
 
-    /** {@code folder}: where what outlives the process is kept, as far as the platform lets it. */
+    /** Reads the configuration; files that outlive the process are kept in {@code folder}, if the platform keeps it. */
     Config(JSONObject json, Path folder) {
         this(json, null, folder);
     }
 
-    /** {@code list}: the text of the key {@code known} where the JSON is without it, else null. */
-    private Config(JSONObject json, String list, Path folder) {
+    /** {@code knownText}: the value of the key {@code known} if it was cut out of the JSON, else null. */
+    private Config(JSONObject json, String knownText, Path folder) {
         this.folder = folder;
         listen = key("listen", () -> Address.parse(json.getString("listen")));
         discovery = key("discovery", () -> Address.parse(json.getString("discovery")));
@@ -87,71 +98,76 @@
                 ? null
                 : key("peer_listen", () -> Address.parse(json.getString("peer_listen")));
         console = json.isNull("console") ? null : key("console", () -> Address.parse(json.getString("console")));
-        peers = key("peers", () -> peers(json.optJSONArray("peers")));
-        sockets = key("limits.sockets", () -> sockets(json.optJSONObject("limits")));
+        peers = key("peers", () -> readPeers(json.optJSONArray("peers")));
+        maxDescriptors = key("limits.sockets", () -> readMaxDescriptors(json.optJSONObject("limits")));
         long seed = key(
                 "seed",
                 () -> json.isNull("seed") ? System.nanoTime() : Long.parseUnsignedLong(json.getString("seed"), 16));
         settings = key("settings", () -> new SettingsReader(seed, json.getJSONObject("settings")));
-        agree = json.isNull("agree")
+        agreement = json.isNull("agree")
                 ? null
                 : key(
                         "agree",
                         () -> AgreementOptions.read(
                                 json.getJSONObject("agree"), peerListen, peers, settings.settings.self()));
-        if (agree != null) {
-            ConfigDiff.values(json);
+        if (agreement != null) {
+            ConfigDiff.changeableValues(json);
         }
-        this.json = agree == null ? null : json;
-        lists = new ListParser(settings.kinds, settings.zones);
-        String told =
-                list != null || json.isNull("known") ? list : json.get("known").toString();
-        known = key(
-                "known", () -> told == null ? new ListUpdate(0, true, List.of()) : lists.parse(told, unreadable::add));
+        this.json = agreement == null ? null : json;
+        listParser = new ListParser(settings.kinds, settings.zones);
+        String list = knownText != null || json.isNull("known")
+                ? knownText
+                : json.get("known").toString();
+        knownList = key(
+                "known",
+                () -> list == null
+                        ? new ListUpdate(0, true, List.of())
+                        : listParser.parse(list, unreadableEntries::add));
     }
 
-    /** The known list, once: the configuration lives on, and need not hold a large fleet twice. */
-    ListUpdate takeKnown() {
-        ListUpdate taken = known;
-        known = null;
+    /** Returns the known list and releases it, so that a large fleet is not kept in memory twice. */
+    ListUpdate takeKnownList() {
+        ListUpdate taken = knownList;
+        knownList = null;
         return taken;
     }
 
     /**
-     * What our files in the temporary folder are called: it may be shared with dispatchers at other
-     * addresses.
+     * The common prefix of this dispatcher's files. It contains the address, because dispatchers at other addresses
+     * may use the same folder.
      */
     String fileName() {
         return "saffronferry-" + listen.toString().replace(':', '-');
     }
 
-    private static void standIn(JSONObject json, String key, String value) {
+    private static void putIfMissing(JSONObject json, String key, String value) {
         if (json.isNull(key) && value != null) {
             json.put(key, value);
         }
     }
 
-    private interface Reading<T> {
+    private interface KeyReader<T> {
         T read();
     }
 
-    private static <T> T key(String name, Reading<T> reading) {
+    private static <T> T key(String name, KeyReader<T> reader) {
         try {
-            return reading.read();
+            return reader.read();
         } catch (JSONException | IllegalArgumentException e) {
             throw new IllegalArgumentException("configuration key " + name + ": " + e.getMessage());
         }
     }
 
-    private static int sockets(JSONObject limits) {
-        int sockets = limits == null || limits.isNull("sockets") ? 1024 : limits.getInt("sockets");
-        if (sockets < 64) {
-            throw new IllegalArgumentException("must be 64 at least: " + sockets);
+    private static int readMaxDescriptors(JSONObject limits) {
+        int sockets =
+                limits == null || limits.isNull("sockets") ? DEFAULT_DESCRIPTORS : limits.getInt("sockets");
+        if (sockets < MIN_DESCRIPTORS) {
+            throw new IllegalArgumentException("must be " + MIN_DESCRIPTORS + " at least: " + sockets);
         }
         return sockets;
     }
 
-    private static List<Address> peers(JSONArray array) {
+    private static List<Address> readPeers(JSONArray array) {
         List<Address> result = new ArrayList<>();
         for (int i = 0; array != null && i < array.length(); i++) {
             result.add(Address.parse(array.getString(i)));
--- a/src/main/java/saffronferry/lifecycle/ConfigDiff.java
+++ b/src/main/java/saffronferry/lifecycle/ConfigDiff.java
@@ -13,37 +13,41 @@
 import saffronferry.agree.Key;
 
 /**
- * What differs between two configurations of one dispatcher.
+ * The difference between two configurations of a dispatcher.
  *
- * @param changes of settings that may change while it runs; null for a removal
- * @param refused keys that differ, too, and are read at a start only
+ * @param changes new values of settings that may change at run time; null for a removal
+ * @param refused other keys that differ; they are read at a start only
  */
 record ConfigDiff(Map<Key, String> changes, List<String> refused) {
-    /** Followed by each dispatcher for itself, or told anew at each start. */
-    private static final Set<String> OWN = Set.of("discovery", "known", "seed");
+    /** Keys that each dispatcher applies for itself, or that may differ at each start. */
+    private static final Set<String> LOCAL_KEYS = Set.of("discovery", "known", "seed");
 
-    /** {@link IllegalArgumentException} names the key in the new one that is at fault. */
+    /**
+     * Compares two configurations.
+     *
+     * @throws IllegalArgumentException naming a faulty key of the new one
+     */
     static ConfigDiff between(JSONObject before, JSONObject after) {
-        Map<Key, String> had = values(before);
-        Map<Key, String> has = values(after);
+        Map<Key, String> oldValues = changeableValues(before);
+        Map<Key, String> newValues = changeableValues(after);
         Map<Key, String> changes = new LinkedHashMap<>();
-        has.forEach((key, value) -> {
-            if (!value.equals(had.get(key))) {
+        newValues.forEach((key, value) -> {
+            if (!value.equals(oldValues.get(key))) {
                 changes.put(key, value);
             }
         });
-        had.keySet().stream().filter(key -> !has.containsKey(key)).forEach(key -> changes.put(key, null));
+        oldValues.keySet().stream().filter(key -> !newValues.containsKey(key)).forEach(key -> changes.put(key, null));
         List<String> refused = new ArrayList<>();
-        refuse("", before, after, refused);
+        collectRefused("", before, after, refused);
         return new ConfigDiff(changes, refused);
     }
 
-    /** The values that may change. */
-    static Map<Key, String> values(JSONObject json) {
+    /** The values of all settings that may change at run time. */
+    static Map<Key, String> changeableValues(JSONObject json) {
         Map<Key, String> values = new LinkedHashMap<>();
-        for (Changeable what : Changeable.values()) {
-            named(json, what).forEach((name, entry) -> {
-                Key key = new Key(what, name);
+        for (Changeable setting : Changeable.values()) {
+            entriesByName(json, setting).forEach((name, entry) -> {
+                Key key = new Key(setting, name);
                 values.put(key, value(key, entry));
             });
         }
@@ -64,57 +68,59 @@
         return value;
     }
 
-    private static Map<String, JSONObject> named(JSONObject json, Changeable what) {
-        Object at = json;
-        for (String part : what.path.split("\\.")) {
-            at = at instanceof JSONObject o ? o.opt(part) : null;
+    private static Map<String, JSONObject> entriesByName(JSONObject json, Changeable setting) {
+        Object node = json;
+        for (String part : setting.path.split("\\.")) {
+            node = node instanceof JSONObject o ? o.opt(part) : null;
         }
-        Map<String, JSONObject> named = new LinkedHashMap<>();
-        for (Object entry : at instanceof JSONArray array ? array : new JSONArray()) {
+        Map<String, JSONObject> entries = new LinkedHashMap<>();
+        for (Object entry : node instanceof JSONArray array ? array : new JSONArray()) {
             String name = entry instanceof JSONObject o ? o.optString("name") : "";
-            // guards against two quotas of one tenant, of which each dispatcher might take another
-            if (name.isEmpty() || named.put(name, (JSONObject) entry) != null) {
+            // With two quotas for one tenant, dispatchers might apply different ones.
+            if (name.isEmpty() || entries.put(name, (JSONObject) entry) != null) {
                 throw new IllegalArgumentException(
-                        "configuration key " + what.path + ": each entry needs a name of its own: " + name);
+                        "configuration key " + setting.path + ": each entry needs a name of its own: " + name);
             }
         }
-        return named;
+        return entries;
     }
 
-    private static void refuse(String path, JSONObject before, JSONObject after, List<String> refused) {
+    private static void collectRefused(String path, JSONObject before, JSONObject after, List<String> refused) {
         Set<String> keys = new TreeSet<>(before.keySet());
         keys.addAll(after.keySet());
         for (String key : keys) {
             String name = path + key;
-            Object a = before.opt(key);
-            Object b = after.opt(key);
-            if (OWN.contains(name)
-                    || a != null && b != null && new JSONArray().put(a).similar(new JSONArray().put(b))) {
+            Object oldValue = before.opt(key);
+            Object newValue = after.opt(key);
+            if (LOCAL_KEYS.contains(name)
+                    || oldValue != null
+                            && newValue != null
+                            && new JSONArray().put(oldValue).similar(new JSONArray().put(newValue))) {
                 continue;
             }
-            if (a instanceof JSONObject x && b instanceof JSONObject y) {
-                refuse(name + ".", x, y, refused);
-            } else if (!table(name, before, after, refused)) {
+            if (oldValue instanceof JSONObject oldObject && newValue instanceof JSONObject newObject) {
+                collectRefused(name + ".", oldObject, newObject, refused);
+            } else if (!compareTable(name, before, after, refused)) {
                 refused.add(name);
             }
         }
     }
 
-    /** Whether a key is a table of which something may change; else what differs there is refused. */
-    private static boolean table(String path, JSONObject before, JSONObject after, List<String> refused) {
-        for (Changeable what : Changeable.values()) {
-            if (what.path.equals(path)) {
+    /** Whether a key is a table with changeable fields; if so, adds differences in its other fields to the refused. */
+    private static boolean compareTable(String path, JSONObject before, JSONObject after, List<String> refused) {
+        for (Changeable setting : Changeable.values()) {
+            if (setting.path.equals(path)) {
                 String last = path.substring(path.lastIndexOf('.') + 1);
-                Map<String, JSONObject> had = entries(before.optJSONArray(last));
-                Map<String, JSONObject> has = entries(after.optJSONArray(last));
-                had.keySet().retainAll(has.keySet());
-                had.forEach((name, entry) -> {
-                    JSONObject a = new JSONObject(entry.toMap());
-                    JSONObject b = new JSONObject(has.get(name).toMap());
-                    a.remove(what.field);
-                    b.remove(what.field);
-                    if (!a.similar(b)) {
-                        refuse(path + "." + name + ".", a, b, refused);
+                Map<String, JSONObject> oldEntries = entriesByName(before.optJSONArray(last));
+                Map<String, JSONObject> newEntries = entriesByName(after.optJSONArray(last));
+                oldEntries.keySet().retainAll(newEntries.keySet());
+                oldEntries.forEach((name, entry) -> {
+                    JSONObject oldEntry = new JSONObject(entry.toMap());
+                    JSONObject newEntry = new JSONObject(newEntries.get(name).toMap());
+                    oldEntry.remove(setting.field);
+                    newEntry.remove(setting.field);
+                    if (!oldEntry.similar(newEntry)) {
+                        collectRefused(path + "." + name + ".", oldEntry, newEntry, refused);
                     }
                 });
                 return true;
@@ -123,7 +129,7 @@
         return false;
     }
 
-    private static Map<String, JSONObject> entries(JSONArray array) {
+    private static Map<String, JSONObject> entriesByName(JSONArray array) {
         Map<String, JSONObject> entries = new LinkedHashMap<>();
         for (Object entry : array == null ? new JSONArray() : array) {
             entries.put(((JSONObject) entry).getString("name"), (JSONObject) entry);
--- a/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
+++ b/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
@@ -11,15 +11,15 @@
 import saffronferry.state.Ledger;
 import saffronferry.wire.ConsoleServer;
 
-/** Does what operators call for, and takes over what the bans' file says. For the event loop. */
+/** Executes the calls of operators, and applies the bans that other processes wrote to the file. For the event loop. */
 final class ConsoleHandler implements ConsoleServer.Desk {
-    /** What the node itself does for a call. */
+    /** Operations of the server that calls need. */
     interface ServerControl {
         boolean isReady();
 
         void startDrain();
 
-        /** False if the process is ending. */
+        /** False if the process is shutting down. */
         boolean cancelDrain();
     }
 
@@ -30,7 +30,7 @@
     private final BanFile file;
     private final ServerControl server;
     private final BoundedLog log;
-    private int pendingWrites;
+    private int pendingWrites; // bans that are in force but not yet in the file
 
     ConsoleHandler(
             Vertx vertx,
@@ -55,8 +55,8 @@
         switch (call.kind()) {
             case READINESS -> reply.say(server.isReady() ? 200 : 503, server.isReady() ? "ready\n" : "not ready\n");
             case STATS -> reply.say(200, metrics.format(ledger.now()) + usage.format());
-            case WORKER_DOWN -> ban(call.worker(), bans -> bans.with(call.worker()), "is out", reply);
-            case WORKER_UP -> ban(call.worker(), bans -> bans.without(call.worker()), "is back", reply);
+            case WORKER_DOWN -> changeBans(call.worker(), bans -> bans.with(call.worker()), "is out", reply);
+            case WORKER_UP -> changeBans(call.worker(), bans -> bans.without(call.worker()), "is back", reply);
             case DRAIN_START -> {
                 server.startDrain();
                 reply.say(200, "draining\n");
@@ -70,22 +70,22 @@
         }
     }
 
-    private void ban(String worker, UnaryOperator<Bans> how, String done, ConsoleServer.Reply reply) {
+    private void changeBans(String worker, UnaryOperator<Bans> change, String outcome, ConsoleServer.Reply reply) {
         if (!ledger.knows(worker)) {
             reply.say(404, "no worker has this id\n");
             return;
         }
         Bans before = ledger.bans();
-        ledger.ban(how.apply(before)); // at once; yes is said when it will also outlive this process
+        ledger.ban(change.apply(before)); // at once; the call succeeds only when the ban is also stored
         pendingWrites++;
-        vertx.<Bans>executeBlocking(() -> file.change(how)).onComplete(written -> {
+        vertx.<Bans>executeBlocking(() -> file.change(change)).onComplete(written -> {
             pendingWrites--;
             if (written.succeeded()) {
                 applyBansFromFile(written.result());
-                log.line("worker " + done, worker);
-                reply.say(200, worker + " " + done + "\n");
+                log.line("worker " + outcome, worker);
+                reply.say(200, worker + " " + outcome + "\n");
             } else {
-                // a no means that nothing has changed
+                // a failed call changes nothing
                 ledger.ban(before);
                 log.line("bans not written", String.valueOf(written.cause()));
                 reply.say(500, "the bans cannot be written: " + written.cause().getMessage() + "\n");
@@ -93,14 +93,14 @@
         });
     }
 
-    /** What the file says holds, unless a change of ours is yet to reach it. */
+    /** Applies the bans in the file, unless a change of this process has not been written yet. */
     void applyBansFromFile(Bans bans) {
         if (pendingWrites == 0 && !bans.equals(ledger.bans())) {
             ledger.ban(bans);
         }
     }
 
-    /** Reads the bans that a start is to begin with; what is damaged is logged and ends nothing. */
+    /** Reads the bans at the start; a damaged file is logged and does not prevent the start. */
     static Bans readInitialBans(BanFile file, BoundedLog log) {
         try {
             return file.read();
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -27,29 +27,31 @@
 import saffronferry.wire.ConsoleServer;
 import saffronferry.wire.Wire;
 
-/** One real dispatcher, from start to the end of its drain. Everything runs on one event loop. */
+/** A dispatcher on real sockets, from its start to the end of its drain. Everything runs on one event loop. */
 final class DispatcherServer {
-    /** How long after SIGTERM new connections come; what comes later must be answered before SIGKILL. */
-    private static final long STILL_LISTEN_MS = 500;
-    /** SIGKILL comes no sooner than the longest deadline, counted as this where it is longer, and 700 ms. */
-    private static final long LONGEST_MS = 3_000;
+    /** New connections arrive for this long after SIGTERM; later RPCs must be answered before SIGKILL. */
+    private static final long ACCEPT_AFTER_SIGTERM_MS = 500;
+    /** SIGKILL comes at the earliest 700 ms after the longest deadline, of which at most this much counts. */
+    private static final long MAX_COUNTED_DEADLINE_MS = 3_000;
 
-    private static final long AFTER_LONGEST_MS = 300;
-    private static final long LAST_INTAKE_MS = 100;
-    /** From the last intake on: half requests have so long to become whole, and get a refusal. */
-    private static final long HALF_MS = 400;
-    /** How often it is looked whether half requests, and answers that are yet to leave, are done. */
-    private static final long LOOK_MS = 20;
-    /** An answer counts when its last byte has left; the process must not end before that. */
+    /** RPCs that arrive late in the shutdown are answered by this long after the longest counted deadline. */
+    private static final long AFTER_COUNTED_DEADLINE_MS = 300;
+    /** The last connections are accepted this long before the longest counted deadline has passed. */
+    private static final long LAST_ACCEPT_BEFORE_DEADLINE_MS = 100;
+    /** From the last accept on, partly received requests have this long to complete and be refused. */
+    private static final long PARTIAL_REQUEST_MS = 400;
+    /** How often the shutdown checks for partly received requests and unsent responses. */
+    private static final long SHUTDOWN_CHECK_MS = 20;
+    /** A response counts when its last byte has left, so the process waits this long before it ends. */
     private static final long FLUSH_MS = 50;
 
-    /** How often the library looks for a loop that stands still, to log it; our watchdog acts on it. */
-    private static final long BLOCKED_LOOK_MS = 5_000;
-    /** What opens after the descriptors are counted: the selector's, our two sockets, a file and more. */
-    private static final int STILL_TO_OPEN = 8;
+    /** How often Vert.x checks for a blocked event loop, which it only logs; the watchdog ends the process. */
+    private static final long BLOCKED_THREAD_CHECK_MS = 5_000;
+    /** Descriptors opened after the open ones are counted: those of the selector, two sockets, a file and others. */
+    private static final int DESCRIPTORS_STILL_TO_OPEN = 8;
     /**
-     * How long a drain is waited for beyond the last RPC's deadline, which ends it. A loop that hangs is the
-     * watchdog's.
+     * How long a drain may continue after the deadline of the last RPC, which normally ends it. A hanging loop is
+     * handled by the watchdog.
      */
     private static final long DRAIN_SLACK_MS = 2_000;
 
@@ -63,31 +65,31 @@
     private final DrainState drain = new DrainState();
     private final CountDownLatch drained = new CountDownLatch(1);
     private Wire wire;
-    /** Null where settings hold as they were read at the start. */
+    /** Null if settings do not change at run time. */
     private EffectiveSettings effectiveSettings;
 
     private Watchdog watchdog;
     private volatile boolean closing;
     private BanFile banFile;
     private ConsoleHandler consoleHandler;
-    /** Null where there is no console, and so nobody who would replace a process under load. */
+    /** Null without a console: then no process is replaced under load. */
     private SiblingMonitor siblingMonitor;
 
     private Bans bans = Bans.NONE;
     private boolean ready;
-    private boolean lastIntake;
+    private boolean lastConnectionsAccepted;
     private Runnable onFatalFailure = () -> {};
 
     /**
-     * Makes a dispatcher that is yet to start.
+     * Creates a dispatcher without starting it.
      *
-     * @throws IllegalArgumentException if it cannot do with the descriptors it may hold
+     * @throws IllegalArgumentException if the permitted number of file descriptors is too small
      */
     DispatcherServer(Config config) {
         this(config, new BoundedLog(), BoundedTransport::new);
     }
 
-    /** With another transport, so that tests can make the system's calls fail. */
+    /** Uses another transport, so that tests can make system calls fail. */
     DispatcherServer(Config config, BoundedLog log, BiFunction<AcceptGate, BoundedLog, BoundedTransport> transports) {
         this.config = config;
         this.log = log;
@@ -100,58 +102,60 @@
                         .setEventLoopPoolSize(1)
                         .setWorkerPoolSize(1)
                         .setInternalBlockingPoolSize(1)
-                        .setBlockedThreadCheckInterval(BLOCKED_LOOK_MS))
+                        .setBlockedThreadCheckInterval(BLOCKED_THREAD_CHECK_MS))
                 .findTransport(transport)
                 .init()
                 .vertx();
         context = vertx.getOrCreateContext();
-        setHangTimeout(Watchdog.GIVE_UP_MS);
+        setHangTimeout(Watchdog.HANG_TIMEOUT_MS);
         if (config.console != null) {
             banFile = new BanFile(config.folder, config.fileName());
             bans = ConsoleHandler.readInitialBans(banFile, log);
             ProcessRegistry registry = new ProcessRegistry(config.folder, config.fileName());
             siblingMonitor = new SiblingMonitor(vertx, registry, banFile, descriptors, log);
         }
-        transport.onListenerLost(() -> unable("the listening socket is closed"));
+        transport.onListenerLost(() -> fail("the listening socket is closed"));
     }
 
     private static Descriptors descriptors(Config config) {
-        int most = ProcessLimits.maxOpenFiles();
-        String key = most < config.sockets
+        int processLimit = ProcessLimits.maxOpenFiles();
+        String key = processLimit < config.maxDescriptors
                 ? "the process's own limit, below the key limits.sockets"
                 : "configuration key limits.sockets";
         try {
-            return new Descriptors(Math.min(most, config.sockets), ProcessLimits.openFiles() + STILL_TO_OPEN);
+            return new Descriptors(
+                    Math.min(processLimit, config.maxDescriptors),
+                    ProcessLimits.openFiles() + DESCRIPTORS_STILL_TO_OPEN);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(key + ": " + e.getMessage());
         }
     }
 
-    /** How long the loop may stand still before this dispatcher is given up. */
+    /** Sets how long the event loop may hang before this dispatcher is considered failed. */
     void setHangTimeout(long ms) {
-        watchdog = new Watchdog(ms, () -> unable("the event loop hangs"));
+        watchdog = new Watchdog(ms, () -> fail("the event loop hangs"));
     }
 
-    void runOnLoop(Runnable what) {
-        context.runOnContext(v -> what.run());
+    void runOnLoop(Runnable task) {
+        context.runOnContext(v -> task.run());
     }
 
-    /** Runs something, on any thread, when this dispatcher cannot serve any more. */
+    /** Sets what runs, on any thread, when this dispatcher can no longer serve. */
     void onFatalFailure(Runnable listener) {
         onFatalFailure = listener;
     }
 
-    private void unable(String why) {
+    private void fail(String reason) {
         if (!closing) {
-            log.line("cannot serve any more", why);
+            log.line("fatal failure", reason);
             onFatalFailure.run();
         }
     }
 
-    /** Completes once clients are served. */
+    /** Starts the dispatcher; completes once it serves clients. */
     Future<Void> start() {
         Promise<Void> ready = Promise.promise();
-        context.runOnContext(v -> begin().onComplete(ready));
+        context.runOnContext(v -> startOnLoop().onComplete(ready));
         return ready.future();
     }
 
@@ -161,25 +165,25 @@
         return vertx.close();
     }
 
-    private Future<Void> begin() {
+    private Future<Void> startOnLoop() {
         vertx.exceptionHandler(e -> log.line("internal error", String.valueOf(e)));
         watchdog.start(vertx);
-        SettingsReader s = config.settings;
-        config.unreadable.forEach(bad -> log.line("list entry left out", bad));
-        effectiveSettings = config.agree == null ? null : new EffectiveSettings(config, log);
+        SettingsReader settings = config.settings;
+        config.unreadableEntries.forEach(entry -> log.line("list entry left out", entry));
+        effectiveSettings = config.agreement == null ? null : new EffectiveSettings(config, log);
         wire = new Wire(
                 vertx,
                 new Wire.Options(
                         config.discovery,
                         config.peerListen,
                         config.peers,
-                        s.settings.classes(),
-                        effectiveSettings == null ? s.tenants : effectiveSettings.tenantNames(),
-                        config.lists,
-                        s.fieldOf("free slots"),
-                        s.connectTimeout,
-                        !s.settings.listOnDemand()),
-                new Balancer(s.settings),
+                        settings.settings.classes(),
+                        effectiveSettings == null ? settings.tenants : effectiveSettings.tenantNames(),
+                        config.listParser,
+                        settings.fieldOf("free slots"),
+                        settings.connectTimeout,
+                        !settings.settings.listOnDemand()),
+                new Balancer(settings.settings),
                 metrics,
                 descriptors,
                 transport,
@@ -192,7 +196,7 @@
         if (effectiveSettings != null) {
             effectiveSettings.start(vertx, wire, metrics);
         }
-        return console.compose(v -> wire.begin(config.takeKnown()))
+        return console.compose(v -> wire.begin(config.takeKnownList()))
                 .onSuccess(v -> startSiblingMonitor())
                 .compose(v -> wire.server().listen(config.listen))
                 .compose(v -> wire.warmUp(config.listen))
@@ -227,7 +231,7 @@
         }
     }
 
-    /** Leaves clients to a process that serves in our place by now, or takes them again when it is gone. */
+    /** Hands clients over to another process that serves the address now, or takes them back when it has ended. */
     private void setReplaced(boolean isReplaced) {
         if (drain.isShuttingDown()) {
             return;
@@ -239,7 +243,7 @@
         } else {
             wire.takeBack(config.listen);
         }
-        followDrain();
+        applyDrainPhase();
     }
 
     private Future<Void> openConsole() {
@@ -258,13 +262,13 @@
                     @Override
                     public void startDrain() {
                         drain.start(now());
-                        followDrain();
+                        applyDrainPhase();
                     }
 
                     @Override
                     public boolean cancelDrain() {
                         boolean open = drain.stop();
-                        followDrain();
+                        applyDrainPhase();
                         return open;
                     }
                 },
@@ -274,21 +278,21 @@
     }
 
     /**
-     * SIGHUP runs this, on a thread of its own, since reading a file must not park the event loop; one at a
-     * time, so that of several the last one's file prevails. Of the new configuration only {@code
-     * discovery} is taken, and with the key {@code agree} what {@link saffronferry.agree.Changeable} names.
+     * Reloads the configuration. SIGHUP runs this on its own thread, since reading a file would block the event loop;
+     * one reload at a time, so that the last of several prevails. Only {@code discovery} is applied, and with the
+     * key {@code agree} also the settings that {@link saffronferry.agree.Changeable} names.
      */
     synchronized void reload(Supplier<Config> read) {
         try {
             Config next = read.get();
-            context.runOnContext(v -> follow(next));
+            context.runOnContext(v -> applyReloaded(next));
         } catch (IllegalArgumentException e) {
-            // guards against a faulty file ending a dispatcher that serves well with the old one
+            // the dispatcher continues with the old configuration
             context.runOnContext(v -> log.line("configuration not reloaded", e.getMessage()));
         }
     }
 
-    private void follow(Config next) {
+    private void applyReloaded(Config next) {
         try {
             if (effectiveSettings != null) {
                 effectiveSettings.applyFile(next);
@@ -299,13 +303,13 @@
         }
     }
 
-    /** SIGTERM runs this: the process ends when it returns. */
+    /** Runs at SIGTERM; the process ends when it returns. */
     void awaitDrain() {
         boolean isReplaced = siblingMonitor != null && siblingMonitor.isReplaced();
-        context.runOnContext(v -> drain(isReplaced));
+        context.runOnContext(v -> shutDown(isReplaced));
         try {
-            // danger: to end before SIGKILL comes loses what was taken and is not answered yet
-            drained.await(longest(RpcInfo::longest) + DRAIN_SLACK_MS, TimeUnit.MILLISECONDS);
+            // Ending earlier than necessary would lose RPCs that are still open.
+            drained.await(maxOverClassesMs(RpcInfo::longest) + DRAIN_SLACK_MS, TimeUnit.MILLISECONDS);
             if (siblingMonitor != null) {
                 siblingMonitor.unregister();
             }
@@ -315,44 +319,47 @@
     }
 
     /**
-     * Clients keep using the connections they have, and no other dispatcher may be near: these are served for
-     * as long as what they ask can still be answered before SIGKILL. What was open before has its full time.
+     * Clients may keep using their connections, and no other dispatcher may be reachable. Their requests are therefore
+     * served as long as they can still be answered before SIGKILL. RPCs that are already open keep their deadlines.
      */
-    private void drain(boolean isReplaced) {
-        long counted = Math.max(STILL_LISTEN_MS, Math.min(longest(JobClass::deadline), LONGEST_MS));
+    private void shutDown(boolean isReplaced) {
+        long countedDeadline = Math.max(
+                ACCEPT_AFTER_SIGTERM_MS, Math.min(maxOverClassesMs(JobClass::deadline), MAX_COUNTED_DEADLINE_MS));
         log.line("draining", wire.ledger().unanswered() + " RPCs are open");
         if (drain.isReplaced() != isReplaced) {
             setReplaced(isReplaced);
         }
-        drain.shutDown(now(), counted - LAST_INTAKE_MS, isReplaced);
-        followDrain();
-        vertx.setTimer(STILL_LISTEN_MS, t -> wire.ledger().endWithin(counted + AFTER_LONGEST_MS - STILL_LISTEN_MS));
+        drain.shutDown(now(), countedDeadline - LAST_ACCEPT_BEFORE_DEADLINE_MS, isReplaced);
+        applyDrainPhase();
+        vertx.setTimer(
+                ACCEPT_AFTER_SIGTERM_MS,
+                t -> wire.ledger().endWithin(countedDeadline + AFTER_COUNTED_DEADLINE_MS - ACCEPT_AFTER_SIGTERM_MS));
     }
 
-    /** Has clients treated as the drain's phase says, now and whenever it changes by itself. */
-    private void followDrain() {
+    /** Applies the phase of the drain to clients, now and whenever it changes over time. */
+    private void applyDrainPhase() {
         DrainState.Phase phase = drain.phase(now());
         wire.server().drain(phase, drain.isShuttingDown(), drain.isReplaced());
-        long next = drain.msUntilNextPhase(now());
-        if (next >= 0) {
-            vertx.setTimer(Math.max(1, next), t -> followDrain());
-        } else if (drain.isShuttingDown() && !lastIntake) {
-            lastIntake = true;
-            // guards a request in the system's queue, or one that would come there yet, against our end
+        long untilNextPhase = drain.msUntilNextPhase(now());
+        if (untilNextPhase >= 0) {
+            vertx.setTimer(Math.max(1, untilNextPhase), t -> applyDrainPhase());
+        } else if (drain.isShuttingDown() && !lastConnectionsAccepted) {
+            lastConnectionsAccepted = true;
+            // Connections left in the accept queue, or entering it later, would be reset when the process ends.
             wire.takeTheLast();
-            long until = now() + HALF_MS;
-            vertx.setPeriodic(LOOK_MS, look -> {
+            long partialRequestsUntil = now() + PARTIAL_REQUEST_MS;
+            vertx.setPeriodic(SHUTDOWN_CHECK_MS, check -> {
                 if (wire.ledger().unanswered() == 0
-                        && (now() >= until || wire.server().settled())) {
-                    vertx.cancelTimer(look);
+                        && (now() >= partialRequestsUntil || wire.server().settled())) {
+                    vertx.cancelTimer(check);
                     vertx.setTimer(FLUSH_MS, t -> drained.countDown());
                 }
             });
         }
     }
 
-    /** In milliseconds, over all classes. */
-    private long longest(ToLongFunction<JobClass> micros) {
+    /** The maximum over all classes, in milliseconds. */
+    private long maxOverClassesMs(ToLongFunction<JobClass> micros) {
         return config.settings.settings.classes().stream()
                         .mapToLong(micros)
                         .max()
--- a/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
+++ b/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
@@ -24,19 +24,20 @@
 import saffronferry.wire.Wire;
 
 /**
- * The settings that hold now: those of the file, and over them what dispatchers have agreed upon since. For
- * the event loop.
+ * The settings in force: those of the configuration file, overridden by what dispatchers have agreed on since. For the
+ * event loop.
  */
 final class EffectiveSettings {
-    private static final int TOLD = 4; // of changes taken at once so many are logged by name
+    /** Of changes received at once, this many are logged by name. */
+    private static final int MAX_LOGGED_CHANGES = 4;
 
     private final BoundedLog log;
     private final Clock clock = new Clock();
     private final Gossip gossip;
     private JSONObject file;
-    private Map<Key, String> inFile;
-    private final List<String> names = new ArrayList<>();
-    private final Set<String> known = new HashSet<>();
+    private Map<Key, String> fileValues;
+    private final List<String> tenantNames = new ArrayList<>();
+    private final Set<String> knownTenants = new HashSet<>();
     private List<Tenant> tenants;
     private Wire wire;
     private Agreement.State state;
@@ -44,16 +45,16 @@
     EffectiveSettings(Config config, BoundedLog log) {
         this.log = log;
         file = config.json;
-        inFile = ConfigDiff.values(file);
-        names.addAll(config.settings.tenants);
-        known.addAll(names);
+        fileValues = ConfigDiff.changeableValues(file);
+        tenantNames.addAll(config.settings.tenants);
+        knownTenants.addAll(tenantNames);
         tenants = config.settings.settings.tenants();
         gossip = new Gossip(
                 new Gossip.Setup(
                         config.settings.settings.self(),
                         config.peers.size(),
-                        config.agree.bytesPerS(),
-                        config.agree.secret(),
+                        config.agreement.bytesPerS(),
+                        config.agreement.secret(),
                         config.settings.settings.seed()),
                 new Gossip.Out() {
                     @Override
@@ -63,7 +64,7 @@
 
                     @Override
                     public void taken(List<Change> changes) {
-                        said("setting in force", changes);
+                        logChanges("setting in force", changes);
                         apply();
                     }
                 },
@@ -71,9 +72,9 @@
         state = gossip.agreement(clock.now()).state();
     }
 
-    /** The tenants' names by index: the list grows, and an index never becomes another tenant's. */
+    /** A view of the tenants' names by index. The list only grows; an index always stands for the same tenant. */
     List<String> tenantNames() {
-        return Collections.unmodifiableList(names);
+        return Collections.unmodifiableList(tenantNames);
     }
 
     void start(Vertx vertx, Wire wire, Metrics metrics) {
@@ -83,7 +84,7 @@
         tick(vertx);
     }
 
-    /** A timer each: after a stop of half a minute a periodic one would make up for all it has missed. */
+    /** Re-arms a one-shot timer: after a pause of half a minute, a periodic one would fire for all missed ticks. */
     private void tick(Vertx vertx) {
         vertx.setTimer(Gossip.TICK / 1000, t -> tick(vertx));
         long now = clock.now();
@@ -96,13 +97,17 @@
                     switch (state) {
                         case IN_TOUCH -> "agreed upon with another dispatcher, " + agreement.held() + " changes held";
                         case CATCHING_UP -> "catching up";
-                        case ALONE -> "no other dispatcher is heard; of quotas the smaller holds where two are known";
+                        case ALONE -> "no other dispatcher is heard; where two quotas are known, the smaller applies";
                     });
             apply();
         }
     }
 
-    /** Tells all what differs in a new file; {@link IllegalArgumentException} names what is wrong in it. */
+    /**
+     * Announces the differences in a new file to all dispatchers.
+     *
+     * @throws IllegalArgumentException naming a faulty key of the file
+     */
     void applyFile(Config next) {
         if (next.json == null) {
             throw new IllegalArgumentException("configuration key agree: is read at a start only");
@@ -110,38 +115,43 @@
         ConfigDiff diff = ConfigDiff.between(file, next.json);
         diff.refused().forEach(key -> log.line("read at a start only", "configuration key " + key));
         if (!diff.changes().isEmpty()) {
-            gossip.change(clock.now(), diff.changes()).forEach(fault -> log.line("not changed", fault));
+            gossip.change(clock.now(), diff.changes()).forEach(fault -> log.line("setting not changed", fault));
             log.line("settings changed", diff.changes().size() + " by the new file");
         }
         file = next.json;
-        inFile = ConfigDiff.values(file);
+        fileValues = ConfigDiff.changeableValues(file);
         apply();
     }
 
-    private void said(String title, List<Change> changes) {
-        // one line: of many of a title in a second, the log writes the first
-        String all = changes.stream()
-                .limit(TOLD)
+    private void logChanges(String title, List<Change> changes) {
+        // in one line, because the log writes only the first of many lines with the same title in a second
+        String text = changes.stream()
+                .limit(MAX_LOGGED_CHANGES)
                 .map(c -> c.key() + " " + (c.value() == null ? "removed" : c.value()) + " of dispatcher " + c.origin())
                 .collect(Collectors.joining("; "));
-        log.line(title, all + (changes.size() > TOLD ? "; and " + (changes.size() - TOLD) + " more" : ""));
+        log.line(
+                title,
+                text
+                        + (changes.size() > MAX_LOGGED_CHANGES
+                                ? "; and " + (changes.size() - MAX_LOGGED_CHANGES) + " more"
+                                : ""));
     }
 
     private void apply() {
-        Map<Key, String> all = new HashMap<>(inFile);
+        Map<Key, String> values = new HashMap<>(fileValues);
         for (Change c : gossip.held()) {
-            String before = all.get(c.key());
-            all.put(c.key(), state == Agreement.State.ALONE ? smaller(before, c.value()) : c.value());
+            String fileValue = values.get(c.key());
+            values.put(c.key(), state == Agreement.State.ALONE ? smallerQuota(fileValue, c.value()) : c.value());
         }
-        for (Map.Entry<Key, String> e : all.entrySet()) {
+        for (Map.Entry<Key, String> e : values.entrySet()) {
             String name = e.getKey().name();
-            if (e.getKey().what() == Changeable.ALLOWANCE && e.getValue() != null && known.add(name)) {
-                names.add(name);
+            if (e.getKey().what() == Changeable.ALLOWANCE && e.getValue() != null && knownTenants.add(name)) {
+                tenantNames.add(name);
             }
         }
-        List<Tenant> next = names.stream()
+        List<Tenant> next = tenantNames.stream()
                 .map(name -> {
-                    String value = all.get(new Key(Changeable.ALLOWANCE, name));
+                    String value = values.get(new Key(Changeable.ALLOWANCE, name));
                     return new Tenant(name, value == null ? 0 : Double.parseDouble(value));
                 })
                 .toList();
@@ -151,13 +161,16 @@
         }
     }
 
-    /** Guards other tenants against a quota that was taken back unheard: 0 and a removal are no limit. */
-    static String smaller(String inFile, String agreed) {
+    /**
+     * The smaller of the quota in the file and the agreed one; 0 and a removal mean no limit. Without contact to other
+     * dispatchers a larger quota may have been revoked unnoticed, which would harm other tenants.
+     */
+    static String smallerQuota(String inFile, String agreed) {
         if (inFile == null || agreed == null || Double.parseDouble(inFile) == 0) {
             return agreed;
         }
-        double is = Double.parseDouble(agreed);
-        return is == 0 || Double.parseDouble(inFile) < is ? inFile : agreed;
+        double agreedQuota = Double.parseDouble(agreed);
+        return agreedQuota == 0 || Double.parseDouble(inFile) < agreedQuota ? inFile : agreed;
     }
 
     private List<Metric> metrics() {
--- a/src/main/java/saffronferry/lifecycle/ProcessRegistry.java
+++ b/src/main/java/saffronferry/lifecycle/ProcessRegistry.java
@@ -16,20 +16,20 @@
 import saffronferry.Beside;
 
 /**
- * Which processes of this dispatcher there are, told by marks in the folder that they share: one for each
- * process that has started, and one that names who came to serve last. Marks of processes that are gone count
- * for nothing. All of it blocks: nothing here is for the event loop.
+ * Registers the processes of a dispatcher by mark files in the folder that they share: one for each process that has
+ * started, and one that names the process that started to serve last. Marks of ended processes are ignored. All
+ * methods block; not for the event loop.
  */
 class ProcessRegistry {
     private static final String PROCESS_MARK = ".process-";
     private static final String STATE_FILE = ".told-";
-    /** File systems count the times of changes in steps of two seconds at most. */
+    /** The coarsest resolution of modification times in file systems. */
     private static final long FILE_TIME_STEP_MS = 2_000;
 
     private final Path folder;
     private final String name;
     private final long self = ProcessHandle.current().pid();
-    /** When the folder was last changed before a look that found nobody; null: it has to be read. */
+    /** The modification time of the folder when it held no siblings; null if the folder has to be read. */
     private FileTime emptyFolderModifiedAt;
 
     ProcessRegistry(Path folder, String name) {
@@ -37,30 +37,30 @@
         this.name = name;
     }
 
-    /** This process is about to take its share of what both may hold. */
+    /** Registers this process, before it takes its share of what all processes together may hold. */
     void registerStarted() throws IOException {
         Files.writeString(markFile(self), "");
     }
 
-    /** This process serves: one that served before it is replaced. */
+    /** Registers that this process serves, and thus replaces one that served before. */
     void registerServing() throws IOException {
         writeAtomically(folder.resolve(name + ".serving"), Long.toString(self));
     }
 
-    /** Whether another process, alive now, came to serve after this one. */
+    /** Whether another live process started to serve after this one. */
     boolean isReplaced() {
         try {
             long latest = Long.parseLong(
                     Files.readString(folder.resolve(name + ".serving")).trim());
             return latest != self && isAlive(latest);
         } catch (IOException | NumberFormatException e) {
-            return false; // no mark that can be read: nobody is known to serve in our place
+            return false; // without a readable mark no other process is known to serve
         }
     }
 
     /**
-     * The other processes of this dispatcher that live. Nobody starts without a mark, and a mark that is made
-     * changes the folder: while nothing has, and nobody was there, it need not be read again.
+     * The ids of the other live processes of this dispatcher. Each process creates a mark, which changes the
+     * modification time of the folder; an unchanged folder without siblings is therefore not read again.
      */
     synchronized List<Long> liveSiblings() {
         FileTime changed = folderModifiedAt();
@@ -68,14 +68,14 @@
             return List.of();
         }
         List<Long> alive = new ArrayList<>();
-        // guards against a mark made after the folder was read, in the same step of its time
+        // A mark created after the read may leave the modification time unchanged within its resolution.
         boolean settled = changed != null && System.currentTimeMillis() - changed.toMillis() > FILE_TIME_STEP_MS;
-        boolean whole = readMarks(alive);
-        emptyFolderModifiedAt = alive.isEmpty() && settled && whole ? changed : null;
+        boolean complete = readMarks(alive);
+        emptyFolderModifiedAt = alive.isEmpty() && settled && complete ? changed : null;
         return alive;
     }
 
-    /** Null if it cannot be told. */
+    /** Null if it cannot be read. */
     private FileTime folderModifiedAt() {
         try {
             return Files.getLastModifiedTime(folder);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Whether all marks could be read. */
+    /** Adds the live siblings, and deletes the files of ended ones; true if all marks could be read. */
     private boolean readMarks(List<Long> alive) {
         try (DirectoryStream<Path> marks = Files.newDirectoryStream(folder, name + PROCESS_MARK + "*")) {
             for (Path mark : marks) {
@@ -97,15 +97,15 @@
                 }
             }
         } catch (IOException | java.nio.file.DirectoryIteratorException e) {
-            return false; // what cannot be read now is read at the next look
+            return false; // read again at the next poll
         }
         return true;
     }
 
-    /** How many others live, and what they tell. */
+    /** The number of live siblings, and their combined state. */
     record Siblings(int count, Beside state) {}
 
-    /** Tells the others, where there are any, what this process has to say, and hears them. */
+    /** Publishes the own state if there are siblings, and reads theirs. */
     Siblings exchangeState(Beside own) throws IOException {
         List<Long> others = liveSiblings();
         if (others.isEmpty()) {
@@ -117,49 +117,49 @@
         Map<String, Integer> jobs = new HashMap<>();
         double[] learned = {};
         for (long other : others) {
-            Beside b = readState(stateFile(other));
-            b.jobs().forEach((worker, slots) -> jobs.merge(worker, slots, Integer::sum));
-            learned = b.learned().length > 0 ? b.learned() : learned;
+            Beside state = readState(stateFile(other));
+            state.jobs().forEach((worker, slots) -> jobs.merge(worker, slots, Integer::sum));
+            learned = state.learned().length > 0 ? state.learned() : learned;
         }
         return new Siblings(others.size(), new Beside(jobs, learned));
     }
 
-    /** A process that has not spoken yet, or whose version speaks otherwise, says nothing. */
+    /** Reads the state of a process; empty if it has not written any, or a version that cannot be parsed. */
     private static Beside readState(Path file) {
         try {
             JSONObject json = new JSONObject(Files.readString(file));
             Map<String, Integer> jobs = new HashMap<>();
-            JSONObject told = json.getJSONObject("jobs");
-            told.keySet().forEach(worker -> jobs.put(worker, Math.max(0, told.getInt(worker))));
+            JSONObject slots = json.getJSONObject("jobs");
+            slots.keySet().forEach(worker -> jobs.put(worker, Math.max(0, slots.getInt(worker))));
             JSONArray learned = json.getJSONArray("learned");
-            double[] figures = new double[learned.length()];
-            for (int i = 0; i < figures.length; i++) {
-                figures[i] = learned.getDouble(i);
+            double[] values = new double[learned.length()];
+            for (int i = 0; i < values.length; i++) {
+                values[i] = learned.getDouble(i);
             }
-            return new Beside(jobs, figures);
+            return new Beside(jobs, values);
         } catch (IOException | JSONException e) {
             return Beside.NOBODY;
         }
     }
 
-    /** Whole, or not at all: a reader finds no half. */
+    /** Writes by a rename, so that readers never see a partly written file. */
     private void writeAtomically(Path file, String text) throws IOException {
-        Path whole = Files.createTempFile(folder, name, ".new");
-        Files.writeString(whole, text);
-        Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = Files.createTempFile(folder, name, ".new");
+        Files.writeString(temporary, text);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
     private Path stateFile(long pid) {
         return folder.resolve(name + STATE_FILE + pid);
     }
 
-    /** This process is about to end. */
+    /** Removes the files of this process, which is about to end. */
     void unregister() {
         try {
             Files.deleteIfExists(markFile(self));
             Files.deleteIfExists(stateFile(self));
         } catch (IOException e) {
-            // whoever looks next sees that we are gone
+            // siblings ignore and delete the files of ended processes
         }
     }
 
@@ -175,7 +175,7 @@
         }
     }
 
-    /** A process that has ended and is yet to be reaped serves nobody. */
+    /** A zombie process counts as ended. */
     private static boolean isAlive(long pid) {
         try {
             String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
--- a/src/main/java/saffronferry/lifecycle/Serve.java
+++ b/src/main/java/saffronferry/lifecycle/Serve.java
@@ -7,26 +7,26 @@
 import saffronferry.wire.BoundedTransport;
 import sun.misc.Signal;
 
-/** The program {@code serve}: a real dispatcher, from its configuration to its end. */
+/** The program {@code serve}: runs a dispatcher on real sockets until it is stopped. */
 public final class Serve {
     private Serve() {}
 
-    /** Starts it; the process ends with 1 where it cannot run, with 2 where the configuration is at fault. */
+    /** Starts the dispatcher; the process exits with 1 if it cannot start, with 2 if the configuration is faulty. */
     public static void run() {
         BoundedLog log = new BoundedLog();
         AtomicReference<DispatcherServer> serving = new AtomicReference<>();
-        AtomicBoolean missed = new AtomicBoolean();
-        // first of all: the default of SIGHUP ends the process, and one may come while it starts
+        AtomicBoolean hangupReceived = new AtomicBoolean();
+        // The handler is installed first, because the default action of SIGHUP would end a starting process.
         Signal.handle(new Signal("HUP"), s -> {
-            missed.set(true);
+            hangupReceived.set(true);
             reload(serving.get());
         });
         LogProvider.install();
         if (ProcessLimits.hangupIgnored()) {
-            // guards operators against a reload that nobody hears: it shows as an old list, and much later
+            // Without this line an ignored reload would show only much later, as an outdated worker list.
             log.line(
                     "SIGHUP is ignored",
-                    "as this process was started: no new configuration is followed;"
+                    "as this process was started, so that it cannot reload its configuration;"
                             + " start it by `env --default-signal=HUP`, as run in deploy/balancer.toml does");
         }
         DispatcherServer server;
@@ -37,15 +37,15 @@
             System.exit(2);
             return;
         }
-        // halt: the drain that an exit starts would wait for the loop that hangs
+        // halt, since exit would run the drain, which would wait for the hanging loop
         server.onFatalFailure(() -> Runtime.getRuntime().halt(Watchdog.EXIT_UNABLE));
         Thread drain = new Thread(server::awaitDrain, "drain");
         server.start()
                 .onSuccess(v -> {
                     Runtime.getRuntime().addShutdownHook(drain);
                     serving.set(server);
-                    if (missed.get()) {
-                        // guards against a configuration that changed after we read it; not on the loop
+                    if (hangupReceived.get()) {
+                        // the file may have changed after it was read; not on the event loop, since it blocks
                         new Thread(() -> reload(server), "reload").start();
                     }
                 })
--- a/src/main/java/saffronferry/lifecycle/Watchdog.java
+++ b/src/main/java/saffronferry/lifecycle/Watchdog.java
@@ -4,35 +4,35 @@
 import saffronferry.limit.LoopWatch;
 
 /**
- * Ends a process whose event loop is dead or hangs: it would hold its clients' connections and its address,
- * answer nobody, and no platform would know that it must be started again. A thread of its own, since the
- * loop cannot tell of its own death; it does nothing but look.
+ * Ends a process whose event loop is dead or hangs. Otherwise it would keep its clients' connections and its address
+ * without answering, and the platform would not notice that it has to be restarted. Runs on its own thread, since
+ * the loop cannot detect its own failure.
  */
 final class Watchdog {
-    /** The exit code of a process that ended itself since it could not serve: EX_SOFTWARE of sysexits.h. */
+    /** The exit code of a process that ended itself because it could not serve: EX_SOFTWARE of sysexits.h. */
     static final int EXIT_UNABLE = 70;
 
-    private static final long LOOK_MS = 1_000;
-    /** No step on the loop takes more than some tens of milliseconds: so long is not slowness. */
-    static final long GIVE_UP_MS = 10_000;
+    private static final long CHECK_INTERVAL_MS = 1_000;
+    /** No task on the loop takes more than some tens of milliseconds, so a loop this late hangs. */
+    static final long HANG_TIMEOUT_MS = 10_000;
 
     private final Runnable onHang;
-    private final long lookMs;
+    private final long checkIntervalMs;
     private final LoopWatch watch;
-    private volatile long turn;
+    private volatile long heartbeats;
     private volatile boolean stopped;
 
     /** {@code onHang} runs on the watchdog's thread. */
-    Watchdog(long giveUpMs, Runnable onHang) {
+    Watchdog(long hangTimeoutMs, Runnable onHang) {
         this.onHang = onHang;
-        lookMs = Math.min(LOOK_MS, giveUpMs);
-        watch = new LoopWatch((int) (giveUpMs / lookMs));
+        checkIntervalMs = Math.min(CHECK_INTERVAL_MS, hangTimeoutMs);
+        watch = new LoopWatch((int) (hangTimeoutMs / checkIntervalMs));
     }
 
     /** To be called on the event loop. */
     void start(Vertx vertx) {
-        vertx.setPeriodic(lookMs / 2, t -> turn++);
-        Thread thread = new Thread(this::look, "watchdog");
+        vertx.setPeriodic(checkIntervalMs / 2, t -> heartbeats++);
+        Thread thread = new Thread(this::watchLoop, "watchdog");
         thread.setDaemon(true);
         thread.start();
     }
@@ -41,10 +41,10 @@
         stopped = true;
     }
 
-    private void look() {
+    private void watchLoop() {
         try {
-            while (!stopped && !watch.hangs(turn)) {
-                Thread.sleep(lookMs);
+            while (!stopped && !watch.hangs(heartbeats)) {
+                Thread.sleep(checkIntervalMs);
             }
             if (!stopped) {
                 onHang.run();
--- a/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
@@ -89,11 +89,11 @@
     /** Who hears nobody takes the smaller quota of two; none at all is the largest. */
     @Test
     void ofTwoQuotasTheSmallerIsFound() {
-        assertEquals("5", EffectiveSettings.smaller("5", "7"));
-        assertEquals("5", EffectiveSettings.smaller("7", "5"));
-        assertEquals("5", EffectiveSettings.smaller("5", "0"));
-        assertEquals("7", EffectiveSettings.smaller("0", "7"));
-        assertEquals("7", EffectiveSettings.smaller(null, "7"));
-        assertEquals(null, EffectiveSettings.smaller("7", null));
+        assertEquals("5", EffectiveSettings.smallerQuota("5", "7"));
+        assertEquals("5", EffectiveSettings.smallerQuota("7", "5"));
+        assertEquals("5", EffectiveSettings.smallerQuota("5", "0"));
+        assertEquals("7", EffectiveSettings.smallerQuota("0", "7"));
+        assertEquals("7", EffectiveSettings.smallerQuota(null, "7"));
+        assertEquals(null, EffectiveSettings.smallerQuota("7", null));
     }
 }
--- a/src/test/java/saffronferry/lifecycle/ConfigTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigTest.java
@@ -25,7 +25,7 @@
     public void theExampleIsRead() throws IOException {
         Config c = new Config(example(), HERE);
         assertEquals("127.0.0.1:9000", c.listen.toString());
-        assertEquals(2, c.takeKnown().entries().size());
+        assertEquals(2, c.takeKnownList().entries().size());
         assertEquals(2_000_000, c.settings.settings.maxRetryAfter());
     }
 
@@ -36,7 +36,7 @@
             json.remove(key);
         }
         Config c = new Config(json, HERE);
-        assertEquals(1024, c.sockets);
+        assertEquals(1024, c.maxDescriptors);
         assertNull(c.console);
     }
 
@@ -103,8 +103,8 @@
         try {
             Files.writeString(file, example().toString());
             Config c = Config.read(environment);
-            assertEquals(new Config(example(), HERE).takeKnown(), c.takeKnown());
-            assertNull("held once", c.takeKnown());
+            assertEquals(new Config(example(), HERE).takeKnownList(), c.takeKnownList());
+            assertNull("held once", c.takeKnownList());
             for (String bad : new String[] {"{}", "7", "{\"revision\":1,\"complete\":true,\"members\":{}}"}) {
                 JSONObject json = example().put("known", new org.json.JSONTokener(bad).nextValue());
                 Files.writeString(file, json.toString());
