--- a/src/main/java/saffronferry/lifecycle/AgreementOptions.java
+++ b/src/main/java/saffronferry/lifecycle/AgreementOptions.java
@@ -18,16 +18,16 @@
 
     static AgreementOptions read(JSONObject json, Address peerListen, List<Address> peers, int self) {
         if (peerListen == null || self < 0 || self >= peers.size()) {
-            throw new IllegalArgumentException("needs peer_listen, and peers with one for each dispatcher");
+            throw new IllegalArgumentException("requires peer_listen, and an entry in peers for each dispatcher");
         }
         byte[] secret = json.getString("secret").getBytes(StandardCharsets.UTF_8);
         if (secret.length < MIN_SECRET_BYTES) {
-            throw new IllegalArgumentException("secret must have " + MIN_SECRET_BYTES + " bytes at least");
+            throw new IllegalArgumentException("secret must have at least " + MIN_SECRET_BYTES + " bytes");
         }
         int bytesPerS = json.isNull("bytes_per_s") ? DEFAULT_BYTES_PER_S : json.getInt("bytes_per_s");
         if (bytesPerS < Gossip.LEAST_BYTES_PER_S) {
             throw new IllegalArgumentException(
-                    "bytes_per_s must be " + Gossip.LEAST_BYTES_PER_S + " at least: " + bytesPerS);
+                    "bytes_per_s must be at least " + Gossip.LEAST_BYTES_PER_S + ": " + bytesPerS);
         }
         return new AgreementOptions(secret, bytesPerS);
     }
--- a/src/main/java/saffronferry/lifecycle/Config.java
+++ b/src/main/java/saffronferry/lifecycle/Config.java
@@ -162,7 +162,7 @@
         int sockets =
                 limits == null || limits.isNull("sockets") ? DEFAULT_DESCRIPTORS : limits.getInt("sockets");
         if (sockets < MIN_DESCRIPTORS) {
-            throw new IllegalArgumentException("must be " + MIN_DESCRIPTORS + " at least: " + sockets);
+            throw new IllegalArgumentException("must be at least " + MIN_DESCRIPTORS + ": " + sockets);
         }
         return sockets;
     }
--- a/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
+++ b/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
@@ -63,16 +63,16 @@
             }
             case DRAIN_STOP -> {
                 boolean open = server.cancelDrain();
-                reply.say(open ? 200 : 409, open ? "taking clients\n" : "the process is ending\n");
+                reply.say(open ? 200 : 409, open ? "taking clients\n" : "the process is shutting down\n");
             }
-            case WRONG_METHOD -> reply.say(405, "another method is wanted here\n");
-            default -> reply.say(404, "no such call\n");
+            case WRONG_METHOD -> reply.say(405, "method not allowed\n");
+            default -> reply.say(404, "no such operation\n");
         }
     }
 
     private void changeBans(String worker, UnaryOperator<Bans> change, String outcome, ConsoleServer.Reply reply) {
         if (!ledger.knows(worker)) {
-            reply.say(404, "no worker has this id\n");
+            reply.say(404, "unknown worker id\n");
             return;
         }
         Bans before = ledger.bans();
