--- a/src/test/java/saffronferry/lifecycle/AgreeTest.java
+++ b/src/test/java/saffronferry/lifecycle/AgreeTest.java
@@ -35,22 +35,22 @@
                         .waitFor());
     }
 
-    private boolean told(String what) {
+    private boolean logContains(String text) {
         try {
-            return Files.readString(said).contains(what);
+            return Files.readString(logFile).contains(text);
         } catch (java.io.IOException e) {
             return false;
         }
     }
 
     private void startAll() throws Exception {
-        said = Files.createTempFile("said", ".txt");
-        keep(() -> Files.delete(said));
+        logFile = Files.createTempFile("said", ".txt");
+        closeAfterTest(() -> Files.delete(logFile));
         InetSocketAddress[] listen = new InetSocketAddress[SIZE];
         for (int i = 0; i < SIZE; i++) {
             listen[i] = new InetSocketAddress("127.0.0.1", freePort());
         }
-        links = keep(new LossyNetwork(listen));
+        links = closeAfterTest(new LossyNetwork(listen));
         for (int i = 0; i < SIZE; i++) {
             JSONObject c = new JSONObject(config.toString());
             c.put("listen", "127.0.0.1:" + freePort()).put("console", "127.0.0.1:" + freePort());
@@ -70,10 +70,10 @@
         }
     }
 
-    private long figure(int node, String name) {
+    private long metric(int node, String name) {
         config = configs.get(node);
         try {
-            return figure("app_settings_" + name);
+            return metric("app_settings_" + name);
         } catch (Exception e) {
             return -1; // it is not up, or stands still
         }
@@ -82,7 +82,7 @@
     private void awaitEverywhere(String name, long value) throws InterruptedException {
         for (int i = 0; i < SIZE; i++) {
             int node = i;
-            await(() -> figure(node, name) == value);
+            await(() -> metric(node, name) == value);
         }
     }
 
@@ -99,7 +99,7 @@
     public void aNewFileAtOneHoldsAtAllAndAtThoseThatComeBack() throws Exception {
         startAll();
         awaitEverywhere("state", 0);
-        assertEquals(0, figure(0, "held"));
+        assertEquals(0, metric(0, "held"));
 
         // one changed, one removed, one added
         JSONObject next = new JSONObject(configs.get(0).toString());
@@ -108,34 +108,34 @@
         reload(0, next);
         awaitEverywhere("held", 3);
         awaitEverywhere("marks", 1);
-        long digest = figure(0, "digest");
+        long digest = metric(0, "digest");
         awaitEverywhere("digest", digest);
-        assertTrue(told("settings.realms.kilbarron-grads.allowancePerS 70 of dispatcher 0"));
+        assertTrue(logContains("settings.realms.kilbarron-grads.allowancePerS 70 of dispatcher 0"));
 
         // a faulty file changes nothing, and the good part of it neither
         JSONObject faulty = new JSONObject(configs.get(1).toString());
         realms(faulty).getJSONObject(0).put("allowancePerS", 80);
         realms(faulty).getJSONObject(1).put("allowancePerS", -1);
         reload(1, faulty);
-        await(() -> told("configuration key settings.realms.lisdara-college.allowancePerS: must be a number of 0"));
-        assertEquals(digest, figure(1, "digest"));
+        await(() -> logContains("configuration key settings.realms.lisdara-college.allowancePerS: must be a number of 0"));
+        assertEquals(digest, metric(1, "digest"));
         // what was stopped meanwhile, or has its old file still, catches up
         signal(processes.get(2), "STOP");
         realms(faulty).getJSONObject(1).put("allowancePerS", 31);
         reload(1, faulty);
-        await(() -> figure(0, "digest") != digest && figure(0, "digest") == figure(1, "digest"));
+        await(() -> metric(0, "digest") != digest && metric(0, "digest") == metric(1, "digest"));
         signal(processes.get(2), "CONT");
-        awaitEverywhere("digest", figure(0, "digest"));
-        assertEquals("the removal of lisdara-college is replaced by its new quota", 3, figure(0, "held"));
-        assertEquals(0, figure(2, "marks"));
+        awaitEverywhere("digest", metric(0, "digest"));
+        assertEquals("the removal of lisdara-college is replaced by its new quota", 3, metric(0, "held"));
+        assertEquals(0, metric(2, "marks"));
 
         processes.get(2).destroyForcibly().waitFor();
         config = configs.get(2);
         processes.set(2, startProcess(files.get(2)));
-        awaitEverywhere("digest", figure(0, "digest"));
+        awaitEverywhere("digest", metric(0, "digest"));
         awaitEverywhere("state", 0);
         awaitEverywhere("behind_seconds", 0);
-        assertTrue(told("agreed upon with another dispatcher, 3 changes held"));
+        assertTrue(logContains("agreed upon with another dispatcher, 3 changes held"));
     }
 
     /** The same key changed on both sides of a cut, and another one on one; at 40 % loss, doubled and out of order. */
@@ -148,17 +148,17 @@
         JSONObject one = new JSONObject(configs.get(0).toString());
         realms(one).getJSONObject(0).put("allowancePerS", 60);
         reload(0, one);
-        await(() -> figure(0, "held") == 1);
+        await(() -> metric(0, "held") == 1);
         JSONObject other = new JSONObject(configs.get(1).toString());
         realms(other).getJSONObject(0).put("allowancePerS", 70);
         realms(other).getJSONObject(1).put("allowancePerS", 40);
         reload(1, other);
-        await(() -> figure(2, "held") == 2);
-        assertEquals(1, figure(0, "held"));
-        long later = figure(1, "digest");
+        await(() -> metric(2, "held") == 2);
+        assertEquals(1, metric(0, "held"));
+        long later = metric(1, "digest");
         links.cutAt = 0;
         awaitEverywhere("digest", later);
-        assertTrue(told("settings.realms.kilbarron-grads.allowancePerS 70 of dispatcher 1"));
+        assertTrue(logContains("settings.realms.kilbarron-grads.allowancePerS 70 of dispatcher 1"));
     }
 
     private void trouble() {
@@ -177,11 +177,11 @@
         JSONObject next = new JSONObject(configs.get(0).toString());
         for (int i = 0; i < CHANGES; i++) {
             realms(next).getJSONObject(0).put("allowancePerS", 100 + i);
-            long before = figure(0, "digest");
+            long before = metric(0, "digest");
             long from = System.nanoTime();
             reload(0, next);
-            await(() -> figure(0, "digest") != before);
-            awaitEverywhere("digest", figure(0, "digest"));
+            await(() -> metric(0, "digest") != before);
+            awaitEverywhere("digest", metric(0, "digest"));
             took.add((System.nanoTime() - from) / 1e9);
         }
         java.util.Collections.sort(took);
@@ -194,7 +194,7 @@
                 took.get((int) Math.ceil(0.99 * CHANGES) - 1),
                 took.get(CHANGES - 1));
         for (int i = 0; i < SIZE; i++) {
-            assertEquals(1, figure(i, "held"));
+            assertEquals(1, metric(i, "held"));
         }
     }
 
@@ -212,9 +212,9 @@
                 stranger.send(new DatagramPacket(
                         forged, forged.length, InetAddress.getByName("127.0.0.1"), Integer.parseInt(to.split(":")[1])));
             }
-            await(() -> told("datagram dropped: 60 bytes from") && figure(0, "dropped") == 1);
+            await(() -> logContains("datagram dropped: 60 bytes from") && metric(0, "dropped") == 1);
         }
-        assertEquals(0, figure(0, "held"));
+        assertEquals(0, metric(0, "held"));
         assertTrue(processes.get(0).isAlive());
     }
 }
--- a/src/test/java/saffronferry/lifecycle/BadClientsTest.java
+++ b/src/test/java/saffronferry/lifecycle/BadClientsTest.java
@@ -19,8 +19,8 @@
     private static final String HIDDEN = HEAD + "X-Txn: hidden\r\n" + EMPTY;
 
     private List<String> passedOn() {
-        List<String> all = new ArrayList<>(a.requests);
-        all.addAll(b.requests);
+        List<String> all = new ArrayList<>(workerA.requests);
+        all.addAll(workerB.requests);
         return all;
     }
 
@@ -136,20 +136,20 @@
                 crowd.get(0).getInputStream().read());
         ScriptedServer.write(usual.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
         assertTrue(readLine(usual).contains("200"));
-        assertEquals(200, get(gift(3000)).statusCode());
+        assertEquals(200, get(sendGift(3000)).statusCode());
     }
 
     /** A second RPC by the name of an open one is turned away, and the first goes on untouched. */
     @Test
     public void theIdOfAnOpenRpcIsNotTakenTwice() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(400);
-        b.script = ScriptedServer.serveAfterMs(400);
+        workerA.script = ScriptedServer.serveAfterMs(400);
+        workerB.script = ScriptedServer.serveAfterMs(400);
         start();
-        CompletableFuture<HttpResponse<String>> first = ask("same", "directory-page", 3000);
+        CompletableFuture<HttpResponse<String>> first = sendRequest("same", "directory-page", 3000);
         await(() -> passedOn().size() == 1);
-        assertEquals(409, get(ask("same", "directory-page", 3000)).statusCode());
+        assertEquals(409, get(sendRequest("same", "directory-page", 3000)).statusCode());
         assertEquals(200, get(first).statusCode());
         assertEquals(1, passedOn().size());
-        assertEquals("free again", 200, get(ask("same", "directory-page", 3000)).statusCode());
+        assertEquals("free again", 200, get(sendRequest("same", "directory-page", 3000)).statusCode());
     }
 }
--- a/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
@@ -63,7 +63,7 @@
         awaitUp();
         List<SocketChannel> usual = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            usual.add(keep(SocketChannel.open(new java.net.InetSocketAddress("127.0.0.1", port()))));
+            usual.add(closeAfterTest(SocketChannel.open(new java.net.InetSocketAddress("127.0.0.1", port()))));
         }
         int served = 0;
         for (int round = 0; round < 4; round++) {
@@ -102,7 +102,7 @@
         Process process = serve(384);
         List<ConnectionFlood> crowds = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            crowds.add(keep(new ConnectionFlood(port(), 200)));
+            crowds.add(closeAfterTest(new ConnectionFlood(port(), 200)));
             Thread.sleep(100);
         }
         long up = ConnectionFlood.msUntilUp(port());
@@ -123,21 +123,21 @@
             assertTrue(ConnectionFlood.msUntilUp(port()) <= 1000);
             assertTrue("" + held.most(), held.most() <= 256 - KEPT_FREE);
         }
-        assertEquals(200, get(gift(3000)).statusCode());
+        assertEquals(200, get(sendGift(3000)).statusCode());
     }
 
     /** Workers that hang hold what is left for workers; every RPC still has its answer in time. */
     @Test
     public void attemptsThatHangTakeNoMoreThanTheirPart() throws Exception {
-        a.script = ScriptedServer::neverAnswer;
-        b.script = ScriptedServer::neverAnswer;
+        workerA.script = ScriptedServer::neverAnswer;
+        workerB.script = ScriptedServer::neverAnswer;
         Process process = serve(256);
         awaitUp();
         try (ConnectionFlood.DescriptorPeak held = new ConnectionFlood.DescriptorPeak(process.pid())) {
             List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
             long begun = System.nanoTime();
             for (int i = 0; i < 200; i++) {
-                answers.add(ask("directory-page", 2500).exceptionally(e -> null));
+                answers.add(sendRequest("directory-page", 2500).exceptionally(e -> null));
             }
             int told = 0;
             for (CompletableFuture<HttpResponse<String>> answer : answers) {
@@ -149,11 +149,11 @@
             assertTrue("in " + took + " ms", took < 7500);
             assertTrue("" + held.most(), held.most() <= 256 - KEPT_FREE);
         }
-        a.script = ScriptedServer::serve;
-        b.script = ScriptedServer::serve;
+        workerA.script = ScriptedServer::serve;
+        workerB.script = ScriptedServer::serve;
         await(() -> unchecked(() -> {
             try {
-                return get(gift(3000)).statusCode() == 200;
+                return get(sendGift(3000)).statusCode() == 200;
             } catch (Exception e) {
                 throw new IOException(e);
             }
@@ -192,7 +192,7 @@
         AtomicInteger calls = startWithFailingAccept(
                 () -> System.nanoTime() < until[0] ? new SocketException("Too many open files") : null);
         until[0] = System.nanoTime() + 5_000_000_000L;
-        CompletableFuture<HttpResponse<String>> answer = gift(9000);
+        CompletableFuture<HttpResponse<String>> answer = sendGift(9000);
         assertEquals(200, get(answer).statusCode());
         assertTrue(System.nanoTime() > until[0]);
         assertTrue(calls + " calls", calls.get() >= 5 && calls.get() < 40);
@@ -206,7 +206,7 @@
                 ? new NoClassDefFoundError("Could not initialize class sun.util.calendar.ZoneInfoFile")
                 : null);
         left.set(3);
-        assertEquals(200, get(gift(9000)).statusCode());
+        assertEquals(200, get(sendGift(9000)).statusCode());
         assertEquals(3, calls.get());
     }
 
@@ -219,7 +219,7 @@
         Thread.sleep(3000);
         signal(process, "CONT");
         assertTrue(ConnectionFlood.msUntilUp(port()) <= 1000);
-        assertEquals(200, get(gift(3000)).statusCode());
+        assertEquals(200, get(sendGift(3000)).statusCode());
         assertTrue(process.isAlive());
     }
 
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -23,7 +23,7 @@
     }
 
     private Socket caller(String said) throws IOException {
-        Socket s = keep(new Socket("127.0.0.1", consolePort()));
+        Socket s = closeAfterTest(new Socket("127.0.0.1", consolePort()));
         s.setSoTimeout(5000);
         ScriptedServer.write(s.getOutputStream(), said);
         return s;
@@ -105,50 +105,50 @@
 
     @Test
     public void theFiguresAreWhatClientsAndWorkersSaw() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(300);
-        b.close(); // connecting there fails, and is no attempt written
-        members(
-                entry("a", a.address(), 1, "SERVING", 0),
-                entry("b", b.address(), 2, "SERVING", 0),
-                entry("c", b.address(), 2, "DRAINING", 0));
+        workerA.script = ScriptedServer.serveAfterMs(300);
+        workerB.close(); // connecting there fails, and is no attempt written
+        setKnownWorkers(
+                entry("a", workerA.address(), 1, "SERVING", 0),
+                entry("b", workerB.address(), 2, "SERVING", 0),
+                entry("c", workerB.address(), 2, "DRAINING", 0));
         start();
         List<CompletableFuture<HttpResponse<String>>> open = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            open.add(ask("directory-page", 3000));
+            open.add(sendRequest("directory-page", 3000));
         }
-        await(() -> a.requests.size() == 2);
-        assertEquals(2, figure("app_active"));
+        await(() -> workerA.requests.size() == 2);
+        assertEquals(2, metric("app_active"));
         for (CompletableFuture<HttpResponse<String>> one : open) {
             assertEquals(200, get(one).statusCode());
         }
-        a.script = (request, out) -> false; // takes the job and breaks
-        assertEquals(500, get(gift(3000)).statusCode());
-        a.script = ScriptedServer.serveAfterMs(1500);
-        CompletableFuture<HttpResponse<String>> late = ask("directory-page", 400); // the worker holds it too long
+        workerA.script = (request, out) -> false; // takes the job and breaks
+        assertEquals(500, get(sendGift(3000)).statusCode());
+        workerA.script = ScriptedServer.serveAfterMs(1500);
+        CompletableFuture<HttpResponse<String>> late = sendRequest("directory-page", 400); // the worker holds it too long
         assertTrue(get(late).statusCode() >= 500);
         long answers = 0;
         for (String name : List.of("directory-page", "record-gift")) {
             for (String result : List.of("ok", "shed", "errors")) {
-                answers += figure("app_responses{kind=\"" + name + "\",result=\"" + result + "\"}");
+                answers += metric("app_responses{kind=\"" + name + "\",result=\"" + result + "\"}");
             }
         }
-        assertEquals(2, figure("app_responses{kind=\"directory-page\",result=\"ok\"}"));
-        assertEquals(1, figure("app_responses{kind=\"record-gift\",result=\"errors\"}"));
+        assertEquals(2, metric("app_responses{kind=\"directory-page\",result=\"ok\"}"));
+        assertEquals(1, metric("app_responses{kind=\"record-gift\",result=\"errors\"}"));
         assertEquals(4, answers);
         assertEquals(
-                a.requests.size(),
-                figure("app_tries{kind=\"directory-page\"}") + figure("app_tries{kind=\"record-gift\"}"));
-        assertEquals(0, figure("app_active"));
-        assertEquals(3, figure("app_pool_size"));
-        long byChoice = figure("app_pool_ejected");
-        yes("/ops/workers/down/c");
-        assertEquals(byChoice + 1, figure("app_pool_ejected"));
+                workerA.requests.size(),
+                metric("app_tries{kind=\"directory-page\"}") + metric("app_tries{kind=\"record-gift\"}"));
+        assertEquals(0, metric("app_active"));
+        assertEquals(3, metric("app_pool_size"));
+        long byChoice = metric("app_pool_ejected");
+        assertCallSucceeds("/ops/workers/down/c");
+        assertEquals(byChoice + 1, metric("app_pool_ejected"));
     }
 
     private void awaitFigure(String name, long over) throws InterruptedException {
         await(() -> {
             try {
-                return figure(name) > over;
+                return metric(name) > over;
             } catch (Exception e) {
                 throw new AssertionError(e);
             }
@@ -159,14 +159,14 @@
     @Test
     public void whatControlCostsIsToldByKind() throws Exception {
         String told =
-                "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", a.address(), 1, "SERVING", 0) + "]}";
-        discovery.script = tell(told);
+                "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", workerA.address(), 1, "SERVING", 0) + "]}";
+        discovery.script = watchSending(told);
         start();
         awaitFigure("app_control_bytes{kind=\"lists\",way=\"in\"}", told.length());
         assertTrue(
                 "and the head of an answer",
-                figure("app_control_bytes{kind=\"lists\",way=\"in\"}") < told.length() + 500);
-        assertTrue("the call", figure("app_control_bytes{kind=\"lists\",way=\"out\"}") > 50);
+                metric("app_control_bytes{kind=\"lists\",way=\"in\"}") < told.length() + 500);
+        assertTrue("the call", metric("app_control_bytes{kind=\"lists\",way=\"out\"}") > 50);
         awaitFigure("app_control_bytes{kind=\"probes\",way=\"out\"}", 50);
         awaitFigure("app_control_resident_bytes", 10_000_000);
         String cpu = call("GET", "/ops/stats")
@@ -189,23 +189,23 @@
 
     @Test
     public void whatWasTakenOutGetsNothingUntilTheCallBackWhateverTheListSays() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(400);
-        b.script = ScriptedServer.serveAfterMs(400);
+        workerA.script = ScriptedServer.serveAfterMs(400);
+        workerB.script = ScriptedServer.serveAfterMs(400);
         discovery.script = (request, out) -> {
             Thread.sleep(800);
-            return tell("{\"revision\":2,\"complete\":true,\"members\":["
-                            + entry("a", a.address(), 1, "SERVING", System.currentTimeMillis()) + ","
-                            + entry("b", b.address(), 2, "SERVING", 0) + "]}")
+            return watchSending("{\"revision\":2,\"complete\":true,\"members\":["
+                            + entry("a", workerA.address(), 1, "SERVING", System.currentTimeMillis()) + ","
+                            + entry("b", workerB.address(), 2, "SERVING", 0) + "]}")
                     .play(request, out);
         };
         start();
-        CompletableFuture<HttpResponse<String>> running = gift(5000);
-        await(() -> a.requests.size() + b.requests.size() == 1);
-        ScriptedServer out = a.requests.isEmpty() ? b : a;
-        yes("/ops/workers/down/" + (out == a ? "a" : "b"));
+        CompletableFuture<HttpResponse<String>> running = sendGift(5000);
+        await(() -> workerA.requests.size() + workerB.requests.size() == 1);
+        ScriptedServer out = workerA.requests.isEmpty() ? workerB : workerA;
+        assertCallSucceeds("/ops/workers/down/" + (out == workerA ? "a" : "b"));
         List<CompletableFuture<HttpResponse<String>>> held = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            held.add(ask("directory-page", 6000));
+            held.add(sendRequest("directory-page", 6000));
         }
         assertEquals("what runs there finishes", 200, get(running).statusCode());
         for (CompletableFuture<HttpResponse<String>> one : held) {
@@ -213,11 +213,11 @@
             assertTrue("served, or refused for want of slots: " + status, status == 200 || status == 503);
         }
         Thread.sleep(600); // by now the list has told of it anew, as in service and restarted
-        assertEquals(200, get(gift(5000)).statusCode());
+        assertEquals(200, get(sendGift(5000)).statusCode());
         assertEquals(1, out.requests.size());
-        yes("/ops/workers/up/" + (out == a ? "a" : "b"));
+        assertCallSucceeds("/ops/workers/up/" + (out == workerA ? "a" : "b"));
         await(() -> {
-            ask("directory-page", 3000);
+            sendRequest("directory-page", 3000);
             return out.requests.size() > 1;
         });
     }
@@ -225,19 +225,19 @@
     @Test
     public void withAllTakenOutRequestsAreRefusedAndServedAgainAfterTheCallBack() throws Exception {
         start();
-        yes("/ops/workers/down/a");
-        yes("/ops/workers/down/b");
-        assertEquals(503, get(gift(300)).statusCode());
-        assertEquals(0, a.requests.size() + b.requests.size());
-        yes("/ops/workers/up/a");
+        assertCallSucceeds("/ops/workers/down/a");
+        assertCallSucceeds("/ops/workers/down/b");
+        assertEquals(503, get(sendGift(300)).statusCode());
+        assertEquals(0, workerA.requests.size() + workerB.requests.size());
+        assertCallSucceeds("/ops/workers/up/a");
         await(() -> {
             try {
-                return get(gift(2000)).statusCode() == 200;
+                return get(sendGift(2000)).statusCode() == 200;
             } catch (Exception e) {
                 return false;
             }
         });
-        assertEquals(0, b.requests.size());
+        assertEquals(0, workerB.requests.size());
     }
 
     /** An attempt whose connection is yet to come up: its worker is out before the first byte could leave. */
@@ -247,33 +247,33 @@
         Random random = new Random(7);
         int banned = 0;
         for (int round = 0; round < 40; round++) {
-            ScriptedServer out = round % 2 == 0 ? a : b;
+            ScriptedServer out = round % 2 == 0 ? workerA : workerB;
             long surplus = surplus();
             List<CompletableFuture<HttpResponse<String>>> load = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                load.add(ask("directory-page", 4000));
+                load.add(sendRequest("directory-page", 4000));
             }
             Thread.sleep(0, random.nextInt(900_000));
-            yes("/ops/workers/down/" + (out == a ? "a" : "b"));
+            assertCallSucceeds("/ops/workers/down/" + (out == workerA ? "a" : "b"));
             // what had left before the yes is read, however busy the machine
             long written = written();
             await(() -> read() - written >= surplus);
             int got = out.requests.size();
             for (int i = 0; i < 6; i++) {
-                load.add(ask("directory-page", 4000));
+                load.add(sendRequest("directory-page", 4000));
             }
             for (CompletableFuture<HttpResponse<String>> one : load) {
                 assertEquals(200, get(one).statusCode());
             }
             assertEquals("round " + round, got, out.requests.size());
             banned += got > 0 ? 1 : 0;
-            yes("/ops/workers/up/" + (out == a ? "a" : "b"));
+            assertCallSucceeds("/ops/workers/up/" + (out == workerA ? "a" : "b"));
         }
         assertTrue("the workers were in use before", banned > 20);
     }
 
     private long read() {
-        return a.requests.size() + b.requests.size();
+        return workerA.requests.size() + workerB.requests.size();
     }
 
     /** How many more the workers have read than were written whole, some having been given up meanwhile; at rest. */
@@ -291,7 +291,7 @@
 
     private long active() {
         try {
-            return figure("app_active");
+            return metric("app_active");
         } catch (Exception e) {
             return -1;
         }
@@ -299,27 +299,27 @@
 
     /** Attempts written whole so far. */
     private long written() throws Exception {
-        return figure("app_tries{kind=\"directory-page\"}") + figure("app_tries{kind=\"record-gift\"}");
+        return metric("app_tries{kind=\"directory-page\"}") + metric("app_tries{kind=\"record-gift\"}");
     }
 
     @Test
     public void bansOutliveTheProcessAndADamagedFileEndsNoStart() throws Exception {
         DispatcherServer first = newServer();
         start(first);
-        yes("/ops/workers/down/a");
+        assertCallSucceeds("/ops/workers/down/a");
         first.close().toCompletionStage().toCompletableFuture().get();
         DispatcherServer second = newServer();
         start(second);
-        assertEquals(1, figure("app_pool_ejected"));
-        assertEquals(200, get(gift(3000)).statusCode());
-        assertEquals(0, a.requests.size());
+        assertEquals(1, metric("app_pool_ejected"));
+        assertEquals(200, get(sendGift(3000)).statusCode());
+        assertEquals(0, workerA.requests.size());
         second.close().toCompletionStage().toCompletableFuture().get();
         Path file = folder.resolve(new Config(config, folder).fileName() + ".bans");
         Files.writeString(file, "{\"version\":1,\"down\":[\"a");
         start();
-        assertEquals(0, figure("app_pool_ejected"));
-        yes("/ops/workers/down/b");
-        assertEquals(1, figure("app_pool_ejected"));
+        assertEquals(0, metric("app_pool_ejected"));
+        assertCallSucceeds("/ops/workers/down/b");
+        assertEquals(1, metric("app_pool_ejected"));
     }
 
     /** A call may reach either process of an upgrade. */
@@ -327,19 +327,19 @@
     public void bansThatAnotherProcessWritesAreFollowed() throws Exception {
         start();
         BanFile other = new BanFile(folder, new Config(config, folder).fileName());
-        yes("/ops/workers/down/a");
+        assertCallSucceeds("/ops/workers/down/a");
         other.change(bans -> bans.with("b"));
         awaitFigure(2);
         other.change(bans -> bans.without("a"));
         awaitFigure(1);
-        yes("/ops/workers/up/b");
+        assertCallSucceeds("/ops/workers/up/b");
         assertEquals(0, other.read().workers().size());
     }
 
     private void awaitFigure(long ejected) throws InterruptedException {
         await(() -> {
             try {
-                return figure("app_pool_ejected") == ejected;
+                return metric("app_pool_ejected") == ejected;
             } catch (Exception e) {
                 return false;
             }
@@ -366,7 +366,7 @@
         assertTrue(answer(kept).startsWith("HTTP/1.1 200 "));
         ScriptedServer.write(idle.getOutputStream(), job(2));
         assertTrue(answer(idle).startsWith("HTTP/1.1 200 "));
-        yes("/ops/drain/start");
+        assertCallSucceeds("/ops/drain/start");
         long begun = System.nanoTime();
         assertEquals(
                 503,
@@ -383,7 +383,7 @@
         assertTrue("an answer, and then the end: " + last, last.startsWith("HTTP/1.1 200 "));
         assertEquals("idle ones end", "", readAll(idle));
         assertTrue(System.nanoTime() - begun < 2_000_000_000L);
-        yes("/ops/drain/stop");
+        assertCallSucceeds("/ops/drain/stop");
         assertEquals(
                 200,
                 client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding())
@@ -399,12 +399,12 @@
     /** Whoever drained a dispatcher by call may end it too, and it ends when all has its answer. */
     @Test
     public void sigtermInADrainEndsTheProcessAndLosesNothing() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(1200);
-        b.script = ScriptedServer.serveAfterMs(1200);
+        workerA.script = ScriptedServer.serveAfterMs(1200);
+        workerB.script = ScriptedServer.serveAfterMs(1200);
         Process process = startProcess(configFile());
-        CompletableFuture<HttpResponse<String>> open = gift(5000);
-        await(() -> a.requests.size() + b.requests.size() == 1);
-        yes("/ops/drain/start");
+        CompletableFuture<HttpResponse<String>> open = sendGift(5000);
+        await(() -> workerA.requests.size() + workerB.requests.size() == 1);
+        assertCallSucceeds("/ops/drain/start");
         process.destroy();
         assertEquals(200, get(open).statusCode());
         assertTrue(process.waitFor(5, java.util.concurrent.TimeUnit.SECONDS));
--- a/src/test/java/saffronferry/lifecycle/EndingsTest.java
+++ b/src/test/java/saffronferry/lifecycle/EndingsTest.java
@@ -53,7 +53,7 @@
         long begun = System.nanoTime();
         await(() -> {
             try {
-                return figure("app_active") == 0;
+                return metric("app_active") == 0;
             } catch (Exception e) {
                 return false;
             }
@@ -64,7 +64,7 @@
     /** Held, since no worker is there. What the departure crosses must not hide it. */
     @Test
     public void aClientThatGoesWhileItsRpcIsHeldIsSeenToHaveGone() throws Exception {
-        members();
+        setKnownWorkers();
         start();
         for (Leave leave : Leave.values()) {
             Socket s = connect();
@@ -80,7 +80,7 @@
     /** A few requests in one write are served in turn: none overtakes another, and none is opened too early. */
     @Test
     public void requestsSentAtOnceAreServedInTurnUpToABoundAndThenTheConnectionCloses() throws Exception {
-        b.close();
+        workerB.close();
         start();
         Socket s = connect();
         StringBuilder flood = new StringBuilder();
@@ -91,15 +91,15 @@
         String answers = readAll(s);
         int served = answers.split("HTTP/1.1 200 OK", -1).length - 1;
         assertTrue(served + " served: " + answers, served > 1 && served < 100);
-        for (int i = 0; i < a.requests.size(); i++) {
-            assertTrue(a.requests.get(i), a.requests.get(i).toLowerCase().contains("x-txn: turn-" + i + "\r\n"));
+        for (int i = 0; i < workerA.requests.size(); i++) {
+            assertTrue(workerA.requests.get(i), workerA.requests.get(i).toLowerCase().contains("x-txn: turn-" + i + "\r\n"));
         }
-        assertEquals(served, a.requests.size());
+        assertEquals(served, workerA.requests.size());
     }
 
     private long active() {
         try {
-            return figure("app_active");
+            return metric("app_active");
         } catch (Exception e) {
             return -1;
         }
@@ -108,7 +108,7 @@
     /** What has its result, or was turned away, must not go on holding descriptors here and at the worker. */
     @Test
     public void anAnswerThatGoesOnAfterItsEndIsClosed() throws Exception {
-        b.close();
+        workerB.close();
         List<ScriptedServer.Script> endless = List.of(
                 (request, out) -> {
                     ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -131,15 +131,15 @@
         start();
         int closed = 0;
         for (ScriptedServer.Script script : endless) {
-            a.script = (request, out) -> a.requests.size() > 1 ? ScriptedServer.serve(request, out) : script.play(request, out);
-            a.requests.clear();
-            ask("directory-page", 6000);
-            await(() -> a.requests.size() >= 1);
+            workerA.script = (request, out) -> workerA.requests.size() > 1 ? ScriptedServer.serve(request, out) : script.play(request, out);
+            workerA.requests.clear();
+            sendRequest("directory-page", 6000);
+            await(() -> workerA.requests.size() >= 1);
             int before = closed;
-            await(() -> a.connectionsClosedByPeer.get() > before || a.connectionsBrokenByPeer.get() > before);
-            a.script = ScriptedServer::serve;
+            await(() -> workerA.connectionsClosedByPeer.get() > before || workerA.connectionsBrokenByPeer.get() > before);
+            workerA.script = ScriptedServer::serve;
             await(() -> active() == 0);
-            closed = Math.max(a.connectionsClosedByPeer.get(), a.connectionsBrokenByPeer.get());
+            closed = Math.max(workerA.connectionsClosedByPeer.get(), workerA.connectionsBrokenByPeer.get());
         }
     }
 
@@ -210,14 +210,14 @@
     @Test
     public void aDialThatComesUpLateBeginsNothingForAClientThatHasGone() throws Exception {
         for (boolean cancel : new boolean[] {true, false}) {
-            LateWorker late = keep(new LateWorker());
+            LateWorker late = closeAfterTest(new LateWorker());
             config.getJSONObject("settings")
                     .getJSONObject("limits")
                     .put("cancel", cancel)
                     .put("connectTimeout", 8)
                     .put("probes", false);
             config.put("listen", "127.0.0.1:" + freePort()).put("console", "127.0.0.1:" + freePort());
-            members(entry("late", late.address(), 1, "SERVING", 0));
+            setKnownWorkers(entry("late", late.address(), 1, "SERVING", 0));
             start();
             Socket s = connect();
             ScriptedServer.write(s.getOutputStream(), raw("dialled-" + cancel, "body"));
@@ -244,34 +244,34 @@
      */
     @Test
     public void anAttemptTellsWhatIsLeftToTheClientByItsOwnCount() throws Exception {
-        b.close();
-        members(entry("a", a.address(), 1, "SERVING", 0));
+        workerB.close();
+        setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0));
         start();
         Socket s = connect();
         String request = raw("slow", "body");
         ScriptedServer.write(s.getOutputStream(), request.substring(0, 20));
         Thread.sleep(1000); // the client's own pace; the first piece is surely read within half of it
         ScriptedServer.write(s.getOutputStream(), request.substring(20) + "\r\n");
-        await(() -> a.requests.size() == 1);
-        assertTrue(a.requests.get(0), told(a.requests.get(0)) <= 5500);
+        await(() -> workerA.requests.size() == 1);
+        assertTrue(workerA.requests.get(0), told(workerA.requests.get(0)) <= 5500);
         // an empty line that came long before belongs to no request
         Thread.sleep(1000);
         long sent = System.nanoTime();
         ScriptedServer.write(s.getOutputStream(), raw("next", "body"));
-        await(() -> a.requests.size() == 2);
+        await(() -> workerA.requests.size() == 2);
         long took = (System.nanoTime() - sent) / 1_000_000;
-        assertTrue(a.requests.get(1) + " after " + took, told(a.requests.get(1)) >= 6000 - took - 3);
+        assertTrue(workerA.requests.get(1) + " after " + took, told(workerA.requests.get(1)) >= 6000 - took - 3);
     }
 
     /** What is told is fixed when it is written, not when the attempt is decided on. */
     @Test
     public void anAttemptDoesNotTellTheTimeOfItsDial() throws Exception {
-        LateWorker late = keep(new LateWorker());
+        LateWorker late = closeAfterTest(new LateWorker());
         config.getJSONObject("settings")
                 .getJSONObject("limits")
                 .put("connectTimeout", 8)
                 .put("probes", false);
-        members(entry("late", late.address(), 1, "SERVING", 0));
+        setKnownWorkers(entry("late", late.address(), 1, "SERVING", 0));
         start();
         Socket s = connect();
         ScriptedServer.write(s.getOutputStream(), raw("dialled", "body"));
@@ -288,13 +288,13 @@
      */
     @Test
     public void aDialThatComesUpAfterTheListSaysThatItsWorkerDrainsBeginsNothing() throws Exception {
-        LateWorker late = keep(new LateWorker());
+        LateWorker late = closeAfterTest(new LateWorker());
         CountDownLatch dialled = new CountDownLatch(1);
         config.getJSONObject("settings")
                 .getJSONObject("limits")
                 .put("connectTimeout", 8)
                 .put("probes", false);
-        members(entry("late", late.address(), 1, "SERVING", 0));
+        setKnownWorkers(entry("late", late.address(), 1, "SERVING", 0));
         discovery.script = (request, out) -> {
             ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             ScriptedServer.chunk(out, "{\"revision\":1,\"complete\":false,\"members\":[]}");
@@ -304,7 +304,7 @@
             ScriptedServer.chunk(
                     out,
                     "{\"revision\":2,\"complete\":false,\"members\":[" + entry("late", late.address(), 1, "DRAINING", 0)
-                            + "," + entry("a", a.address(), 2, "SERVING", 0) + "]}");
+                            + "," + entry("a", workerA.address(), 2, "SERVING", 0) + "]}");
             Thread.sleep(60_000);
             return false;
         };
@@ -313,7 +313,7 @@
         ScriptedServer.write(s.getOutputStream(), raw("drained", "body"));
         await(() -> active() == 1);
         dialled.countDown();
-        await(() -> a.requests.size() == 1); // the RPC goes to the one that is in service
+        await(() -> workerA.requests.size() == 1); // the RPC goes to the one that is in service
         late.open();
         await(() -> late.ended >= 1);
         assertEquals(0, late.bytes);
@@ -335,9 +335,9 @@
                 .put("idempotency", "once");
         start();
         for (Break when : Break.values()) {
-            a.requests.clear();
-            b.requests.clear();
-            a.script = (request, out) -> {
+            workerA.requests.clear();
+            workerB.requests.clear();
+            workerA.script = (request, out) -> {
                 if (when.compareTo(Break.BEHIND_THE_ANSWERS_HEAD) >= 0) {
                     ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 }
@@ -346,16 +346,16 @@
                 }
                 throw new ScriptedServer.Reset();
             };
-            b.script = a.script;
-            assertEquals(when.name(), 500, get(ask("directory-page", 3000)).statusCode());
-            assertEquals(when.name(), 1, a.requests.size() + b.requests.size());
+            workerB.script = workerA.script;
+            assertEquals(when.name(), 500, get(sendRequest("directory-page", 3000)).statusCode());
+            assertEquals(when.name(), 1, workerA.requests.size() + workerB.requests.size());
         }
     }
 
     /** Each of a burst is seen: a worker that comes up a moment later hears of none of them. */
     @Test
     public void ofABurstOfDeparturesNoneIsSentOn() throws Exception {
-        members();
+        setKnownWorkers();
         CountDownLatch gone = new CountDownLatch(1);
         discovery.script = (request, out) -> {
             ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -364,7 +364,7 @@
             }
             ScriptedServer.chunk(
                     out,
-                    "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", a.address(), 1, "SERVING", 0)
+                    "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", workerA.address(), 1, "SERVING", 0)
                             + "]}");
             Thread.sleep(60_000);
             return false;
@@ -381,9 +381,9 @@
         }
         Thread.sleep(SEEN_MS); // what begins later than this begins for nobody
         gone.countDown();
-        assertEquals(200, get(ask("the-last", "directory-page", 6000)).statusCode());
+        assertEquals(200, get(sendRequest("the-last", "directory-page", 6000)).statusCode());
         await(() -> active() == 0);
-        for (String request : a.requests) {
+        for (String request : workerA.requests) {
             assertTrue(request, request.toLowerCase().contains("x-txn: the-last"));
         }
     }
@@ -391,10 +391,10 @@
     /** Between two attempts: the first was turned away, and the worker rests before it is asked again. */
     @Test
     public void aClientThatGoesBetweenTwoAttemptsGetsNoSecondOne() throws Exception {
-        b.close();
-        members(entry("a", a.address(), 1, "SERVING", 0));
+        workerB.close();
+        setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0));
         CountDownLatch turnedAway = new CountDownLatch(1);
-        a.script = (request, out) -> {
+        workerA.script = (request, out) -> {
             ScriptedServer.answerWith("503 Full", "X-Turned-Away: 1\r\n").play(request, out);
             turnedAway.countDown();
             return true;
@@ -405,9 +405,9 @@
         turnedAway.await();
         s.close();
         await(() -> active() == 0);
-        int before = a.requests.size();
-        a.script = ScriptedServer::serve;
-        assertEquals(200, get(ask("after", "directory-page", 6000)).statusCode());
-        assertEquals(before + 1, a.requests.size());
+        int before = workerA.requests.size();
+        workerA.script = ScriptedServer::serve;
+        assertEquals(200, get(sendRequest("after", "directory-page", 6000)).statusCode());
+        assertEquals(before + 1, workerA.requests.size());
     }
 }
--- a/src/test/java/saffronferry/lifecycle/ReloadTest.java
+++ b/src/test/java/saffronferry/lifecycle/ReloadTest.java
@@ -22,13 +22,13 @@
 
     @Test
     public void sighupFollowsTheNewDiscoveryAndKeepsTheRest() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(1000);
-        b.script = ScriptedServer.serveAfterMs(1000);
+        workerA.script = ScriptedServer.serveAfterMs(1000);
+        workerB.script = ScriptedServer.serveAfterMs(1000);
         Path file = configFile();
         Process process = startProcess(file);
         await(() -> discovery.requests.size() == 1);
-        CompletableFuture<HttpResponse<String>> open = gift(8000);
-        await(() -> a.requests.size() + b.requests.size() == 1);
+        CompletableFuture<HttpResponse<String>> open = sendGift(8000);
+        await(() -> workerA.requests.size() + workerB.requests.size() == 1);
 
         Files.writeString(file, "{\"listen\": 7}");
         hangUp(process);
@@ -36,21 +36,21 @@
         assertTrue("a faulty file ends nothing", process.isAlive());
 
         // the new one counts its revisions anew, fails at first, and says that one worker drains
-        ScriptedServer next = keep(new ScriptedServer(ScriptedServer.answerWith("503 Late", "")));
+        ScriptedServer next = closeAfterTest(new ScriptedServer(ScriptedServer.answerWith("503 Late", "")));
         Files.writeString(file, config.put("discovery", next.address()).toString());
         hangUp(process);
         await(() -> next.requests.size() == 1);
-        next.script = tell(
-                "{\"revision\":1,\"complete\":false,\"members\":[" + entry("a", a.address(), 1, "DRAINING", 0) + "]}");
+        next.script = watchSending(
+                "{\"revision\":1,\"complete\":false,\"members\":[" + entry("a", workerA.address(), 1, "DRAINING", 0) + "]}");
         await(() -> next.requests.size() == 2);
         for (String request : next.requests) {
             assertTrue(request, request.contains("from=0 "));
         }
         assertEquals("the open RPC goes on", 200, get(open).statusCode());
-        a.requests.clear();
+        workerA.requests.clear();
         Thread.sleep(300);
-        assertEquals("the list held stays", 200, get(gift(8000)).statusCode());
-        assertEquals("and what is new is followed", 0, a.requests.size());
+        assertEquals("the list held stays", 200, get(sendGift(8000)).statusCode());
+        assertEquals("and what is new is followed", 0, workerA.requests.size());
 
         hangUp(process);
         process.destroy();
@@ -65,7 +65,7 @@
         Path pipe = folder.resolve("config.json");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         Process process = launch(pipe, 1024, "saffronferry.cli.Main", "serve");
-        ScriptedServer next = keep(new ScriptedServer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        ScriptedServer next = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         String before = config.toString();
         try (java.io.Writer out = Files.newBufferedWriter(pipe)) { // opens once the process has begun to read it
             hangUp(process);
@@ -90,7 +90,7 @@
         Path file = configFile();
         Process process = launchIgnoringHangup(before, file);
         awaitUp();
-        ScriptedServer next = keep(new ScriptedServer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        ScriptedServer next = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         Files.writeString(file, config.put("discovery", next.address()).toString());
         hangUp(process);
         await(() -> next.requests.size() == 1);
@@ -99,12 +99,12 @@
     /** Started without that, it cannot hear, and says so; it serves all the same. */
     @Test
     public void whereSighupIsIgnoredItIsSaidAtTheStart() throws Exception {
-        Path said = Files.createTempFile("said", ".txt");
-        keep(() -> Files.delete(said));
-        Process process = launchIgnoringHangup("exec 2> " + said + "; exec ", configFile());
+        Path logFile = Files.createTempFile("said", ".txt");
+        closeAfterTest(() -> Files.delete(logFile));
+        Process process = launchIgnoringHangup("exec 2> " + logFile + "; exec ", configFile());
         awaitUp();
         hangUp(process);
-        assertTrue(Files.readString(said), Files.readString(said).contains("SIGHUP is ignored"));
+        assertTrue(Files.readString(logFile), Files.readString(logFile).contains("SIGHUP is ignored"));
         assertTrue(process.isAlive());
     }
 
@@ -120,7 +120,7 @@
                         + System.getProperty("java.class.path") + " saffronferry.cli.Main serve");
         builder.environment().put("BALANCER_CONFIG", file.toString());
         Process process = builder.inheritIO().start();
-        keep(process::destroyForcibly);
+        closeAfterTest(process::destroyForcibly);
         return process;
     }
 
--- a/src/test/java/saffronferry/lifecycle/RulesOnSocketsTest.java
+++ b/src/test/java/saffronferry/lifecycle/RulesOnSocketsTest.java
@@ -22,11 +22,11 @@
 public class RulesOnSocketsTest extends SocketsFixture {
     @Test
     public void aServedRpcHasTheWorkersResultAndPassesOnWhatItMust() throws Exception {
-        b.close();
+        workerB.close();
         start();
-        HttpResponse<String> answer = get(gift(5000));
+        HttpResponse<String> answer = get(sendGift(5000));
         assertEquals("200 made", answer.statusCode() + " " + answer.body());
-        String passed = a.requests.get(0).toLowerCase();
+        String passed = workerA.requests.get(0).toLowerCase();
         assertTrue(passed, passed.startsWith("post /record-gift?obj=7f http/1.1") && passed.endsWith("\r\n\r\nbody"));
         assertTrue(passed, passed.contains("x-txn: t1") && passed.contains("idempotency-key: k1"));
         assertTrue(passed, passed.matches("(?s).*x-remaining-ms: [1-5]\\d{0,3}\r\n.*"));
@@ -35,52 +35,52 @@
     /** Rule 1: a silent worker must not leave the client without its final answer. */
     @Test
     public void anRpcHasItsFinalAnswerByItsDeadline() throws Exception {
-        a.script = ScriptedServer::neverAnswer;
-        b.script = ScriptedServer::neverAnswer;
+        workerA.script = ScriptedServer::neverAnswer;
+        workerB.script = ScriptedServer::neverAnswer;
         start();
-        assertEquals(500, get(gift(700)).statusCode());
-        await(() -> a.connectionsClosedByPeer.get() + b.connectionsClosedByPeer.get() >= 1); // the attempt is given up
+        assertEquals(500, get(sendGift(700)).statusCode());
+        await(() -> workerA.connectionsClosedByPeer.get() + workerB.connectionsClosedByPeer.get() >= 1); // the attempt is given up
     }
 
     /** Rule 2: a keyed RPC that may have run goes to no other cell and is never called refused. */
     @Test
     public void aKeyedRpcThatMayHaveRunIsFailedNotRefusedNorRepeatedElsewhere() throws Exception {
-        a.script = (request, out) -> false;
-        b.script = (request, out) -> false;
+        workerA.script = (request, out) -> false;
+        workerB.script = (request, out) -> false;
         start();
-        assertEquals(500, get(gift(3000)).statusCode());
-        assertEquals(0, Math.min(a.requests.size(), b.requests.size())); // two cells
+        assertEquals(500, get(sendGift(3000)).statusCode());
+        assertEquals(0, Math.min(workerA.requests.size(), workerB.requests.size())); // two cells
     }
 
     /** A worker's own 503 proves nothing and must not reach the client as a refusal. */
     @Test
     public void aBare503OfAWorkerIsNoRefusal() throws Exception {
-        a.script = ScriptedServer.answerWith("503 Busy", "");
-        b.script = a.script;
+        workerA.script = ScriptedServer.answerWith("503 Busy", "");
+        workerB.script = workerA.script;
         start();
-        assertEquals(500, get(gift(3000)).statusCode());
-        assertEquals(0, Math.min(a.requests.size(), b.requests.size())); // two cells
+        assertEquals(500, get(sendGift(3000)).statusCode());
+        assertEquals(0, Math.min(workerA.requests.size(), workerB.requests.size())); // two cells
     }
 
     @Test
     public void anRpcTurnedAwayOrNotConnectedGoesToAnotherCell() throws Exception {
-        a.script = ScriptedServer.answerWith("503 Full", "X-Turned-Away: 1\r\n");
+        workerA.script = ScriptedServer.answerWith("503 Full", "X-Turned-Away: 1\r\n");
         start();
         for (int i = 0; i < 4; i++) {
-            assertEquals(200, get(gift(3000)).statusCode());
+            assertEquals(200, get(sendGift(3000)).statusCode());
         }
-        a.close();
+        workerA.close();
         for (int i = 0; i < 4; i++) {
-            assertEquals(200, get(gift(3000)).statusCode());
+            assertEquals(200, get(sendGift(3000)).statusCode());
         }
     }
 
     /** An RPC with no worker to go to is refused, and the client hears when to come back. */
     @Test
     public void aRefusalSaysWhenToComeBack() throws Exception {
-        members();
+        setKnownWorkers();
         start();
-        HttpResponse<String> answer = get(gift(300));
+        HttpResponse<String> answer = get(sendGift(300));
         assertEquals(503, answer.statusCode());
         double after =
                 Double.parseDouble(answer.headers().firstValue("Retry-After").orElseThrow());
@@ -94,12 +94,12 @@
             ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             ScriptedServer.chunk(
                     out,
-                    "{\"revision\":2,\"complete\":false,\"members\":[" + entry("a", a.address(), 1, "DRAINING", 0)
+                    "{\"revision\":2,\"complete\":false,\"members\":[" + entry("a", workerA.address(), 1, "DRAINING", 0)
                             + "]}");
             Thread.sleep(30_000);
             return false;
         };
-        b.script = (request, out) -> {
+        workerB.script = (request, out) -> {
             Thread.sleep(200); // long enough that jobs asked together would be spread over both
             return ScriptedServer.serve(request, out);
         };
@@ -108,36 +108,36 @@
         Thread.sleep(500);
         List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            answers.add(ask("directory-page", 5000));
+            answers.add(sendRequest("directory-page", 5000));
         }
         for (CompletableFuture<HttpResponse<String>> answer : answers) {
             assertTrue(get(answer).statusCode() != 500);
         }
-        assertFalse(b.requests.isEmpty());
-        assertEquals(0, a.requests.size());
+        assertFalse(workerB.requests.isEmpty());
+        assertEquals(0, workerA.requests.size());
     }
 
     /** Rule 4: of a burst, a worker that has just started is sent less than a warm one takes. */
     @Test
     public void aColdWorkerIsNotPushedOver() throws Exception {
-        a.script = ScriptedServer::neverAnswer;
-        a.load = "x0=12,x1=12";
-        members(entry("a", a.address(), 1, "SERVING", System.currentTimeMillis()));
+        workerA.script = ScriptedServer::neverAnswer;
+        workerA.load = "x0=12,x1=12";
+        setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", System.currentTimeMillis()));
         start();
         Thread.sleep(300);
         for (int i = 0; i < 12; i++) {
-            ask("directory-page", 5000); // one turn of two is ours, and chance has a say
+            sendRequest("directory-page", 5000); // one turn of two is ours, and chance has a say
         }
-        await(() -> !a.requests.isEmpty());
+        await(() -> !workerA.requests.isEmpty());
         Thread.sleep(50);
-        assertTrue("sent " + a.requests.size(), a.requests.size() <= 8);
+        assertTrue("sent " + workerA.requests.size(), workerA.requests.size() <= 8);
     }
 
     /** A watch that fails, ends or falls silent is followed by a new one. */
     @Test
     public void aLostWatchIsFollowedByANewOne() throws Exception {
         String one =
-                "{\"revision\":7,\"complete\":true,\"members\":[" + entry("b", b.address(), 2, "SERVING", 0) + "]}";
+                "{\"revision\":7,\"complete\":true,\"members\":[" + entry("b", workerB.address(), 2, "SERVING", 0) + "]}";
         discovery.script = (request, out) -> {
             int turn = discovery.requests.size();
             if (turn == 1) {
@@ -148,11 +148,11 @@
             Thread.sleep(turn == 3 ? 30_000 : 1); // the third stays open and silent
             return false;
         };
-        members();
+        setKnownWorkers();
         start();
         await(() -> discovery.requests.size() >= 4);
         assertTrue(discovery.requests.get(3), discovery.requests.get(3).contains("from=7"));
-        assertEquals(200, get(ask("directory-page", 3000)).statusCode());
+        assertEquals(200, get(sendRequest("directory-page", 3000)).statusCode());
     }
 
     /** Malformed input from anyone is dropped, and the dispatcher serves on. */
@@ -167,8 +167,8 @@
                 stranger.send(new DatagramPacket(new byte[size], size, here, udp));
             }
         }
-        assertEquals(404, get(ask("no-such-class", 1000)).statusCode());
-        assertEquals(400, get(ask("record-gift", -5)).statusCode());
+        assertEquals(404, get(sendRequest("no-such-class", 1000)).statusCode());
+        assertEquals(400, get(sendRequest("record-gift", -5)).statusCode());
         assertEquals(
                 405,
                 client.send(request("/x").GET().build(), HttpResponse.BodyHandlers.ofString())
@@ -180,7 +180,7 @@
                 .POST(HttpRequest.BodyPublishers.ofByteArray(new byte[65_537]))
                 .build();
         assertEquals(413, client.send(big, HttpResponse.BodyHandlers.ofString()).statusCode());
-        assertEquals(200, get(gift(3000)).statusCode());
+        assertEquals(200, get(sendGift(3000)).statusCode());
     }
 
     /** A datagram of more than 256 bytes voids a run; and a peer must know the sender by its address. */
@@ -198,68 +198,68 @@
     /** What a worker cannot use ends there: it goes to no other worker, and none is held to be at fault. */
     @Test
     public void anRpcThatAWorkerFindsFaultWithFailsAtOnceAndBlamesNobody() throws Exception {
-        a.script = ScriptedServer.answerWith("400 Bad Request", "");
-        b.script = a.script;
+        workerA.script = ScriptedServer.answerWith("400 Bad Request", "");
+        workerB.script = workerA.script;
         start();
         for (int i = 1; i <= 6; i++) {
-            assertEquals(500, get(ask("directory-page", 5000)).statusCode());
-            assertEquals(i, a.requests.size() + b.requests.size());
+            assertEquals(500, get(sendRequest("directory-page", 5000)).statusCode());
+            assertEquals(i, workerA.requests.size() + workerB.requests.size());
         }
-        a.script = ScriptedServer::serve;
-        b.script = a.script;
+        workerA.script = ScriptedServer::serve;
+        workerB.script = workerA.script;
         assertEquals(
-                200, ask("directory-page", 5000).get(700, TimeUnit.MILLISECONDS).statusCode());
+                200, sendRequest("directory-page", 5000).get(700, TimeUnit.MILLISECONDS).statusCode());
     }
 
     /** A worker may drop a connection that it kept; a job written to it would be lost as one that may have run. */
     @Test
     public void noJobIsWrittenToAConnectionThatWasUsedBefore() throws Exception {
         Set<Object> used = Collections.synchronizedSet(new HashSet<>());
-        a.script = (request, out) -> used.add(out) && ScriptedServer.serve(request, out);
-        b.script = a.script;
+        workerA.script = (request, out) -> used.add(out) && ScriptedServer.serve(request, out);
+        workerB.script = workerA.script;
         start();
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, get(gift(3000)).statusCode());
+            assertEquals(200, get(sendGift(3000)).statusCode());
         }
-        assertEquals(6, a.requests.size() + b.requests.size());
+        assertEquals(6, workerA.requests.size() + workerB.requests.size());
     }
 
     /** The attempt's connection is closed by us then, and the worker must not be held to have broken it. */
     @Test
     public void aClientThatGoesAwayEndsItsAttemptAndTheWorkerIsNotBlamed() throws Exception {
-        a.script = ScriptedServer::neverAnswer;
-        members(entry("a", a.address(), 1, "SERVING", 0));
+        workerA.script = ScriptedServer::neverAnswer;
+        setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0));
         start();
         try (java.net.Socket s = connect()) {
             ScriptedServer.write(
                     s.getOutputStream(),
                     "POST /record-gift HTTP/1.1\r\nHost: h\r\nX-Txn: t\r\n"
                             + "X-Remaining-Ms: 20000\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n");
-            await(() -> a.requests.size() == 1);
+            await(() -> workerA.requests.size() == 1);
         }
-        await(() -> a.connectionsClosedByPeer.get() >= 1);
-        a.script = ScriptedServer::serve;
-        assertEquals(200, gift(3000).get(700, TimeUnit.MILLISECONDS).statusCode());
+        await(() -> workerA.connectionsClosedByPeer.get() >= 1);
+        workerA.script = ScriptedServer::serve;
+        assertEquals(200, sendGift(3000).get(700, TimeUnit.MILLISECONDS).statusCode());
     }
 
     /** After SIGTERM clients are served on, what comes late is answered before SIGKILL, and the process ends. */
     @Test
     public void sigtermDrains() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(1200);
-        b.script = ScriptedServer.serveAfterMs(1200);
+        workerA.script = ScriptedServer.serveAfterMs(1200);
+        workerB.script = ScriptedServer.serveAfterMs(1200);
         Process process = startProcess(configFile());
-        CompletableFuture<HttpResponse<String>> before = gift(8000);
-        await(() -> a.requests.size() + b.requests.size() == 1);
+        CompletableFuture<HttpResponse<String>> before = sendGift(8000);
+        await(() -> workerA.requests.size() + workerB.requests.size() == 1);
         long begun = System.nanoTime();
         process.destroy();
         Thread.sleep(100);
-        CompletableFuture<HttpResponse<String>> after = gift(8000);
+        CompletableFuture<HttpResponse<String>> after = sendGift(8000);
         assertEquals(200, get(before).statusCode());
         assertEquals(200, get(after).statusCode());
-        assertEquals("a kept connection", 200, get(gift(8000)).statusCode());
-        a.script = ScriptedServer::neverAnswer;
-        b.script = ScriptedServer::neverAnswer;
-        assertEquals("not lost", 500, get(gift(20_000)).statusCode());
+        assertEquals("a kept connection", 200, get(sendGift(8000)).statusCode());
+        workerA.script = ScriptedServer::neverAnswer;
+        workerB.script = ScriptedServer::neverAnswer;
+        assertEquals("not lost", 500, get(sendGift(20_000)).statusCode());
         assertTrue("before SIGKILL", System.nanoTime() - begun < 3_700_000_000L);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
     }
@@ -267,11 +267,11 @@
     /** What runs at SIGTERM for longer than any drain usually takes is answered, unless SIGKILL comes. */
     @Test
     public void sigtermLosesNothingThatRunsOn() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(6500);
-        b.script = a.script;
+        workerA.script = ScriptedServer.serveAfterMs(6500);
+        workerB.script = workerA.script;
         Process process = startProcess(configFile());
-        CompletableFuture<HttpResponse<String>> before = gift(20_000);
-        await(() -> a.requests.size() + b.requests.size() == 1);
+        CompletableFuture<HttpResponse<String>> before = sendGift(20_000);
+        await(() -> workerA.requests.size() + workerB.requests.size() == 1);
         process.destroy();
         assertEquals(200, get(before).statusCode());
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
@@ -286,8 +286,8 @@
                     .getJSONObject(i)
                     .put("deadline", 0.5);
         }
-        a.script = ScriptedServer.serveAfterMs(300);
-        b.script = a.script;
+        workerA.script = ScriptedServer.serveAfterMs(300);
+        workerB.script = workerA.script;
         Process process = startProcess(configFile());
         java.net.Socket resting = connect();
         ScriptedServer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -302,7 +302,7 @@
         String answer = readAll(half);
         assertTrue(answer, answer.startsWith("HTTP/1.1 503 ") && answer.endsWith("shutting down\n"));
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
-        assertEquals(0, a.requests.size() + b.requests.size());
+        assertEquals(0, workerA.requests.size() + workerB.requests.size());
     }
 
     /**
@@ -312,11 +312,11 @@
     @Test
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
     public void behindTheLastIntakeNoConnectionComesIn() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(6500);
-        b.script = a.script;
+        workerA.script = ScriptedServer.serveAfterMs(6500);
+        workerB.script = workerA.script;
         Process process = startProcess(configFile());
-        CompletableFuture<HttpResponse<String>> before = gift(20_000);
-        await(() -> a.requests.size() + b.requests.size() == 1);
+        CompletableFuture<HttpResponse<String>> before = sendGift(20_000);
+        await(() -> workerA.requests.size() + workerB.requests.size() == 1);
         java.net.Socket resting = connect();
         ScriptedServer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         process.destroy();
@@ -338,24 +338,24 @@
      */
     @Test
     public void aWorkerWithManySlotsHasManyRpcsAtOnce() throws Exception {
-        b.close();
-        members(entry("a", a.address(), 1, "SERVING", 0));
-        a.load = "x0=20,x1=20";
+        workerB.close();
+        setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0));
+        workerA.load = "x0=20,x1=20";
         start();
         await(
                 () -> { // until what it tells has been learned
                     try {
-                        return get(ask("directory-page", 3000)).statusCode() == 200;
+                        return get(sendRequest("directory-page", 3000)).statusCode() == 200;
                     } catch (Exception e) {
                         return false;
                     }
                 });
-        int before = a.requests.size();
-        a.script = ScriptedServer::neverAnswer;
+        int before = workerA.requests.size();
+        workerA.script = ScriptedServer::neverAnswer;
         List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            all.add(gift(20_000));
+            all.add(sendGift(20_000));
         }
-        await(() -> a.requests.size() == before + 12);
+        await(() -> workerA.requests.size() == before + 12);
     }
 }
--- a/src/test/java/saffronferry/lifecycle/SocketsFixture.java
+++ b/src/test/java/saffronferry/lifecycle/SocketsFixture.java
@@ -34,22 +34,22 @@
     final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     ScriptedServer discovery;
-    ScriptedServer a;
-    ScriptedServer b;
+    ScriptedServer workerA;
+    ScriptedServer workerB;
     DatagramSocket peer;
-    int asked;
+    int requestCount;
     JSONObject config;
     /** Where the program's log goes; null for our own. */
-    Path said;
+    Path logFile;
     /** The dispatcher's own temporary folder. */
     Path folder;
 
     @Before
     public void setUp() throws IOException {
-        discovery = keep(new ScriptedServer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
-        a = keep(new ScriptedServer(ScriptedServer::serve));
-        b = keep(new ScriptedServer(ScriptedServer::serve));
-        peer = keep(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
+        discovery = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        workerA = closeAfterTest(new ScriptedServer(ScriptedServer::serve));
+        workerB = closeAfterTest(new ScriptedServer(ScriptedServer::serve));
+        peer = closeAfterTest(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
         peer.setSoTimeout(3000);
         config = new JSONObject(Files.readString(Path.of("examples/config.json")));
         int udp = freePort();
@@ -60,7 +60,7 @@
                 .put("peer_listen", "127.0.0.1:" + udp)
                 .put("peers", new JSONArray().put("127.0.0.1:" + udp).put("127.0.0.1:" + peer.getLocalPort()));
         config.getJSONObject("settings").put("peersTotal", 2);
-        members(entry("a", a.address(), 1, "SERVING", 0), entry("b", b.address(), 2, "SERVING", 0));
+        setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0), entry("b", workerB.address(), 2, "SERVING", 0));
     }
 
     @After
@@ -78,13 +78,13 @@
         Files.delete(folder);
     }
 
-    <T extends AutoCloseable> T keep(T resource) {
+    <T extends AutoCloseable> T closeAfterTest(T resource) {
         open.add(resource);
         return resource;
     }
 
     /** A watch that tells one list and then only that it lives. */
-    static ScriptedServer.Script tell(String list) {
+    static ScriptedServer.Script watchSending(String list) {
         return (request, out) -> {
             ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             ScriptedServer.chunk(out, list);
@@ -118,7 +118,7 @@
                 + "\",\"size\":1.0,\"up_since_ms\":" + upSince + "}";
     }
 
-    void members(String... entries) {
+    void setKnownWorkers(String... entries) {
         config.put(
                 "known",
                 new JSONObject("{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", entries) + "]}"));
@@ -133,7 +133,7 @@
     }
 
     void start(DispatcherServer server) throws Exception {
-        keep(() -> server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+        closeAfterTest(() -> server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
         server.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
@@ -141,11 +141,11 @@
         return HttpRequest.newBuilder(URI.create("http://" + config.getString("listen") + path));
     }
 
-    CompletableFuture<HttpResponse<String>> ask(String lane, int remaining, String... more) {
-        return ask("t" + ++asked, lane, remaining, more);
+    CompletableFuture<HttpResponse<String>> sendRequest(String lane, int remaining, String... more) {
+        return sendRequest("t" + ++requestCount, lane, remaining, more);
     }
 
-    CompletableFuture<HttpResponse<String>> ask(String txn, String lane, int remaining, String... more) {
+    CompletableFuture<HttpResponse<String>> sendRequest(String txn, String lane, int remaining, String... more) {
         HttpRequest.Builder r = request("/" + lane + "?obj=7f")
                 .header("X-Txn", txn)
                 .header("X-Lane", lane)
@@ -157,15 +157,15 @@
                 r.POST(HttpRequest.BodyPublishers.ofString("body")).build(), HttpResponse.BodyHandlers.ofString());
     }
 
-    CompletableFuture<HttpResponse<String>> gift(int remaining) {
-        return ask("record-gift", remaining, KEY, "k1");
+    CompletableFuture<HttpResponse<String>> sendGift(int remaining) {
+        return sendRequest("record-gift", remaining, KEY, "k1");
     }
 
     static HttpResponse<String> get(CompletableFuture<HttpResponse<String>> answer) throws Exception {
         return answer.get(10, TimeUnit.SECONDS);
     }
 
-    /** Waits until it has been so once: what is asked may ask others, and need not be so a second time. */
+    /** Waits until it has been so once: what is requestCount may ask others, and need not be so a second time. */
     static void await(BooleanSupplier what) throws InterruptedException {
         boolean was = what.getAsBoolean();
         for (int i = 0; i < 2000 && !was; i++) {
@@ -177,7 +177,7 @@
 
     /** A raw connection to the dispatcher; reading from it fails after 5 s. */
     Socket connect() throws IOException {
-        Socket s = keep(new Socket("127.0.0.1", port()));
+        Socket s = closeAfterTest(new Socket("127.0.0.1", port()));
         s.setSoTimeout(5000);
         return s;
     }
@@ -199,7 +199,7 @@
     /** The configuration in a file of its own. */
     Path configFile() throws IOException {
         Path file = Files.createTempFile("config", ".json");
-        keep(() -> Files.delete(file));
+        closeAfterTest(() -> Files.delete(file));
         Files.writeString(file, config.toString());
         return file;
     }
@@ -231,11 +231,11 @@
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.inheritIO();
-        if (said != null) {
-            builder.redirectError(ProcessBuilder.Redirect.appendTo(said.toFile()));
+        if (logFile != null) {
+            builder.redirectError(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
         }
         Process process = builder.start();
-        keep(process::destroyForcibly);
+        closeAfterTest(process::destroyForcibly);
         return process;
     }
 
@@ -261,13 +261,13 @@
     }
 
     /** Makes a call that is owed a yes. */
-    void yes(String path) throws Exception {
+    void assertCallSucceeds(String path) throws Exception {
         String answer = call("PUT", path);
         assertTrue(answer, answer.startsWith("2"));
     }
 
     /** One of the figures that operators read. */
-    long figure(String name) throws Exception {
+    long metric(String name) throws Exception {
         return call("GET", "/ops/stats")
                 .lines()
                 .filter(l -> l.startsWith(name + " "))
--- a/src/test/java/saffronferry/lifecycle/UpgradeTest.java
+++ b/src/test/java/saffronferry/lifecycle/UpgradeTest.java
@@ -118,11 +118,11 @@
 
     @Test
     public void aProcessIsReplacedUnderLoadAndNoRequestEndsAtTheDoor() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(20);
-        b.script = ScriptedServer.serveAfterMs(20);
+        workerA.script = ScriptedServer.serveAfterMs(20);
+        workerB.script = ScriptedServer.serveAfterMs(20);
         Process serving = next(config);
         awaitReady();
-        yes("/ops/workers/down/b");
+        assertCallSucceeds("/ops/workers/down/b");
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             clients.add(new Client(i));
@@ -137,7 +137,7 @@
             old.destroy();
             assertTrue("the old one ends by itself", old.waitFor(3_700, TimeUnit.MILLISECONDS));
             assertTrue(serving.isAlive());
-            assertTrue("the ban outlives it", figure("app_pool_ejected") >= 1);
+            assertTrue("the ban outlives it", metric("app_pool_ejected") >= 1);
         }
         over = true;
         for (Client c : clients) {
@@ -151,17 +151,17 @@
         assertTrue("at the door: " + atTheDoor, atTheDoor.get() <= UPGRADES);
         assertEquals(0, failed.get());
         assertTrue("served: " + served, served.get() > asked * 9 / 10);
-        assertEquals(0, b.requests.size());
+        assertEquals(0, workerB.requests.size());
     }
 
     /** Sends gifts and says how many of them the process with the console in the configuration has served. */
     private long servedOf(int gifts) throws Exception {
         String figure = "app_responses{kind=\"record-gift\",result=\"ok\"}";
-        long before = figure(figure);
+        long before = metric(figure);
         for (int i = 0; i < gifts; i++) {
-            assertEquals(200, get(gift(3000)).statusCode());
+            assertEquals(200, get(sendGift(3000)).statusCode());
         }
-        return figure(figure) - before;
+        return metric(figure) - before;
     }
 
     /**
@@ -170,8 +170,8 @@
     @Test
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
     public void theOldOneLeavesClientsAtTheNewOnesYesAndTakesThemBackWhenThatDies() throws Exception {
-        a.script = ScriptedServer.serveAfterMs(5);
-        b.script = ScriptedServer.serveAfterMs(5);
+        workerA.script = ScriptedServer.serveAfterMs(5);
+        workerB.script = ScriptedServer.serveAfterMs(5);
         Process old = next(config);
         awaitReady();
         String console = config.getString("console");
@@ -210,7 +210,7 @@
         config.put("console", console);
         assertTrue(call("GET", "/ops/readiness").startsWith("200"));
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, get(gift(3000)).statusCode());
+            assertEquals(200, get(sendGift(3000)).statusCode());
         }
         Socket s = connect();
         serving.destroy();
--- a/src/test/java/saffronferry/lifecycle/WatchEndsTest.java
+++ b/src/test/java/saffronferry/lifecycle/WatchEndsTest.java
@@ -20,21 +20,21 @@
     private void thenTellThatBDrains(ScriptedServer.Script first) {
         discovery.script = (request, out) -> discovery.requests.size() == 1
                 ? first.play(request, out)
-                : tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))
+                : watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))
                         .play(request, out);
     }
 
     private void nothingGoesToBAnyMore(int calls) throws Exception {
         await(() -> {
-            int before = b.requests.size();
+            int before = workerB.requests.size();
             try {
                 for (int i = 0; i < 4; i++) {
-                    get(ask("directory-page", 3000));
+                    get(sendRequest("directory-page", 3000));
                 }
             } catch (Exception e) {
                 return false;
             }
-            return discovery.requests.size() >= calls && b.requests.size() == before;
+            return discovery.requests.size() >= calls && workerB.requests.size() == before;
         });
     }
 
@@ -56,7 +56,7 @@
     @Test
     public void aCallThatTellsNoListIsFollowedByAnother() throws Exception {
         for (String said : new String[] {"", HEAD, HEAD + "1\r\n\n\r\n"}) {
-            discovery = keep(new ScriptedServer(ScriptedServer::neverAnswer));
+            discovery = closeAfterTest(new ScriptedServer(ScriptedServer::neverAnswer));
             thenTellThatBDrains((request, out) -> {
                 ScriptedServer.write(out, said);
                 for (int i = 0; i < 60; i++) {
@@ -83,14 +83,14 @@
     public void aProcessServesOnlyOnceDiscoveryHasToldItsList() throws Exception {
         discovery.script = (request, out) -> {
             Thread.sleep(700);
-            return tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))
+            return watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))
                     .play(request, out);
         };
         start();
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, get(ask("directory-page", 3000)).statusCode());
+            assertEquals(200, get(sendRequest("directory-page", 3000)).statusCode());
         }
-        assertEquals(0, b.requests.size());
+        assertEquals(0, workerB.requests.size());
     }
 
     /** Another customer's setting: pushed lists come on a watch, too, and count as told from the first moment. */
@@ -99,7 +99,7 @@
         config.getJSONObject("settings").put("registryMode", "push");
         discovery.script = (request, out) -> discovery.requests.size() == 1
                 ? false
-                : tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))
+                : watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))
                         .play(request, out);
         start();
         nothingGoesToBAnyMore(2);
@@ -120,7 +120,7 @@
             ScriptedServer.write(s.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
             resting.add(s);
         }
-        discovery = keep(new ScriptedServer(port, tell(list(9, false, entry("b", b.address(), 2, "DRAINING", 0)))));
+        discovery = closeAfterTest(new ScriptedServer(port, watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))));
         await(() -> discovery.requests.size() >= 1);
         for (Socket s : resting) {
             s.close();
