--- a/src/test/java/saffronferry/lifecycle/EndingsTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionEndTest.java
@@ -13,7 +13,7 @@
 import org.junit.Test;
 
 /** What ends in the middle: clients that go, answers that do not end, dials that come up late. */
-public class EndingsTest extends SocketsFixture {
+public class ConnectionEndTest extends SocketsFixture {
     /** A client that has gone must be seen to have gone within this, whatever its RPC waits for. */
     private static final long SEEN_MS = 100;
 
--- a/src/test/java/saffronferry/lifecycle/WatchEndsTest.java
+++ b/src/test/java/saffronferry/lifecycle/DiscoveryWatchTest.java
@@ -8,7 +8,7 @@
 import org.junit.Test;
 
 /** A watch that dies without a word, and what keeps a dispatcher from discovery. */
-public class WatchEndsTest extends SocketsFixture {
+public class DiscoveryWatchTest extends SocketsFixture {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
     private static String list(int revision, boolean whole, String... entries) {
--- a/src/test/java/saffronferry/lifecycle/RulesOnSocketsTest.java
+++ b/src/test/java/saffronferry/lifecycle/DispatcherServerTest.java
@@ -19,7 +19,7 @@
 import org.junit.Test;
 
 /** Each rule once, with a whole dispatcher on real sockets between scripted peers. */
-public class RulesOnSocketsTest extends SocketsFixture {
+public class DispatcherServerTest extends SocketsFixture {
     @Test
     public void aServedRpcHasTheWorkersResultAndPassesOnWhatItMust() throws Exception {
         workerB.close();
--- a/src/test/java/saffronferry/lifecycle/AgreeTest.java
+++ b/src/test/java/saffronferry/lifecycle/SettingsAgreementTest.java
@@ -16,7 +16,7 @@
 import org.junit.Test;
 
 /** Settings that change while several processes run: a new file at one of them holds at all. */
-public class AgreeTest extends SocketsFixture {
+public class SettingsAgreementTest extends SocketsFixture {
     /** More of both for a measurement: {@code -Dagree.size=16 -Dagree.changes=200}. */
     private static final int SIZE = Integer.getInteger("agree.size", 3);
 
