--- a/src/test/java/saffronferry/lifecycle/BadClientsTest.java
+++ b/src/test/java/saffronferry/lifecycle/BadClientsTest.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.Test;
 
-/** What bad clients send, on raw sockets: an error or a close in time, nothing passed on, no harm to others. */
+/**
+ * Malformed, slow and silent clients on raw sockets: each gets an error or a close in time, nothing is forwarded to
+ * workers, and other clients are not affected.
+ */
 public class BadClientsTest extends SocketsFixture {
     private static final String HEAD =
             "POST /directory-page HTTP/1.1\r\nHost: h\r\nX-Lane: directory-page\r\n" + "X-Remaining-Ms: 3000\r\n";
@@ -18,7 +21,7 @@
     private static final String EMPTY = "Content-Length: 0\r\n\r\n";
     private static final String HIDDEN = HEAD + "X-Txn: hidden\r\n" + EMPTY;
 
-    private List<String> passedOn() {
+    private List<String> forwarded() {
         List<String> all = new ArrayList<>(workerA.requests);
         all.addAll(workerB.requests);
         return all;
@@ -28,11 +31,11 @@
         return answer.isEmpty() ? "" : answer.substring(9, 12);
     }
 
-    /** The framing rules are the protocol's: a hidden request that is passed on counts as sent twice. */
+    /** Guards against request smuggling: ambiguous framing could hide a second request that is forwarded to a worker. */
     @Test
-    public void whatCannotBeUsedIsTurnedAwayAtOnceAndNothingIsPassedOn() throws Exception {
+    public void malformedRequestsAreRejectedAtOnceAndNotForwarded() throws Exception {
         String[][] cases = {
-            // status (none where a close that crosses more bytes may overtake the answer), sent
+            // expected status (may be empty where a close that crosses unread bytes can overtake the answer), request
             {"400", GOOD + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + HIDDEN},
             {"400|", GOOD + "Transfer-Encoding: chunked\r\nContent-Length: " + HIDDEN.length() + "\r\n\r\n" + HIDDEN},
             {"400", GOOD + "Transfer-Encoding: xchunked\r\nContent-Length: 0\r\n\r\n" + HIDDEN},
@@ -68,23 +71,23 @@
             try {
                 ScriptedServer.write(s.getOutputStream(), c[1]);
             } catch (java.net.SocketException e) {
-                // turned away before all of it was sent
+                // rejected before all of it was sent
             }
             String answer = readAll(s);
             assertTrue(c[1], System.nanoTime() - begun < 1_500_000_000L);
             assertTrue(c[1] + answer, status(answer).matches(c[0]));
             assertTrue(c[1] + answer, answer.split("HTTP/1.1 ").length <= 2);
         }
-        assertEquals(List.of(), passedOn());
+        assertEquals(List.of(), forwarded());
     }
 
-    /** Silence and half a request are ended within 3 s of connecting; a usual client's idle connection stays. */
+    /** Silent connections and partial requests are ended within 3 s of connecting; idle connections of clients stay. */
     @Test
-    public void whatStaysUnfinishedIsEndedInTimeButIdleConnectionsStay() throws Exception {
+    public void unfinishedRequestsAreEndedInTimeButIdleConnectionsStay() throws Exception {
         start();
-        Socket usual = connect();
-        ScriptedServer.write(usual.getOutputStream(), GOOD + EMPTY);
-        assertTrue(readLine(usual).contains("200"));
+        Socket idleClient = connect();
+        ScriptedServer.write(idleClient.getOutputStream(), GOOD + EMPTY);
+        assertTrue(readAnswer(idleClient).contains("200"));
         String[] unfinished = {
             "",
             "POST /dir",
@@ -106,50 +109,50 @@
         assertTrue(System.nanoTime() - begun < 2_900_000_000L);
         assertEquals(List.of("", "", "", "408", "408"), ends);
         Thread.sleep(500);
-        ScriptedServer.write(usual.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
-        assertTrue(readLine(usual).contains("200"));
-        assertEquals(2, passedOn().size());
+        ScriptedServer.write(idleClient.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
+        assertTrue(readAnswer(idleClient).contains("200"));
+        assertEquals(2, forwarded().size());
     }
 
-    /** The head and body of one answer, all of which the scripted worker sends together. */
-    private static String readLine(Socket s) throws Exception {
+    /** Reads one answer, whose head and body the scripted worker sends together. */
+    private static String readAnswer(Socket s) throws Exception {
         byte[] buffer = new byte[4096];
         int n = s.getInputStream().read(buffer);
         return new String(buffer, 0, Math.max(0, n));
     }
 
-    /** Beyond the clients' descriptors the silent go first: a usual client keeps its idle connection. */
+    /** When the clients' descriptors run out, silent connections are closed first, not idle connections of clients. */
     @Test
-    public void crowdsThatSayNothingMakeRoomFirst() throws Exception {
+    public void silentConnectionsAreClosedFirstWhenDescriptorsRunOut() throws Exception {
         config.getJSONObject("limits").put("sockets", 384);
         start();
-        Socket usual = connect();
-        ScriptedServer.write(usual.getOutputStream(), GOOD + EMPTY);
-        assertTrue(readLine(usual).contains("200"));
+        Socket idleClient = connect();
+        ScriptedServer.write(idleClient.getOutputStream(), GOOD + EMPTY);
+        assertTrue(readAnswer(idleClient).contains("200"));
         List<Socket> crowd = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             crowd.add(connect());
         }
         assertEquals(
-                "the longest silent is closed",
+                "the connection that has been silent longest is closed",
                 -1,
                 crowd.get(0).getInputStream().read());
-        ScriptedServer.write(usual.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
-        assertTrue(readLine(usual).contains("200"));
+        ScriptedServer.write(idleClient.getOutputStream(), GOOD.replace("Txn: x", "Txn: y") + EMPTY);
+        assertTrue(readAnswer(idleClient).contains("200"));
         assertEquals(200, get(sendGift(3000)).statusCode());
     }
 
-    /** A second RPC by the name of an open one is turned away, and the first goes on untouched. */
+    /** A second RPC with the id of an open one is rejected, and the first one continues. */
     @Test
-    public void theIdOfAnOpenRpcIsNotTakenTwice() throws Exception {
+    public void anRpcWithTheIdOfAnOpenOneIsRejected() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(400);
         workerB.script = ScriptedServer.serveAfterMs(400);
         start();
         CompletableFuture<HttpResponse<String>> first = sendRequest("same", "directory-page", 3000);
-        await(() -> passedOn().size() == 1);
+        await(() -> forwarded().size() == 1);
         assertEquals(409, get(sendRequest("same", "directory-page", 3000)).statusCode());
         assertEquals(200, get(first).statusCode());
-        assertEquals(1, passedOn().size());
+        assertEquals(1, forwarded().size());
         assertEquals("free again", 200, get(sendRequest("same", "directory-page", 3000)).statusCode());
     }
 }
--- a/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void tenantsAreChangedAddedAndRemoved() {
+    void changedAddedAndRemovedTenantsAreFound() {
         realms().getJSONObject(0).put("allowancePerS", 70);
         realms().getJSONObject(1).put("name", "athlone-arts");
         ConfigDiff diff = ConfigDiff.between(before, after);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void eachOtherKeyIsRefusedByName() {
+    void otherChangedKeysAreRefused() {
         after.put("listen", "127.0.0.1:9")
                 .put("discovery", "127.0.0.1:8")
                 .put("seed", "77")
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void whatIsFaultyIsToldWithItsKey() {
+    void faultyValuesAreReportedWithTheirKey() {
         realms().getJSONObject(1).put("allowancePerS", -1);
         fails("settings.realms.lisdara-college.allowancePerS: must be a number of 0 at least");
         realms().getJSONObject(1).put("allowancePerS", "many");
@@ -86,9 +86,9 @@
         assertTrue(e.getMessage().startsWith("configuration key " + message), e.getMessage());
     }
 
-    /** Who hears nobody takes the smaller quota of two; none at all is the largest. */
+    /** The rule for a dispatcher without contact to others; no limit counts as the largest quota. */
     @Test
-    void ofTwoQuotasTheSmallerIsFound() {
+    void theSmallerOfTwoQuotasIsChosen() {
         assertEquals("5", EffectiveSettings.smallerQuota("5", "7"));
         assertEquals("5", EffectiveSettings.smallerQuota("7", "5"));
         assertEquals("5", EffectiveSettings.smallerQuota("5", "0"));
--- a/src/test/java/saffronferry/lifecycle/ConfigTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigTest.java
@@ -13,35 +13,35 @@
 import org.json.JSONObject;
 import org.junit.Test;
 
-/** What is wrong with a configuration is said with the name of the key. */
+/** Errors in a configuration name the faulty key. */
 public class ConfigTest {
-    private static final Path HERE = Path.of(".");
+    private static final Path FOLDER = Path.of(".");
 
     private static JSONObject example() throws IOException {
         return new JSONObject(Files.readString(Path.of("examples/config.json")));
     }
 
     @Test
-    public void theExampleIsRead() throws IOException {
-        Config c = new Config(example(), HERE);
+    public void theExampleConfigurationIsRead() throws IOException {
+        Config c = new Config(example(), FOLDER);
         assertEquals("127.0.0.1:9000", c.listen.toString());
         assertEquals(2, c.takeKnownList().entries().size());
         assertEquals(2_000_000, c.settings.settings.maxRetryAfter());
     }
 
     @Test
-    public void defaultsStandInForWhatMayBeMissing() throws IOException {
+    public void optionalKeysHaveDefaults() throws IOException {
         JSONObject json = example();
         for (String key : new String[] {"peer_listen", "peers", "limits", "known", "seed", "console"}) {
             json.remove(key);
         }
-        Config c = new Config(json, HERE);
+        Config c = new Config(json, FOLDER);
         assertEquals(1024, c.maxDescriptors);
         assertNull(c.console);
     }
 
     @Test
-    public void theFaultyKeyIsNamed() throws IOException {
+    public void aFaultyKeyIsNamed() throws IOException {
         Object[][] cases = {
             {"listen", "nowhere"},
             {"listen", null},
@@ -67,19 +67,19 @@
                     ? new org.json.JSONTokener(s).nextValue()
                     : c[1];
             json.put((String) c[0], value);
-            Exception e = assertThrows(c[0] + "=" + c[1], IllegalArgumentException.class, () -> new Config(json, HERE));
+            Exception e = assertThrows(c[0] + "=" + c[1], IllegalArgumentException.class, () -> new Config(json, FOLDER));
             assertTrue(e.getMessage(), e.getMessage().startsWith("configuration key " + c[0]));
         }
         JSONObject json = example();
         json.getJSONObject("settings").getJSONObject("rules").put("cold", "long");
-        Exception e = assertThrows(IllegalArgumentException.class, () -> new Config(json, HERE));
+        Exception e = assertThrows(IllegalArgumentException.class, () -> new Config(json, FOLDER));
         assertTrue(
                 e.getMessage(),
                 e.getMessage().contains("settings") && e.getMessage().contains("cold"));
     }
 
     @Test
-    public void aVariableStandsInForTheConsole() throws IOException {
+    public void anEnvironmentVariableSuppliesAMissingConsole() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         try {
             JSONObject json = example();
@@ -95,16 +95,16 @@
         }
     }
 
-    /** As a file the known list is read apart from the rest, with the same result and the same words. */
+    /** The known list of a file is parsed separately, with the same result and the same error messages. */
     @Test
-    public void theKnownListOfAFileIsReadAndItsFaultIsNamed() throws IOException {
+    public void theKnownListOfAFileIsReadAndItsErrorsAreNamed() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         Map<String, String> environment = Map.of("BALANCER_CONFIG", file.toString());
         try {
             Files.writeString(file, example().toString());
             Config c = Config.read(environment);
-            assertEquals(new Config(example(), HERE).takeKnownList(), c.takeKnownList());
-            assertNull("held once", c.takeKnownList());
+            assertEquals(new Config(example(), FOLDER).takeKnownList(), c.takeKnownList());
+            assertNull("released after the first call", c.takeKnownList());
             for (String bad : new String[] {"{}", "7", "{\"revision\":1,\"complete\":true,\"members\":{}}"}) {
                 JSONObject json = example().put("known", new org.json.JSONTokener(bad).nextValue());
                 Files.writeString(file, json.toString());
@@ -121,7 +121,7 @@
     }
 
     @Test
-    public void theFileItselfIsNamed() {
+    public void anUnreadableFileIsNamed() {
         for (Map<String, String> environment : List.<Map<String, String>>of(
                 Map.of(), Map.of("BALANCER_CONFIG", "/none"), Map.of("BALANCER_CONFIG", "pom.xml"))) {
             Exception e = assertThrows(IllegalArgumentException.class, () -> Config.read(environment));
@@ -129,9 +129,9 @@
         }
     }
 
-    /** As proc(5) has it; what says no number limits nothing. */
+    /** Parses the format of proc(5); anything but a number means no limit. */
     @Test
-    public void theProcessLimitIsRead() {
+    public void theDescriptorLimitOfTheProcessIsParsed() {
         String[][] cases = {
             {"384", "Limit  Soft Limit  Hard Limit  Units\nMax open files            384       4096      files\n"},
             {"" + Integer.MAX_VALUE, "Max open files            unlimited   unlimited   files\n"},
--- a/src/test/java/saffronferry/lifecycle/ConnectionFlood.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionFlood.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
 
-/** Many connections at once that say nothing, and what a process holds meanwhile. */
+/** Opens many connections at once that send nothing, and measures how a process copes with them. */
 final class ConnectionFlood implements AutoCloseable {
     private final List<SocketChannel> connections = new ArrayList<>();
 
-    /** Opens so many at once, waiting for none. */
+    /** Opens {@code size} connections without waiting for them. */
     ConnectionFlood(int port, int size) throws IOException {
         for (int i = 0; i < size; i++) {
             SocketChannel s = SocketChannel.open();
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Connections that open and close at once, at so many a second. */
+    /** Opens and closes connections immediately, at the given rate. */
     static void openAndClose(int port, int perSecond, int seconds) throws Exception {
         long begun = System.nanoTime();
         for (int i = 0; i < perSecond * seconds; i++) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /** How long until {@code /up} says 200, with a timeout of 1 s per attempt, in ms. */
+    /** The time until {@code /up} answers 200, with a timeout of 1 s per attempt, in ms. */
     static long msUntilUp(int port) throws Exception {
         long begun = System.nanoTime();
         while (System.nanoTime() - begun < 20_000_000_000L) {
@@ -67,19 +67,19 @@
         return Long.MAX_VALUE;
     }
 
-    /** The most descriptors that a process holds, looked at often. */
+    /** Samples the number of descriptors of a process and keeps the maximum. */
     static final class DescriptorPeak implements AutoCloseable {
-        private final AtomicInteger most = new AtomicInteger();
+        private final AtomicInteger max = new AtomicInteger();
         private final Thread thread;
 
         DescriptorPeak(long pid) {
             thread = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
                     try (Stream<Path> all = Files.list(Path.of("/proc/" + pid + "/fd"))) {
-                        most.accumulateAndGet((int) all.count(), Math::max);
+                        max.accumulateAndGet((int) all.count(), Math::max);
                         Thread.sleep(5);
                     } catch (IOException | java.io.UncheckedIOException e) {
-                        // the process is yet to start, or over
+                        // the process has not started yet, or has ended
                     } catch (InterruptedException e) {
                         return;
                     }
@@ -89,8 +89,8 @@
             thread.start();
         }
 
-        int most() {
-            return most.get();
+        int max() {
+            return max.get();
         }
 
         @Override
@@ -99,7 +99,7 @@
         }
     }
 
-    /** One request on a raw connection: the status, or 0 where there was none. */
+    /** Sends one request on a raw connection; returns the status, or 0 if the connection was closed. */
     static int status(SocketChannel s, String request) throws IOException {
         s.write(ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)));
         ByteBuffer answer = ByteBuffer.allocate(4096);
--- a/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
@@ -19,58 +19,61 @@
 import saffronferry.log.BoundedLog;
 import saffronferry.wire.BoundedTransport;
 
-/** Crowds, exhaustion and threads that die: a dispatcher goes on serving, or ends so that all can see it. */
+/**
+ * Connection floods, exhausted descriptors and failing threads: a dispatcher continues to serve, or its process ends
+ * with an exit code that the platform sees.
+ */
 public class ConnectionFloodTest extends SocketsFixture {
-    private static final int KEPT_FREE = 16;
+    private static final int RESERVED_DESCRIPTORS = 16;
 
     private Process serve(int descriptors) throws Exception {
         config.getJSONObject("limits").put("sockets", descriptors);
         return launch(configFile(), descriptors, "saffronferry.cli.Main", "serve");
     }
 
-    private void crowdsAgainst(int descriptors) throws Exception {
+    private void floodsAgainst(int descriptors) throws Exception {
         Process process = serve(descriptors);
         awaitUp();
-        try (ConnectionFlood.DescriptorPeak held = new ConnectionFlood.DescriptorPeak(process.pid())) {
+        try (ConnectionFlood.DescriptorPeak peak = new ConnectionFlood.DescriptorPeak(process.pid())) {
             for (int size : new int[] {400, 800, 3000}) {
-                ConnectionFlood crowd = new ConnectionFlood(port(), size);
+                ConnectionFlood flood = new ConnectionFlood(port(), size);
                 Thread.sleep(500);
-                crowd.close();
+                flood.close();
                 long up = ConnectionFlood.msUntilUp(port());
                 assertTrue(size + " against " + descriptors + ": up after " + up, up <= 1000);
             }
-            assertTrue(held.most() + " of " + descriptors, held.most() <= descriptors - KEPT_FREE);
-            assertTrue("the crowd was felt", held.most() > descriptors / 2);
+            assertTrue(peak.max() + " of " + descriptors, peak.max() <= descriptors - RESERVED_DESCRIPTORS);
+            assertTrue("the flood used many descriptors", peak.max() > descriptors / 2);
         }
         assertTrue(process.isAlive());
     }
 
     @Test
-    public void crowdsComeAndGoAgainst384() throws Exception {
-        crowdsAgainst(384);
+    public void floodsAreSurvivedWith384Descriptors() throws Exception {
+        floodsAgainst(384);
     }
 
     @Test
-    public void crowdsComeAndGoAgainst256() throws Exception {
-        crowdsAgainst(256);
+    public void floodsAreSurvivedWith256Descriptors() throws Exception {
+        floodsAgainst(256);
     }
 
-    /** Usual clients with connections of their own are served on while a crowd presses. */
+    /** Clients with established connections are served during a flood. */
     @Test
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
-    public void usualClientsAreServedDuringACrowd() throws Exception {
+    public void establishedClientsAreServedDuringAFlood() throws Exception {
         serve(256);
         awaitUp();
-        List<SocketChannel> usual = new ArrayList<>();
+        List<SocketChannel> clients = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            usual.add(closeAfterTest(SocketChannel.open(new java.net.InetSocketAddress("127.0.0.1", port()))));
+            clients.add(closeAfterTest(SocketChannel.open(new java.net.InetSocketAddress("127.0.0.1", port()))));
         }
         int served = 0;
         for (int round = 0; round < 4; round++) {
-            try (ConnectionFlood crowd = round == 0 ? null : new ConnectionFlood(port(), round == 3 ? 3000 : 800)) {
+            try (ConnectionFlood flood = round == 0 ? null : new ConnectionFlood(port(), round == 3 ? 3000 : 800)) {
                 List<CompletableFuture<Integer>> answers = new ArrayList<>();
-                for (int i = 0; i < usual.size(); i++) {
-                    SocketChannel s = usual.get(i);
+                for (int i = 0; i < clients.size(); i++) {
+                    SocketChannel s = clients.get(i);
                     String request = "POST /directory-page HTTP/1.1\r\nHost: h\r\nX-Txn: r" + round + "-" + i
                             + "\r\nX-Remaining-Ms: 5000\r\nContent-Length: 0\r\n\r\n";
                     answers.add(CompletableFuture.supplyAsync(() -> unchecked(() -> ConnectionFlood.status(s, request))));
@@ -95,59 +98,59 @@
         }
     }
 
-    /** A crowd that is there before the dispatcher keeps it neither from starting nor from serving. */
+    /** Connections that arrive while the dispatcher restarts prevent neither its start nor its serving. */
     @Test
-    public void aCrowdWaitsAtARestart() throws Exception {
+    public void aFloodDuringARestartIsSurvived() throws Exception {
         serve(384).destroyForcibly().waitFor();
         Process process = serve(384);
-        List<ConnectionFlood> crowds = new ArrayList<>();
+        List<ConnectionFlood> floods = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            crowds.add(closeAfterTest(new ConnectionFlood(port(), 200)));
+            floods.add(closeAfterTest(new ConnectionFlood(port(), 200)));
             Thread.sleep(100);
         }
         long up = ConnectionFlood.msUntilUp(port());
         assertTrue("up after " + up, up <= 5000);
-        for (ConnectionFlood crowd : crowds) {
-            crowd.close();
+        for (ConnectionFlood flood : floods) {
+            flood.close();
         }
         assertTrue(ConnectionFlood.msUntilUp(port()) <= 1000);
         assertTrue(process.isAlive());
     }
 
     @Test
-    public void connectionsThatOpenAndCloseAllTheTimeDoNoHarm() throws Exception {
+    public void rapidlyOpenedAndClosedConnectionsDoNoHarm() throws Exception {
         Process process = serve(256);
         awaitUp();
-        try (ConnectionFlood.DescriptorPeak held = new ConnectionFlood.DescriptorPeak(process.pid())) {
+        try (ConnectionFlood.DescriptorPeak peak = new ConnectionFlood.DescriptorPeak(process.pid())) {
             ConnectionFlood.openAndClose(port(), 2000, 10);
             assertTrue(ConnectionFlood.msUntilUp(port()) <= 1000);
-            assertTrue("" + held.most(), held.most() <= 256 - KEPT_FREE);
+            assertTrue("" + peak.max(), peak.max() <= 256 - RESERVED_DESCRIPTORS);
         }
         assertEquals(200, get(sendGift(3000)).statusCode());
     }
 
-    /** Workers that hang hold what is left for workers; every RPC still has its answer in time. */
+    /** Hanging workers may use only the descriptors reserved for workers; every RPC is still answered in time. */
     @Test
-    public void attemptsThatHangTakeNoMoreThanTheirPart() throws Exception {
+    public void hangingAttemptsStayWithinTheDescriptorsForWorkers() throws Exception {
         workerA.script = ScriptedServer::neverAnswer;
         workerB.script = ScriptedServer::neverAnswer;
         Process process = serve(256);
         awaitUp();
-        try (ConnectionFlood.DescriptorPeak held = new ConnectionFlood.DescriptorPeak(process.pid())) {
+        try (ConnectionFlood.DescriptorPeak peak = new ConnectionFlood.DescriptorPeak(process.pid())) {
             List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
             long begun = System.nanoTime();
             for (int i = 0; i < 200; i++) {
                 answers.add(sendRequest("directory-page", 2500).exceptionally(e -> null));
             }
-            int told = 0;
+            int failed = 0;
             for (CompletableFuture<HttpResponse<String>> answer : answers) {
                 HttpResponse<String> r = get(answer);
-                told += r != null && r.statusCode() >= 500 ? 1 : 0;
+                failed += r != null && r.statusCode() >= 500 ? 1 : 0;
             }
             long took = (System.nanoTime() - begun) / 1_000_000;
-            assertEquals(200, told);
+            assertEquals(200, failed);
             assertTrue("in " + took + " ms", took < 7500);
-            assertTrue("" + held.most(), held.most() <= 256 - KEPT_FREE);
+            assertTrue("" + peak.max(), peak.max() <= 256 - RESERVED_DESCRIPTORS);
         }
         workerA.script = ScriptedServer::serve;
         workerB.script = ScriptedServer::serve;
@@ -160,7 +163,7 @@
         }));
     }
 
-    /** A dispatcher whose system call {@code accept} fails as told while {@code failing} says so. */
+    /** Starts a dispatcher whose system call {@code accept} throws what {@code failing} returns, if not null. */
     private AtomicInteger startWithFailingAccept(Supplier<Throwable> failing) throws Exception {
         AtomicInteger calls = new AtomicInteger();
         class Failing extends BoundedTransport {
@@ -185,9 +188,9 @@
         return calls;
     }
 
-    /** For 5 s: nothing ends, nothing spins, and the first one after that is served. */
+    /** Accept fails for 5 s: the dispatcher neither ends nor spins, and then serves the waiting request. */
     @Test
-    public void aFailingAcceptIsTriedAgainWithPausesUntilItRecovers() throws Exception {
+    public void aFailingAcceptIsRetriedWithDelaysUntilItRecovers() throws Exception {
         long[] until = {0};
         AtomicInteger calls = startWithFailingAccept(
                 () -> System.nanoTime() < until[0] ? new SocketException("Too many open files") : null);
@@ -198,9 +201,9 @@
         assertTrue(calls + " calls", calls.get() >= 5 && calls.get() < 40);
     }
 
-    /** The library would close the listening socket on an Error, for good and without a word. */
+    /** On an {@code Error} in accept, Netty would silently close the listening socket for good. */
     @Test
-    public void anErrorWhileAcceptingEndsNothing() throws Exception {
+    public void anErrorInAcceptDoesNotCloseTheListeningSocket() throws Exception {
         AtomicInteger left = new AtomicInteger();
         AtomicInteger calls = startWithFailingAccept(() -> left.getAndDecrement() > 0
                 ? new NoClassDefFoundError("Could not initialize class sun.util.calendar.ZoneInfoFile")
@@ -210,9 +213,9 @@
         assertEquals(3, calls.get());
     }
 
-    /** A process that is stopped for a while is no process that hangs. */
+    /** The watchdog must not take a process that was stopped for a while for one that hangs. */
     @Test
-    public void aPauseOfTheWholeProcessIsSurvived() throws Exception {
+    public void aPausedProcessIsNotEndedByTheWatchdog() throws Exception {
         Process process = serve(384);
         awaitUp();
         signal(process, "STOP");
@@ -229,9 +232,9 @@
                 .waitFor();
     }
 
-    /** A loop that hangs ends the process with the code that the operators' page names. */
+    /** A hanging event loop ends the process with the documented exit code. */
     @Test
-    public void aLoopThatHangsEndsTheProcessLoudly() throws Exception {
+    public void aHangingEventLoopEndsTheProcess() throws Exception {
         Process process = launch(configFile(), 384, HungEventLoopMain.class.getName());
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         assertEquals(Watchdog.EXIT_UNABLE, process.exitValue());
--- a/src/test/java/saffronferry/lifecycle/SettingsAgreementTest.java
+++ b/src/test/java/saffronferry/lifecycle/SettingsAgreementTest.java
@@ -15,9 +15,9 @@
 import org.json.JSONObject;
 import org.junit.Test;
 
-/** Settings that change while several processes run: a new file at one of them holds at all. */
+/** Settings that change at run time: a new file at one of several processes takes effect at all of them. */
 public class SettingsAgreementTest extends SocketsFixture {
-    /** More of both for a measurement: {@code -Dagree.size=16 -Dagree.changes=200}. */
+    /** Both can be raised for a measurement: {@code -Dagree.size=16 -Dagree.changes=200}. */
     private static final int SIZE = Integer.getInteger("agree.size", 3);
 
     private static final int CHANGES = Integer.getInteger("agree.changes", 3);
@@ -75,7 +75,7 @@
         try {
             return metric("app_settings_" + name);
         } catch (Exception e) {
-            return -1; // it is not up, or stands still
+            return -1; // the process is not up, or is stopped
         }
     }
 
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void aNewFileAtOneHoldsAtAllAndAtThoseThatComeBack() throws Exception {
+    public void aReloadedFileTakesEffectAtAllProcessesIncludingRestartedOnes() throws Exception {
         startAll();
         awaitEverywhere("state", 0);
         assertEquals(0, metric(0, "held"));
@@ -112,14 +112,14 @@
         awaitEverywhere("digest", digest);
         assertTrue(logContains("settings.realms.kilbarron-grads.allowancePerS 70 of dispatcher 0"));
 
-        // a faulty file changes nothing, and the good part of it neither
+        // a faulty file is rejected as a whole
         JSONObject faulty = new JSONObject(configs.get(1).toString());
         realms(faulty).getJSONObject(0).put("allowancePerS", 80);
         realms(faulty).getJSONObject(1).put("allowancePerS", -1);
         reload(1, faulty);
         await(() -> logContains("configuration key settings.realms.lisdara-college.allowancePerS: must be a number of 0"));
         assertEquals(digest, metric(1, "digest"));
-        // what was stopped meanwhile, or has its old file still, catches up
+        // a process that was stopped meanwhile, and still has its old file, catches up
         signal(processes.get(2), "STOP");
         realms(faulty).getJSONObject(1).put("allowancePerS", 31);
         reload(1, faulty);
@@ -138,11 +138,14 @@
         assertTrue(logContains("agreed upon with another dispatcher, 3 changes held"));
     }
 
-    /** The same key changed on both sides of a cut, and another one on one; at 40 % loss, doubled and out of order. */
+    /**
+     * During a network partition both sides change the same key and one side another one; datagrams are lost,
+     * duplicated and reordered. After the partition the later change applies everywhere.
+     */
     @Test
-    public void halvesThatWereCutAgreeOnTheLaterChange() throws Exception {
+    public void bothSidesOfAPartitionAgreeOnTheLaterChange() throws Exception {
         startAll();
-        trouble();
+        degradeLinks();
         awaitEverywhere("state", 0);
         links.cutAt = 1;
         JSONObject one = new JSONObject(configs.get(0).toString());
@@ -161,18 +164,18 @@
         assertTrue(logContains("settings.realms.kilbarron-grads.allowancePerS 70 of dispatcher 1"));
     }
 
-    private void trouble() {
+    private void degradeLinks() {
         links.loss = LOSS_PERCENT / 100.0;
         links.doubled = 0.3;
         links.mostDelayMs = 30;
     }
 
-    /** Prints how long each took from the signal to the last one, as far as a look at all consoles tells. */
+    /** Prints the time from each reload until all processes have applied the change, as seen at their consoles. */
     @Test
-    public void changeAfterChangeHoldsEverywhere() throws Exception {
+    public void consecutiveChangesTakeEffectEverywhere() throws Exception {
         startAll();
         awaitEverywhere("state", 0);
-        trouble();
+        degradeLinks();
         List<Double> took = new ArrayList<>();
         JSONObject next = new JSONObject(configs.get(0).toString());
         for (int i = 0; i < CHANGES; i++) {
@@ -198,16 +201,16 @@
         }
     }
 
-    /** Strangers have another address, and those with a peer's address have no secret. */
+    /** Datagrams from an unknown address, and from the address of a peer but without the secret, are dropped. */
     @Test
-    public void datagramsOfStrangersAndWithoutTheSecretChangeNothing() throws Exception {
+    public void datagramsFromUnknownAddressesOrWithoutTheSecretChangeNothing() throws Exception {
         startAll();
         awaitEverywhere("state", 0);
         byte[] forged = new byte[60];
         forged[0] = 1;
         forged[6] = (byte) 0xA7;
         try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-            // to the dispatcher itself, and by the way on which it hears number 2
+            // to the dispatcher itself, and by the link from dispatcher 2
             for (String to : new String[] {links.address(0, 0), links.address(0, 2)}) {
                 stranger.send(new DatagramPacket(
                         forged, forged.length, InetAddress.getByName("127.0.0.1"), Integer.parseInt(to.split(":")[1])));
--- a/src/test/java/saffronferry/lifecycle/SiblingMonitorTest.java
+++ b/src/test/java/saffronferry/lifecycle/SiblingMonitorTest.java
@@ -18,16 +18,16 @@
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
 
-/** Looks at the folder that processes of one dispatcher share: how often, and that none of them is missed. */
+/** Polls of the folder that processes of one dispatcher share: their rate, and that no change is missed. */
 public class SiblingMonitorTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
     @Test
-    public void aProcessAloneLooksSeldomAndStillSeesWhoComesAndWhatChanges() throws Exception {
+    public void aProcessWithoutSiblingsPollsLessOftenAndStillSeesSiblingsAndBans() throws Exception {
         Path at = folder.getRoot().toPath();
-        AtomicInteger looks = new AtomicInteger();
-        CompletableFuture<Bans> heard = new CompletableFuture<>();
+        AtomicInteger polls = new AtomicInteger();
+        CompletableFuture<Bans> receivedBans = new CompletableFuture<>();
         BanFile file = new BanFile(at, "d");
         file.read();
         Vertx vertx = Vertx.vertx();
@@ -38,35 +38,35 @@
                     new ProcessRegistry(at, "d") {
                         @Override
                         Siblings exchangeState(Beside own) throws IOException {
-                            looks.incrementAndGet();
+                            polls.incrementAndGet();
                             return super.exchangeState(own);
                         }
                     },
                     file,
                     new Descriptors(1024, 32),
                     new BoundedLog());
-            looks.set(0);
+            polls.set(0);
             vertx.runOnContext(v -> monitor.start(() -> Beside.NOBODY, new SiblingMonitor.Listener() {
                 @Override
                 public void siblingStateChanged(Beside state) {}
 
                 @Override
                 public void bansChanged(Bans bans) {
-                    heard.complete(bans);
+                    receivedBans.complete(bans);
                 }
 
                 @Override
                 public void replacedChanged(boolean isReplaced) {}
             }));
             Thread.sleep(1500);
-            int alone = looks.get();
-            assertTrue(alone + " looks of a process alone in 1.5 s", alone >= 2 && alone <= 7);
+            int pollsAlone = polls.get();
+            assertTrue(pollsAlone + " polls without siblings in 1.5 s", pollsAlone >= 2 && pollsAlone <= 7);
             Files.writeString(at.resolve("d.process-" + other.pid()), "");
             new BanFile(at, "d").change(b -> b.with("w"));
-            assertEquals(Bans.NONE.with("w"), heard.get(2, TimeUnit.SECONDS));
-            looks.set(0);
+            assertEquals(Bans.NONE.with("w"), receivedBans.get(2, TimeUnit.SECONDS));
+            polls.set(0);
             Thread.sleep(1500);
-            assertTrue(looks.get() + " looks of two in 1.5 s", looks.get() >= 8);
+            assertTrue(polls.get() + " polls with a sibling in 1.5 s", polls.get() >= 8);
         } finally {
             other.destroyForcibly();
             vertx.close();
--- a/src/test/java/saffronferry/ops/OpsTest.java
+++ b/src/test/java/saffronferry/ops/OpsTest.java
@@ -15,17 +15,17 @@
 import saffronferry.ops.DrainState.Phase;
 import saffronferry.ops.Metrics.Result;
 
-/** Metrics, bans and the drain's states, without sockets or files. */
+/** Tests of metrics, bans and drain states, without sockets or files. */
 class OpsTest {
     @Test
-    void figuresAreWrittenInTheOperatorsForm() {
+    void metricsAreFormattedAsText() {
         Metrics metrics = new Metrics(List.of("page", "gift"));
         metrics.recordResult(0, Result.OK);
         metrics.recordResult(0, Result.OK);
         metrics.recordResult(1, Result.SHED);
         metrics.recordResult(1, Result.ERRORS);
         metrics.recordAttempt(1);
-        metrics.recordResult(7, Result.OK); // of no class: counts nowhere and breaks nothing
+        metrics.recordResult(7, Result.OK); // an unknown class is not counted
         metrics.recordAttempt(-1);
         List<String> lines = metrics.format(new Metrics.Snapshot(
                         14,
@@ -56,9 +56,9 @@
     }
 
     @Test
-    void whatControlCostsIsCountedByKindAndToldAsRatesOfTheLastMinute() {
+    void controlTrafficIsCountedByKindWithRatesOverTheLastMinute() {
         ControlUsage usage = new ControlUsage();
-        assertTrue(usage.format().contains("\napp_control_core_percent 0\n"), "nothing is known yet");
+        assertTrue(usage.format().contains("\napp_control_core_percent 0\n"), "no sample yet");
         usage.recordSample(1_000, 500, 1);
         usage.recordReceived(ControlUsage.Kind.LISTS, 3_000);
         usage.recordReceived(ControlUsage.Kind.LISTS, 500);
@@ -82,18 +82,18 @@
             usage.recordSample(s * 1_000, 650 + s, 1);
         }
         assertTrue(
-                usage.format().contains("\napp_control_core_percent 0.100\n"), "the burst is long ago: " + usage.format());
+                usage.format().contains("\napp_control_core_percent 0.100\n"), "the burst is outside the rate window: " + usage.format());
         assertTrue(usage.format().contains("\napp_control_bytes_per_second 0\n"), usage.format());
     }
 
     @Test
-    void aClassCannotEndItsLabelEarly() {
+    void classNamesAreEscapedInLabels() {
         String text = new Metrics(List.of("a\"} 9\nb\\")).format(new Metrics.Snapshot(0, 0, 0, List.of()));
         assertTrue(text.contains("app_tries{kind=\"a\\\"} 9\\nb\\\\\"} 0\n"), text);
     }
 
     @Test
-    void bansHaveNoCountAndSurviveBeingWritten() {
+    void bansAreNotCountedAndSurviveAWriteAndRead() {
         Bans bans = Bans.NONE.with("a").with("a").with("b\n\"c").without("x");
         assertEquals(bans, Bans.parse(bans.toJson()));
         assertEquals(Set.of("b\n\"c"), bans.without("a").workers());
@@ -113,7 +113,7 @@
                 "{\"version\":1,\"down\":[{}]}",
                 "\u0000\u0000"
             })
-    void aDamagedFileOfBansIsNamedAsSuch(String text) {
+    void damagedBansAreRejected(String text) {
         assertThrows(IllegalArgumentException.class, () -> Bans.parse(text));
     }
 
@@ -126,11 +126,11 @@
         "1200, CLOSING_IDLE, -1",
         "100000, CLOSING_IDLE, -1"
     })
-    void aCallEmptiesInSteps(long after, Phase phase, long untilNext) {
+    void anOperatorsDrainPassesThroughItsPhases(long after, Phase phase, long untilNext) {
         DrainState drain = new DrainState();
         assertEquals(Phase.SERVING, drain.phase(5));
         drain.start(5);
-        drain.start(5 + after); // a repeated call starts nothing anew
+        drain.start(5 + after); // a repeated call does not restart the drain
         assertEquals(phase, drain.phase(5 + after));
         assertEquals(untilNext, drain.msUntilNextPhase(5 + after));
         assertTrue(drain.stop());
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void theEndIsNotTakenBackAndWhicheverIsFurtherCounts() {
+    void aShutdownCannotBeCancelledAndTheLaterPhaseApplies() {
         DrainState drain = new DrainState();
         drain.start(0);
         drain.shutDown(1_000, 2_900, false);
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void whereAnotherProcessServesConnectionsLeaveAtOnce() {
+    void aShutdownClosesConnectionsAtOnceIfAnotherProcessServes() {
         DrainState drain = new DrainState();
         drain.shutDown(1_000, 2_900, true);
         assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(1_000));
@@ -161,12 +161,12 @@
     }
 
     @Test
-    void whileAnotherProcessServesConnectionsLeaveAndItMayBeTakenBackUntilTheEnd() {
+    void aReplacementClosesConnectionsAndCanBeRevokedUntilShutdown() {
         DrainState drain = new DrainState();
         drain.setReplaced(true);
         assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(0));
         assertTrue(drain.isReplaced() && !drain.isShuttingDown());
-        assertEquals(-1, drain.msUntilNextPhase(0)); // nothing is closed that is idle
+        assertEquals(-1, drain.msUntilNextPhase(0)); // idle connections stay open
         drain.setReplaced(false);
         assertEquals(Phase.SERVING, drain.phase(0));
         drain.setReplaced(true);
@@ -176,9 +176,11 @@
         assertTrue(drain.isReplaced());
     }
 
-    /** Whatever is called in whatever order: no yes while a drain holds, and the phase is waited for rightly. */
+    /**
+     * Random sequences of calls: the phase is SERVING only without a drain, and it changes no earlier than announced.
+     */
     @Test
-    void anySequenceOfCallsKeepsTheStatesInOrder() {
+    void randomCallSequencesKeepThePhaseConsistent() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
             DrainState drain = new DrainState();
@@ -190,7 +192,7 @@
                 long next = drain.msUntilNextPhase(now);
                 long step = 1 + random.nextInt(700);
                 if (next < 0 || step < next) {
-                    assertEquals(before, drain.phase(now + step - 1), "it changed though none was told");
+                    assertEquals(before, drain.phase(now + step - 1), "the phase changed before the announced time");
                 }
                 now += step;
                 switch (random.nextInt(12)) {
