--- a/src/test/java/saffronferry/lifecycle/ConnectionEndTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionEndTest.java
@@ -12,29 +12,29 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.Test;
 
-/** What ends in the middle: clients that go, answers that do not end, dials that come up late. */
+/** Clients that disconnect, responses that do not end, and connections to workers that are established late. */
 public class ConnectionEndTest extends SocketsFixture {
-    /** A client that has gone must be seen to have gone within this, whatever its RPC waits for. */
-    private static final long SEEN_MS = 100;
+    /** A disconnect must be detected within this time, whatever the RPC waits for. */
+    private static final long DISCONNECT_DETECTION_MS = 100;
 
-    private String raw(String txn, String body) {
+    private String rawRequest(String txn, String body) {
         return "POST /directory-page?obj=7f HTTP/1.1\r\nHost: h\r\nX-Lane: directory-page\r\nX-Txn: " + txn
                 + "\r\nX-Remaining-Ms: 6000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** How a client goes. */
-    private enum Leave {
+    /** How a client disconnects. */
+    private enum Disconnect {
         CLOSE,
         RESET,
         HALF_CLOSE,
-        CLOSE_BEHIND_A_PIPELINED_REQUEST,
-        CLOSE_BEHIND_A_FLOOD;
+        CLOSE_AFTER_A_PIPELINED_REQUEST,
+        CLOSE_AFTER_MANY_REQUESTS;
 
-        /** Sends what this way of going sends beside its one request, then goes. */
-        void go(Socket s, String another) throws IOException {
-            if (this == CLOSE_BEHIND_A_PIPELINED_REQUEST) {
+        /** Sends the further requests of this kind of disconnect, then disconnects. */
+        void disconnect(Socket s, String another) throws IOException {
+            if (this == CLOSE_AFTER_A_PIPELINED_REQUEST) {
                 ScriptedServer.write(s.getOutputStream(), another);
-            } else if (this == CLOSE_BEHIND_A_FLOOD) {
+            } else if (this == CLOSE_AFTER_MANY_REQUESTS) {
                 ScriptedServer.write(s.getOutputStream(), another.repeat(40_000));
             }
             if (this == HALF_CLOSE) {
@@ -48,8 +48,8 @@
         }
     }
 
-    /** How long until no RPC is open any more, in milliseconds. */
-    private long untilNoneIsOpen() throws Exception {
+    /** The time until no RPC is open, in milliseconds. */
+    private long msUntilNoneIsOpen() throws Exception {
         long begun = System.nanoTime();
         await(() -> {
             try {
@@ -61,31 +61,31 @@
         return (System.nanoTime() - begun) / 1_000_000;
     }
 
-    /** Held, since no worker is there. What the departure crosses must not hide it. */
+    /** The RPCs are held for lack of workers. Unread pipelined requests must not hide the disconnect. */
     @Test
-    public void aClientThatGoesWhileItsRpcIsHeldIsSeenToHaveGone() throws Exception {
+    public void aDisconnectIsDetectedWhileTheRpcIsHeld() throws Exception {
         setKnownWorkers();
         start();
-        for (Leave leave : Leave.values()) {
+        for (Disconnect disconnect : Disconnect.values()) {
             Socket s = connect();
-            ScriptedServer.write(s.getOutputStream(), raw("held-" + leave, "body"));
+            ScriptedServer.write(s.getOutputStream(), rawRequest("held-" + disconnect, "body"));
             await(() -> active() == 1);
-            leave.go(s, raw("more-" + leave, "body"));
-            long took = untilNoneIsOpen();
-            // what is not seen shows at the deadline, 6 s; that it takes 0.1 s at most, the burst's test shows by order
-            assertTrue(leave + " seen after " + took + " ms", took <= 2000);
+            disconnect.disconnect(s, rawRequest("more-" + disconnect, "body"));
+            long took = msUntilNoneIsOpen();
+            // an undetected disconnect would show only at the deadline, 6 s; the burst test checks the limit of 0.1 s
+            assertTrue(disconnect + " detected after " + took + " ms", took <= 2000);
         }
     }
 
-    /** A few requests in one write are served in turn: none overtakes another, and none is opened too early. */
+    /** Pipelined requests are served one after the other, in order, up to a bound. */
     @Test
-    public void requestsSentAtOnceAreServedInTurnUpToABoundAndThenTheConnectionCloses() throws Exception {
+    public void pipelinedRequestsAreServedInOrderUpToABoundAndThenTheConnectionCloses() throws Exception {
         workerB.close();
         start();
         Socket s = connect();
         StringBuilder flood = new StringBuilder();
         for (int i = 0; i < 100; i++) {
-            flood.append(raw("turn-" + i, "body"));
+            flood.append(rawRequest("turn-" + i, "body"));
         }
         ScriptedServer.write(s.getOutputStream(), flood.toString());
         String answers = readAll(s);
@@ -105,15 +105,15 @@
         }
     }
 
-    /** What has its result, or was turned away, must not go on holding descriptors here and at the worker. */
+    /** A response that continues after its result or rejection must not hold descriptors here and at the worker. */
     @Test
-    public void anAnswerThatGoesOnAfterItsEndIsClosed() throws Exception {
+    public void aResponseThatContinuesAfterItsResultIsClosed() throws Exception {
         workerB.close();
         List<ScriptedServer.Script> endless = List.of(
                 (request, out) -> {
                     ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     ScriptedServer.chunk(out, "{\"state\":\"done\",\"result\":\"made\"}");
-                    return true; // neither a last chunk nor a close
+                    return true; // without a last chunk or a close
                 },
                 (request, out) -> {
                     ScriptedServer.write(out, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 70000\r\n\r\nhalf");
@@ -127,11 +127,11 @@
                     }
                     return true;
                 });
-        config.getJSONObject("settings").getJSONObject("limits").put("probes", false); // whose connections close, too
+        config.getJSONObject("settings").getJSONObject("limits").put("probes", false); // their connections would be counted as closed, too
         start();
         int closed = 0;
         for (ScriptedServer.Script script : endless) {
-            workerA.script = (request, out) -> workerA.requests.size() > 1 ? ScriptedServer.serve(request, out) : script.play(request, out);
+            workerA.script = (request, out) -> workerA.requests.size() > 1 ? ScriptedServer.serve(request, out) : script.answer(request, out);
             workerA.requests.clear();
             sendRequest("directory-page", 6000);
             await(() -> workerA.requests.size() >= 1);
@@ -143,15 +143,15 @@
         }
     }
 
-    /** A worker whose connections come up only when it says so: its backlog is full until then. */
+    /** A worker whose backlog is full until {@link #open}, so that connections to it are established only then. */
     private final class LateWorker implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         private final List<Socket> filling = new ArrayList<>();
-        private final List<Socket> taken = new java.util.concurrent.CopyOnWriteArrayList<>();
+        private final List<Socket> accepted = new java.util.concurrent.CopyOnWriteArrayList<>();
         final CountDownLatch opened = new CountDownLatch(1);
         volatile int bytes;
         volatile int ended;
-        volatile String said = "";
+        volatile String received = "";
 
         LateWorker() throws IOException {
             for (int i = 0; i < 8; i++) {
@@ -170,19 +170,19 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        /** Takes the connections that waited; counts what the real ones among them say. */
+        /** Accepts the waiting connections; records what those of the dispatcher send. */
         void open() {
             opened.countDown();
-            List<Integer> ours = filling.stream().map(Socket::getLocalPort).toList();
+            List<Integer> fillingPorts = filling.stream().map(Socket::getLocalPort).toList();
             Thread t = new Thread(() -> {
                 try {
                     while (true) {
                         Socket s = server.accept();
-                        taken.add(s);
-                        if (!ours.contains(s.getPort())) {
-                            said = new String(
+                        accepted.add(s);
+                        if (!fillingPorts.contains(s.getPort())) {
+                            received = new String(
                                     s.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.ISO_8859_1);
-                            bytes += said.length();
+                            bytes += received.length();
                             ended++;
                         }
                     }
@@ -199,16 +199,16 @@
             for (Socket s : filling) {
                 s.close();
             }
-            for (Socket s : taken) {
+            for (Socket s : accepted) {
                 s.close();
             }
             server.close();
         }
     }
 
-    /** Also where begun attempts may not be cancelled: this one is yet to begin when the client goes. */
+    /** Also where started attempts may not be cancelled, because this one has not started when the client disconnects. */
     @Test
-    public void aDialThatComesUpLateBeginsNothingForAClientThatHasGone() throws Exception {
+    public void aLateConnectionSendsNothingForADisconnectedClient() throws Exception {
         for (boolean cancel : new boolean[] {true, false}) {
             LateWorker late = closeAfterTest(new LateWorker());
             config.getJSONObject("settings")
@@ -220,7 +220,7 @@
             setKnownWorkers(entry("late", late.address(), 1, "SERVING", 0));
             start();
             Socket s = connect();
-            ScriptedServer.write(s.getOutputStream(), raw("dialled-" + cancel, "body"));
+            ScriptedServer.write(s.getOutputStream(), rawRequest("dialled-" + cancel, "body"));
             await(() -> active() == 1);
             s.close();
             await(() -> active() == 0);
@@ -230,7 +230,7 @@
         }
     }
 
-    private static int told(String request) {
+    private static int remainingMs(String request) {
         return request.lines()
                 .filter(l -> l.toLowerCase().startsWith("x-remaining-ms:"))
                 .mapToInt(l -> Integer.parseInt(l.substring(15).trim()))
@@ -239,33 +239,33 @@
     }
 
     /**
-     * A client counts from when it sends; so far 5 of 56 further attempts of a day told over 0.15 s more than was
-     * left.
+     * The client counts its deadline from the moment it sends. Counted from a later moment, 5 of 56 retries of a day
+     * announced over 0.15 s more to the worker than was left.
      */
     @Test
-    public void anAttemptTellsWhatIsLeftToTheClientByItsOwnCount() throws Exception {
+    public void anAttemptAnnouncesTheTimeLeftSinceTheFirstByteOfTheRequest() throws Exception {
         workerB.close();
         setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0));
         start();
         Socket s = connect();
-        String request = raw("slow", "body");
+        String request = rawRequest("slow", "body");
         ScriptedServer.write(s.getOutputStream(), request.substring(0, 20));
-        Thread.sleep(1000); // the client's own pace; the first piece is surely read within half of it
+        Thread.sleep(1000); // a slow client; its first part is read well within this time
         ScriptedServer.write(s.getOutputStream(), request.substring(20) + "\r\n");
         await(() -> workerA.requests.size() == 1);
-        assertTrue(workerA.requests.get(0), told(workerA.requests.get(0)) <= 5500);
-        // an empty line that came long before belongs to no request
+        assertTrue(workerA.requests.get(0), remainingMs(workerA.requests.get(0)) <= 5500);
+        // an empty line received earlier does not belong to the next request
         Thread.sleep(1000);
         long sent = System.nanoTime();
-        ScriptedServer.write(s.getOutputStream(), raw("next", "body"));
+        ScriptedServer.write(s.getOutputStream(), rawRequest("next", "body"));
         await(() -> workerA.requests.size() == 2);
         long took = (System.nanoTime() - sent) / 1_000_000;
-        assertTrue(workerA.requests.get(1) + " after " + took, told(workerA.requests.get(1)) >= 6000 - took - 3);
+        assertTrue(workerA.requests.get(1) + " after " + took, remainingMs(workerA.requests.get(1)) >= 6000 - took - 3);
     }
 
-    /** What is told is fixed when it is written, not when the attempt is decided on. */
+    /** The remaining time is computed when the request is written, not when the attempt is decided. */
     @Test
-    public void anAttemptDoesNotTellTheTimeOfItsDial() throws Exception {
+    public void theRemainingTimeExcludesTheConnectTime() throws Exception {
         LateWorker late = closeAfterTest(new LateWorker());
         config.getJSONObject("settings")
                 .getJSONObject("limits")
@@ -274,20 +274,17 @@
         setKnownWorkers(entry("late", late.address(), 1, "SERVING", 0));
         start();
         Socket s = connect();
-        ScriptedServer.write(s.getOutputStream(), raw("dialled", "body"));
+        ScriptedServer.write(s.getOutputStream(), rawRequest("dialled", "body"));
         await(() -> active() == 1);
-        Thread.sleep(300); // the connection's own time to come up
+        Thread.sleep(300); // the connect time
         late.open();
         await(() -> late.ended >= 1); // at the deadline
-        assertTrue(late.said, told(late.said) <= 5700);
+        assertTrue(late.received, remainingMs(late.received) <= 5700);
     }
 
-    /**
-     * A list that says that a worker drains ends the dials to it: their first bytes would come a connection's time
-     * later.
-     */
+    /** A list that shows a worker as draining aborts connects to it, whose first bytes would arrive after the list. */
     @Test
-    public void aDialThatComesUpAfterTheListSaysThatItsWorkerDrainsBeginsNothing() throws Exception {
+    public void aLateConnectionSendsNothingToAWorkerThatDrainsMeanwhile() throws Exception {
         LateWorker late = closeAfterTest(new LateWorker());
         CountDownLatch dialled = new CountDownLatch(1);
         config.getJSONObject("settings")
@@ -310,10 +307,10 @@
         };
         start();
         Socket s = connect();
-        ScriptedServer.write(s.getOutputStream(), raw("drained", "body"));
+        ScriptedServer.write(s.getOutputStream(), rawRequest("drained", "body"));
         await(() -> active() == 1);
         dialled.countDown();
-        await(() -> workerA.requests.size() == 1); // the RPC goes to the one that is in service
+        await(() -> workerA.requests.size() == 1); // the RPC goes to the worker in service
         late.open();
         await(() -> late.ended >= 1);
         assertEquals(0, late.bytes);
@@ -321,14 +318,14 @@
 
     /** When a worker breaks the connection of an attempt. */
     private enum Break {
-        BEHIND_THE_REQUEST,
-        BEHIND_THE_ANSWERS_HEAD,
-        BEHIND_THE_START
+        AFTER_THE_REQUEST,
+        AFTER_THE_RESPONSE_HEAD,
+        AFTER_THE_START
     }
 
-    /** A job that may have run goes out once where its class is unsafe, by its settings. */
+    /** An RPC that may have run is not sent again if the settings declare its class as unsafe. */
     @Test
-    public void anUnsafeJobIsNeverSentASecondTimeOnceItMayHaveRun() throws Exception {
+    public void anUnsafeRpcThatMayHaveRunIsNotSentAgain() throws Exception {
         config.getJSONObject("settings")
                 .getJSONArray("profiles")
                 .getJSONObject(0)
@@ -338,10 +335,10 @@
             workerA.requests.clear();
             workerB.requests.clear();
             workerA.script = (request, out) -> {
-                if (when.compareTo(Break.BEHIND_THE_ANSWERS_HEAD) >= 0) {
+                if (when.compareTo(Break.AFTER_THE_RESPONSE_HEAD) >= 0) {
                     ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 }
-                if (when == Break.BEHIND_THE_START) {
+                if (when == Break.AFTER_THE_START) {
                     ScriptedServer.chunk(out, "{\"state\":\"started\"}");
                 }
                 throw new ScriptedServer.Reset();
@@ -352,14 +349,14 @@
         }
     }
 
-    /** Each of a burst is seen: a worker that comes up a moment later hears of none of them. */
+    /** All disconnects of a burst are detected: a worker that comes up shortly later gets none of their requests. */
     @Test
-    public void ofABurstOfDeparturesNoneIsSentOn() throws Exception {
+    public void noRequestOfABurstOfDisconnectsIsSent() throws Exception {
         setKnownWorkers();
-        CountDownLatch gone = new CountDownLatch(1);
+        CountDownLatch disconnected = new CountDownLatch(1);
         discovery.script = (request, out) -> {
             ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (int i = 0; i < 600 && !gone.await(100, java.util.concurrent.TimeUnit.MILLISECONDS); i++) {
+            for (int i = 0; i < 600 && !disconnected.await(100, java.util.concurrent.TimeUnit.MILLISECONDS); i++) {
                 ScriptedServer.chunk(out, "");
             }
             ScriptedServer.chunk(
@@ -373,14 +370,14 @@
         List<Socket> all = new ArrayList<>();
         for (int i = 0; i < 150; i++) {
             all.add(connect());
-            ScriptedServer.write(all.get(i).getOutputStream(), raw("burst-" + i, "body"));
+            ScriptedServer.write(all.get(i).getOutputStream(), rawRequest("burst-" + i, "body"));
         }
         await(() -> active() == 150);
         for (int i = 0; i < 150; i++) {
-            Leave.values()[i % 4].go(all.get(i), raw("more-" + i, "body"));
+            Disconnect.values()[i % 4].disconnect(all.get(i), rawRequest("more-" + i, "body"));
         }
-        Thread.sleep(SEEN_MS); // what begins later than this begins for nobody
-        gone.countDown();
+        Thread.sleep(DISCONNECT_DETECTION_MS); // attempts started later would be for disconnected clients
+        disconnected.countDown();
         assertEquals(200, get(sendRequest("the-last", "directory-page", 6000)).statusCode());
         await(() -> active() == 0);
         for (String request : workerA.requests) {
@@ -388,20 +385,20 @@
         }
     }
 
-    /** Between two attempts: the first was turned away, and the worker rests before it is asked again. */
+    /** The first attempt was rejected, and the client disconnects during the backoff before the second. */
     @Test
-    public void aClientThatGoesBetweenTwoAttemptsGetsNoSecondOne() throws Exception {
+    public void aDisconnectBetweenTwoAttemptsPreventsTheSecond() throws Exception {
         workerB.close();
         setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0));
         CountDownLatch turnedAway = new CountDownLatch(1);
         workerA.script = (request, out) -> {
-            ScriptedServer.answerWith("503 Full", "X-Turned-Away: 1\r\n").play(request, out);
+            ScriptedServer.answerWith("503 Full", "X-Turned-Away: 1\r\n").answer(request, out);
             turnedAway.countDown();
             return true;
         };
         start();
         Socket s = connect();
-        ScriptedServer.write(s.getOutputStream(), raw("between", "body"));
+        ScriptedServer.write(s.getOutputStream(), rawRequest("between", "body"));
         turnedAway.await();
         s.close();
         await(() -> active() == 0);
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -16,21 +16,21 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.Test;
 
-/** What operators call for, with a whole dispatcher on real sockets between scripted peers. */
+/** The operators' console, tested with a whole dispatcher on real sockets between scripted servers. */
 public class ConsoleTest extends SocketsFixture {
     private int consolePort() {
         return Integer.parseInt(config.getString("console").split(":")[1]);
     }
 
-    private Socket caller(String said) throws IOException {
+    private Socket connectToConsole(String request) throws IOException {
         Socket s = closeAfterTest(new Socket("127.0.0.1", consolePort()));
         s.setSoTimeout(5000);
-        ScriptedServer.write(s.getOutputStream(), said);
+        ScriptedServer.write(s.getOutputStream(), request);
         return s;
     }
 
-    private String raw(String said) throws IOException {
-        return readAll(caller(said)); // ends only because the answer ends the connection
+    private String callRaw(String request) throws IOException {
+        return readAll(connectToConsole(request)); // returns when the server closes the connection after its answer
     }
 
     private static String head(String method, String path) {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void eachCallHasItsAnswerAndTheConnectionEnds() throws Exception {
+    public void eachCallIsAnsweredAndItsConnectionClosed() throws Exception {
         start();
         String[][] table = {
             {"GET", "/ops/readiness", "200"},
@@ -60,13 +60,13 @@
             {"PUT", "/ops/workers/up/%zz", "400"}
         };
         for (String[] row : table) {
-            String answer = raw(head(row[0], row[1]));
+            String answer = callRaw(head(row[0], row[1]));
             assertTrue(row[1] + ": " + answer, answer.startsWith("HTTP/1.1 " + row[2] + " "));
         }
-        assertTrue(raw("rubbish\r\n\r\n").startsWith("HTTP/1.1 400 "));
-        assertTrue(raw("GET /ops/stats HTTP/1.1\r\nX: " + "y".repeat(10_000) + "\r\n\r\n")
+        assertTrue(callRaw("rubbish\r\n\r\n").startsWith("HTTP/1.1 400 "));
+        assertTrue(callRaw("GET /ops/stats HTTP/1.1\r\nX: " + "y".repeat(10_000) + "\r\n\r\n")
                 .startsWith("HTTP/1.1 400 "));
-        Socket slow = caller("");
+        Socket slow = connectToConsole("");
         for (byte b : head("GET", "/ops/readiness").getBytes(StandardCharsets.US_ASCII)) {
             slow.getOutputStream().write(b);
             slow.getOutputStream().flush();
@@ -74,15 +74,15 @@
         assertTrue(readAll(slow).startsWith("HTTP/1.1 200 "));
     }
 
-    /** Callers that stay and say nothing, and clients that hold all they may, cost no other caller its answer. */
+    /** Silent callers, partial calls and a flood of clients do not prevent other calls from being answered. */
     @Test
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
-    public void answersComeInASecondBesideSilentAndHalfCallersAndACrowdOfClients() throws Exception {
+    public void callsAreAnsweredWithinASecondDespiteSilentCallersAndAFlood() throws Exception {
         launch(configFile(), 192, "saffronferry.cli.Main", "serve");
         awaitUp();
         try (ConnectionFlood crowd = new ConnectionFlood(port(), 400)) {
             for (int i = 0; i < 60; i++) {
-                caller(i % 2 == 0 ? "" : "GET /ops/st");
+                connectToConsole(i % 2 == 0 ? "" : "GET /ops/st");
                 if (i % 5 == 0) {
                     long begun = System.nanoTime();
                     assertTrue(call("GET", "/ops/readiness").startsWith("200"));
@@ -92,21 +92,21 @@
         }
     }
 
-    /** A call made half is told so, one that says nothing is closed: neither stays longer than 2 s or so. */
+    /** A partial call is answered with 408, and a silent connection is closed, both after about 2 s. */
     @Test
-    public void callersThatAreNeverWholeAreNotKept() throws Exception {
+    public void partialAndSilentCallsAreEnded() throws Exception {
         start();
-        Socket half = caller("PUT /ops/drain/start HTT");
-        Socket silent = caller("");
+        Socket half = connectToConsole("PUT /ops/drain/start HTT");
+        Socket silent = connectToConsole("");
         assertTrue(readAll(half).startsWith("HTTP/1.1 408 "));
         assertEquals("", readAll(silent));
-        assertEquals("nothing came of it", 200, ConnectionFlood.msUntilUp(port()) < 1000 ? 200 : 0);
+        assertEquals("the partial drain call had no effect", 200, ConnectionFlood.msUntilUp(port()) < 1000 ? 200 : 0);
     }
 
     @Test
-    public void theFiguresAreWhatClientsAndWorkersSaw() throws Exception {
+    public void metricsMatchWhatClientsAndWorkersObserve() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(300);
-        workerB.close(); // connecting there fails, and is no attempt written
+        workerB.close(); // connecting fails, which does not count as a written attempt
         setKnownWorkers(
                 entry("a", workerA.address(), 1, "SERVING", 0),
                 entry("b", workerB.address(), 2, "SERVING", 0),
@@ -121,10 +121,10 @@
         for (CompletableFuture<HttpResponse<String>> one : open) {
             assertEquals(200, get(one).statusCode());
         }
-        workerA.script = (request, out) -> false; // takes the job and breaks
+        workerA.script = (request, out) -> false; // takes the request and closes the connection
         assertEquals(500, get(sendGift(3000)).statusCode());
         workerA.script = ScriptedServer.serveAfterMs(1500);
-        CompletableFuture<HttpResponse<String>> late = sendRequest("directory-page", 400); // the worker holds it too long
+        CompletableFuture<HttpResponse<String>> late = sendRequest("directory-page", 400); // the worker exceeds the deadline
         assertTrue(get(late).statusCode() >= 500);
         long answers = 0;
         for (String name : List.of("directory-page", "record-gift")) {
@@ -145,30 +145,30 @@
         assertEquals(byChoice + 1, metric("app_pool_ejected"));
     }
 
-    private void awaitFigure(String name, long over) throws InterruptedException {
+    private void awaitMetricAbove(String name, long bound) throws InterruptedException {
         await(() -> {
             try {
-                return metric(name) > over;
+                return metric(name) > bound;
             } catch (Exception e) {
                 throw new AssertionError(e);
             }
         });
     }
 
-    /** Bytes of discovery, of probes and of peers are in the figures as the stand-ins said and heard them. */
+    /** The metrics count the bytes that the scripted servers send and receive as discovery, probes and peers. */
     @Test
-    public void whatControlCostsIsToldByKind() throws Exception {
-        String told =
+    public void controlTrafficIsCountedByKind() throws Exception {
+        String list =
                 "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", workerA.address(), 1, "SERVING", 0) + "]}";
-        discovery.script = watchSending(told);
+        discovery.script = watchSending(list);
         start();
-        awaitFigure("app_control_bytes{kind=\"lists\",way=\"in\"}", told.length());
+        awaitMetricAbove("app_control_bytes{kind=\"lists\",way=\"in\"}", list.length());
         assertTrue(
-                "and the head of an answer",
-                metric("app_control_bytes{kind=\"lists\",way=\"in\"}") < told.length() + 500);
-        assertTrue("the call", metric("app_control_bytes{kind=\"lists\",way=\"out\"}") > 50);
-        awaitFigure("app_control_bytes{kind=\"probes\",way=\"out\"}", 50);
-        awaitFigure("app_control_resident_bytes", 10_000_000);
+                "plus the head of the response",
+                metric("app_control_bytes{kind=\"lists\",way=\"in\"}") < list.length() + 500);
+        assertTrue("the request", metric("app_control_bytes{kind=\"lists\",way=\"out\"}") > 50);
+        awaitMetricAbove("app_control_bytes{kind=\"probes\",way=\"out\"}", 50);
+        awaitMetricAbove("app_control_resident_bytes", 10_000_000);
         String cpu = call("GET", "/ops/stats")
                 .lines()
                 .filter(l -> l.startsWith("app_control_cpu_seconds "))
@@ -178,7 +178,7 @@
     }
 
     @Test
-    public void whatTheSystemSaysOfTheProcessIsRead() throws Exception {
+    public void processUsageIsReadFromProc() throws Exception {
         String stat = "7 (a) b (c) S 1 1 1 0 -1 0 9 9 9 9 120 30 0 0 20 0 9";
         assertEquals(new ProcessUsage.Sample(1_500, 2_048), ProcessUsage.read(stat, "Name:\tx\nVmRSS:\t     2 kB\n"));
         for (String[] bad : new String[][] {{"", ""}, {stat, "Name:\tx\n"}, {"7 (a) S 1", "VmRSS: 2 kB"}}) {
@@ -188,7 +188,7 @@
     }
 
     @Test
-    public void whatWasTakenOutGetsNothingUntilTheCallBackWhateverTheListSays() throws Exception {
+    public void aBannedWorkerGetsNoRequestsWhateverTheListSays() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(400);
         workerB.script = ScriptedServer.serveAfterMs(400);
         discovery.script = (request, out) -> {
@@ -196,34 +196,34 @@
             return watchSending("{\"revision\":2,\"complete\":true,\"members\":["
                             + entry("a", workerA.address(), 1, "SERVING", System.currentTimeMillis()) + ","
                             + entry("b", workerB.address(), 2, "SERVING", 0) + "]}")
-                    .play(request, out);
+                    .answer(request, out);
         };
         start();
         CompletableFuture<HttpResponse<String>> running = sendGift(5000);
         await(() -> workerA.requests.size() + workerB.requests.size() == 1);
-        ScriptedServer out = workerA.requests.isEmpty() ? workerB : workerA;
-        assertCallSucceeds("/ops/workers/down/" + (out == workerA ? "a" : "b"));
+        ScriptedServer target = workerA.requests.isEmpty() ? workerB : workerA;
+        assertCallSucceeds("/ops/workers/down/" + (target == workerA ? "a" : "b"));
         List<CompletableFuture<HttpResponse<String>>> held = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             held.add(sendRequest("directory-page", 6000));
         }
-        assertEquals("what runs there finishes", 200, get(running).statusCode());
+        assertEquals("an open RPC finishes", 200, get(running).statusCode());
         for (CompletableFuture<HttpResponse<String>> one : held) {
             int status = get(one).statusCode();
-            assertTrue("served, or refused for want of slots: " + status, status == 200 || status == 503);
+            assertTrue("served, or refused for lack of slots: " + status, status == 200 || status == 503);
         }
-        Thread.sleep(600); // by now the list has told of it anew, as in service and restarted
+        Thread.sleep(600); // by now a new list shows the worker as in service and restarted
         assertEquals(200, get(sendGift(5000)).statusCode());
-        assertEquals(1, out.requests.size());
-        assertCallSucceeds("/ops/workers/up/" + (out == workerA ? "a" : "b"));
+        assertEquals(1, target.requests.size());
+        assertCallSucceeds("/ops/workers/up/" + (target == workerA ? "a" : "b"));
         await(() -> {
             sendRequest("directory-page", 3000);
-            return out.requests.size() > 1;
+            return target.requests.size() > 1;
         });
     }
 
     @Test
-    public void withAllTakenOutRequestsAreRefusedAndServedAgainAfterTheCallBack() throws Exception {
+    public void requestsAreRefusedWhileAllWorkersAreBanned() throws Exception {
         start();
         assertCallSucceeds("/ops/workers/down/a");
         assertCallSucceeds("/ops/workers/down/b");
@@ -240,34 +240,34 @@
         assertEquals(0, workerB.requests.size());
     }
 
-    /** An attempt whose connection is yet to come up: its worker is out before the first byte could leave. */
+    /** A ban also stops attempts whose connections are still being established. */
     @Test
-    public void nothingLeavesAfterTheYesThoughItWasBeingDialled() throws Exception {
+    public void nothingIsSentToAWorkerAfterItsBanIsAcknowledged() throws Exception {
         start();
         Random random = new Random(7);
         int banned = 0;
         for (int round = 0; round < 40; round++) {
-            ScriptedServer out = round % 2 == 0 ? workerA : workerB;
+            ScriptedServer target = round % 2 == 0 ? workerA : workerB;
             long surplus = surplus();
             List<CompletableFuture<HttpResponse<String>>> load = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 load.add(sendRequest("directory-page", 4000));
             }
             Thread.sleep(0, random.nextInt(900_000));
-            assertCallSucceeds("/ops/workers/down/" + (out == workerA ? "a" : "b"));
-            // what had left before the yes is read, however busy the machine
+            assertCallSucceeds("/ops/workers/down/" + (target == workerA ? "a" : "b"));
+            // wait until the workers have read what was sent before the acknowledgement, however slowly
             long written = written();
             await(() -> read() - written >= surplus);
-            int got = out.requests.size();
+            int got = target.requests.size();
             for (int i = 0; i < 6; i++) {
                 load.add(sendRequest("directory-page", 4000));
             }
             for (CompletableFuture<HttpResponse<String>> one : load) {
                 assertEquals(200, get(one).statusCode());
             }
-            assertEquals("round " + round, got, out.requests.size());
+            assertEquals("round " + round, got, target.requests.size());
             banned += got > 0 ? 1 : 0;
-            assertCallSucceeds("/ops/workers/up/" + (out == workerA ? "a" : "b"));
+            assertCallSucceeds("/ops/workers/up/" + (target == workerA ? "a" : "b"));
         }
         assertTrue("the workers were in use before", banned > 20);
     }
@@ -276,7 +276,10 @@
         return workerA.requests.size() + workerB.requests.size();
     }
 
-    /** How many more the workers have read than were written whole, some having been given up meanwhile; at rest. */
+    /**
+     * How many more requests the workers have read than were counted as completely written, since some attempts were
+     * given up meanwhile; waits until there is no activity.
+     */
     private long surplus() throws Exception {
         await(() -> active() == 0);
         long surplus = read() - written();
@@ -297,13 +300,13 @@
         }
     }
 
-    /** Attempts written whole so far. */
+    /** Attempts completely written so far. */
     private long written() throws Exception {
         return metric("app_tries{kind=\"directory-page\"}") + metric("app_tries{kind=\"record-gift\"}");
     }
 
     @Test
-    public void bansOutliveTheProcessAndADamagedFileEndsNoStart() throws Exception {
+    public void bansSurviveARestartAndADamagedFileDoesNotPreventAStart() throws Exception {
         DispatcherServer first = newServer();
         start(first);
         assertCallSucceeds("/ops/workers/down/a");
@@ -322,21 +325,21 @@
         assertEquals(1, metric("app_pool_ejected"));
     }
 
-    /** A call may reach either process of an upgrade. */
+    /** While one process replaces another, a call may reach either of them. */
     @Test
-    public void bansThatAnotherProcessWritesAreFollowed() throws Exception {
+    public void bansWrittenByAnotherProcessAreApplied() throws Exception {
         start();
         BanFile other = new BanFile(folder, new Config(config, folder).fileName());
         assertCallSucceeds("/ops/workers/down/a");
         other.change(bans -> bans.with("b"));
-        awaitFigure(2);
+        awaitEjected(2);
         other.change(bans -> bans.without("a"));
-        awaitFigure(1);
+        awaitEjected(1);
         assertCallSucceeds("/ops/workers/up/b");
         assertEquals(0, other.read().workers().size());
     }
 
-    private void awaitFigure(long ejected) throws InterruptedException {
+    private void awaitEjected(long ejected) throws InterruptedException {
         await(() -> {
             try {
                 return metric("app_pool_ejected") == ejected;
@@ -346,42 +349,42 @@
         });
     }
 
-    private static String job(int id) {
+    private static String pageRequest(int id) {
         return "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: d" + id + "\r\nX-Lane: directory-page\r\n"
                 + "X-Remaining-Ms: 3000\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private static String answer(Socket s) throws IOException {
+    private static String readAnswer(Socket s) throws IOException {
         byte[] buffer = new byte[4096];
         int n = s.getInputStream().read(buffer);
         return n < 0 ? "" : new String(buffer, 0, n, StandardCharsets.US_ASCII);
     }
 
     @Test
-    public void aDrainTurnsAwayThenEmptiesAndIsTakenBack() throws Exception {
+    public void aDrainFailsHealthChecksThenClosesConnectionsAndCanBeCancelled() throws Exception {
         start();
         Socket kept = connect();
         Socket idle = connect();
-        ScriptedServer.write(kept.getOutputStream(), job(1));
-        assertTrue(answer(kept).startsWith("HTTP/1.1 200 "));
-        ScriptedServer.write(idle.getOutputStream(), job(2));
-        assertTrue(answer(idle).startsWith("HTTP/1.1 200 "));
+        ScriptedServer.write(kept.getOutputStream(), pageRequest(1));
+        assertTrue(readAnswer(kept).startsWith("HTTP/1.1 200 "));
+        ScriptedServer.write(idle.getOutputStream(), pageRequest(2));
+        assertTrue(readAnswer(idle).startsWith("HTTP/1.1 200 "));
         assertCallSucceeds("/ops/drain/start");
         long begun = System.nanoTime();
         assertEquals(
                 503,
                 client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding())
                         .statusCode());
-        ScriptedServer.write(kept.getOutputStream(), job(3));
-        String early = answer(kept);
+        ScriptedServer.write(kept.getOutputStream(), pageRequest(3));
+        String early = readAnswer(kept);
         assertTrue(
-                "the front may not have turned away yet: " + early,
+                "the upstream load balancer may not have stopped yet: " + early,
                 early.startsWith("HTTP/1.1 200 ") && !early.toLowerCase().contains("connection: close"));
         Thread.sleep(500);
-        ScriptedServer.write(kept.getOutputStream(), job(4));
+        ScriptedServer.write(kept.getOutputStream(), pageRequest(4));
         String last = readAll(kept);
-        assertTrue("an answer, and then the end: " + last, last.startsWith("HTTP/1.1 200 "));
-        assertEquals("idle ones end", "", readAll(idle));
+        assertTrue("an answer, then a close: " + last, last.startsWith("HTTP/1.1 200 "));
+        assertEquals("idle connections are closed", "", readAll(idle));
         assertTrue(System.nanoTime() - begun < 2_000_000_000L);
         assertCallSucceeds("/ops/drain/stop");
         assertEquals(
@@ -389,16 +392,16 @@
                 client.send(request("/up").GET().build(), HttpResponse.BodyHandlers.discarding())
                         .statusCode());
         Socket again = connect();
-        ScriptedServer.write(again.getOutputStream(), job(5));
-        assertTrue(answer(again).startsWith("HTTP/1.1 200 "));
-        Thread.sleep(1500); // the stopped drain's times have passed
-        ScriptedServer.write(again.getOutputStream(), job(6));
-        assertTrue("it is kept", answer(again).startsWith("HTTP/1.1 200 "));
+        ScriptedServer.write(again.getOutputStream(), pageRequest(5));
+        assertTrue(readAnswer(again).startsWith("HTTP/1.1 200 "));
+        Thread.sleep(1500); // past the times of the cancelled drain
+        ScriptedServer.write(again.getOutputStream(), pageRequest(6));
+        assertTrue("the connection is kept", readAnswer(again).startsWith("HTTP/1.1 200 "));
     }
 
-    /** Whoever drained a dispatcher by call may end it too, and it ends when all has its answer. */
+    /** A process that is drained by a call can also be ended by SIGTERM, and answers its open RPCs first. */
     @Test
-    public void sigtermInADrainEndsTheProcessAndLosesNothing() throws Exception {
+    public void sigtermDuringADrainEndsTheProcessWithoutLoss() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(1200);
         workerB.script = ScriptedServer.serveAfterMs(1200);
         Process process = startProcess(configFile());
--- a/src/test/java/saffronferry/lifecycle/DiscoveryWatchTest.java
+++ b/src/test/java/saffronferry/lifecycle/DiscoveryWatchTest.java
@@ -7,24 +7,24 @@
 import java.util.List;
 import org.junit.Test;
 
-/** A watch that dies without a word, and what keeps a dispatcher from discovery. */
+/** Discovery watches that fail silently, and conditions that could keep a dispatcher from reaching discovery. */
 public class DiscoveryWatchTest extends SocketsFixture {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private static String list(int revision, boolean whole, String... entries) {
-        return "{\"revision\":" + revision + ",\"complete\":" + whole + ",\"members\":[" + String.join(",", entries)
+    private static String list(int revision, boolean complete, String... entries) {
+        return "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[" + String.join(",", entries)
                 + "]}";
     }
 
-    /** Then tells that b drains; what is left to take jobs is a. */
-    private void thenTellThatBDrains(ScriptedServer.Script first) {
+    /** The first watch runs the given script; later ones list worker b as draining, which leaves only worker a. */
+    private void thenListBAsDraining(ScriptedServer.Script first) {
         discovery.script = (request, out) -> discovery.requests.size() == 1
-                ? first.play(request, out)
+                ? first.answer(request, out)
                 : watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))
-                        .play(request, out);
+                        .answer(request, out);
     }
 
-    private void nothingGoesToBAnyMore(int calls) throws Exception {
+    private void awaitNoRequestsToB(int watches) throws Exception {
         await(() -> {
             int before = workerB.requests.size();
             try {
@@ -34,14 +34,17 @@
             } catch (Exception e) {
                 return false;
             }
-            return discovery.requests.size() >= calls && workerB.requests.size() == before;
+            return discovery.requests.size() >= watches && workerB.requests.size() == before;
         });
     }
 
-    /** Bytes that never make a line are no sign of life: a change that the watch hides counts as told 6 s later. */
+    /**
+     * Bytes that never complete a line must not count as activity: a change counts as announced 6 s later, even if the
+     * watch does not deliver it.
+     */
     @Test
-    public void halfALineThatGoesOnForEverIsASilentWatch() throws Exception {
-        thenTellThatBDrains((request, out) -> {
+    public void aWatchThatNeverCompletesALineIsReopened() throws Exception {
+        thenListBAsDraining((request, out) -> {
             ScriptedServer.write(out, HEAD);
             ScriptedServer.chunk(out, list(1, false));
             while (true) {
@@ -50,19 +53,19 @@
             }
         });
         start();
-        nothingGoesToBAnyMore(2);
+        awaitNoRequestsToB(2);
     }
 
     @Test
-    public void aCallThatTellsNoListIsFollowedByAnother() throws Exception {
-        for (String said : new String[] {"", HEAD, HEAD + "1\r\n\n\r\n"}) {
+    public void aWatchThatSendsNoListIsReopened() throws Exception {
+        for (String start : new String[] {"", HEAD, HEAD + "1\r\n\n\r\n"}) {
             discovery = closeAfterTest(new ScriptedServer(ScriptedServer::neverAnswer));
-            thenTellThatBDrains((request, out) -> {
-                ScriptedServer.write(out, said);
+            thenListBAsDraining((request, out) -> {
+                ScriptedServer.write(out, start);
                 for (int i = 0; i < 60; i++) {
                     Thread.sleep(1000);
-                    if (said.length() > HEAD.length()) {
-                        ScriptedServer.chunk(out, ""); // alive, and no list all the same
+                    if (start.length() > HEAD.length()) {
+                        ScriptedServer.chunk(out, ""); // keep-alive without a list
                     }
                 }
                 return false;
@@ -71,20 +74,20 @@
                     .put("listen", "127.0.0.1:" + freePort())
                     .put("console", "127.0.0.1:" + freePort());
             start();
-            nothingGoesToBAnyMore(2);
+            awaitNoRequestsToB(2);
         }
     }
 
     /**
-     * The list of the start may be as old as the machine was away: nothing is served before discovery has told its
-     * own.
+     * The known list may be as old as the downtime of the machine, so no request is served before discovery has sent its
+     * list.
      */
     @Test
-    public void aProcessServesOnlyOnceDiscoveryHasToldItsList() throws Exception {
+    public void aProcessServesOnlyAfterTheListOfDiscovery() throws Exception {
         discovery.script = (request, out) -> {
             Thread.sleep(700);
             return watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))
-                    .play(request, out);
+                    .answer(request, out);
         };
         start();
         for (int i = 0; i < 8; i++) {
@@ -93,38 +96,36 @@
         assertEquals(0, workerB.requests.size());
     }
 
-    /** Another customer's setting: pushed lists come on a watch, too, and count as told from the first moment. */
+    /** With {@code registryMode} push, lists arrive on a watch, too, and count as announced from the first moment. */
     @Test
-    public void whereListsArePushedTheWatchIsOpenedUnasked() throws Exception {
+    public void withPushedListsTheWatchIsOpenedAtTheStart() throws Exception {
         config.getJSONObject("settings").put("registryMode", "push");
         discovery.script = (request, out) -> discovery.requests.size() == 1
                 ? false
                 : watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))
-                        .play(request, out);
+                        .answer(request, out);
         start();
-        nothingGoesToBAnyMore(2);
+        awaitNoRequestsToB(2);
     }
 
-    /**
-     * Clients that rest on connections of theirs may hold all that is theirs to hold, and discovery is still reached.
-     */
+    /** Idle clients may use all descriptors reserved for clients; discovery must still be reachable. */
     @Test
-    public void idleClientsThatFillTheDescriptorsDoNotKeepUsFromDiscovery() throws Exception {
+    public void idleClientsThatUseAllTheirDescriptorsDoNotBlockDiscovery() throws Exception {
         config.getJSONObject("limits").put("sockets", 384);
         int port = discovery.port();
         discovery.close();
         start();
-        List<Socket> resting = new ArrayList<>();
+        List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             Socket s = connect();
             ScriptedServer.write(s.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-            resting.add(s);
+            idle.add(s);
         }
         discovery = closeAfterTest(new ScriptedServer(port, watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))));
         await(() -> discovery.requests.size() >= 1);
-        for (Socket s : resting) {
+        for (Socket s : idle) {
             s.close();
         }
-        nothingGoesToBAnyMore(1);
+        awaitNoRequestsToB(1);
     }
 }
--- a/src/test/java/saffronferry/lifecycle/DispatcherServerTest.java
+++ b/src/test/java/saffronferry/lifecycle/DispatcherServerTest.java
@@ -18,23 +18,23 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 
-/** Each rule once, with a whole dispatcher on real sockets between scripted peers. */
+/** The rules of the dispatcher, each tested once with a whole dispatcher on real sockets between scripted servers. */
 public class DispatcherServerTest extends SocketsFixture {
     @Test
-    public void aServedRpcHasTheWorkersResultAndPassesOnWhatItMust() throws Exception {
+    public void aServedRpcReturnsTheWorkersResultAndForwardsItsHeaders() throws Exception {
         workerB.close();
         start();
         HttpResponse<String> answer = get(sendGift(5000));
         assertEquals("200 made", answer.statusCode() + " " + answer.body());
-        String passed = workerA.requests.get(0).toLowerCase();
-        assertTrue(passed, passed.startsWith("post /record-gift?obj=7f http/1.1") && passed.endsWith("\r\n\r\nbody"));
-        assertTrue(passed, passed.contains("x-txn: t1") && passed.contains("idempotency-key: k1"));
-        assertTrue(passed, passed.matches("(?s).*x-remaining-ms: [1-5]\\d{0,3}\r\n.*"));
+        String forwarded = workerA.requests.get(0).toLowerCase();
+        assertTrue(forwarded, forwarded.startsWith("post /record-gift?obj=7f http/1.1") && forwarded.endsWith("\r\n\r\nbody"));
+        assertTrue(forwarded, forwarded.contains("x-txn: t1") && forwarded.contains("idempotency-key: k1"));
+        assertTrue(forwarded, forwarded.matches("(?s).*x-remaining-ms: [1-5]\\d{0,3}\r\n.*"));
     }
 
-    /** Rule 1: a silent worker must not leave the client without its final answer. */
+    /** Rule 1: a client gets its final answer by its deadline, even if the worker never responds. */
     @Test
-    public void anRpcHasItsFinalAnswerByItsDeadline() throws Exception {
+    public void anRpcIsAnsweredByItsDeadline() throws Exception {
         workerA.script = ScriptedServer::neverAnswer;
         workerB.script = ScriptedServer::neverAnswer;
         start();
@@ -42,9 +42,9 @@
         await(() -> workerA.connectionsClosedByPeer.get() + workerB.connectionsClosedByPeer.get() >= 1); // the attempt is given up
     }
 
-    /** Rule 2: a keyed RPC that may have run goes to no other cell and is never called refused. */
+    /** Rule 2: a keyed RPC that may have run is not retried in another cell, and not reported as refused. */
     @Test
-    public void aKeyedRpcThatMayHaveRunIsFailedNotRefusedNorRepeatedElsewhere() throws Exception {
+    public void aKeyedRpcThatMayHaveRunFailsAndIsNotRetriedInAnotherCell() throws Exception {
         workerA.script = (request, out) -> false;
         workerB.script = (request, out) -> false;
         start();
@@ -52,9 +52,9 @@
         assertEquals(0, Math.min(workerA.requests.size(), workerB.requests.size())); // two cells
     }
 
-    /** A worker's own 503 proves nothing and must not reach the client as a refusal. */
+    /** A 503 of a worker without X-Turned-Away does not prove that the RPC has not run, so it is not a refusal. */
     @Test
-    public void aBare503OfAWorkerIsNoRefusal() throws Exception {
+    public void aPlain503OfAWorkerIsNotARefusal() throws Exception {
         workerA.script = ScriptedServer.answerWith("503 Busy", "");
         workerB.script = workerA.script;
         start();
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void anRpcTurnedAwayOrNotConnectedGoesToAnotherCell() throws Exception {
+    public void aRejectedOrUnconnectedAttemptIsRetriedInAnotherCell() throws Exception {
         workerA.script = ScriptedServer.answerWith("503 Full", "X-Turned-Away: 1\r\n");
         start();
         for (int i = 0; i < 4; i++) {
@@ -75,9 +75,9 @@
         }
     }
 
-    /** An RPC with no worker to go to is refused, and the client hears when to come back. */
+    /** Without a worker an RPC is refused, with a Retry-After header. */
     @Test
-    public void aRefusalSaysWhenToComeBack() throws Exception {
+    public void aRefusalHasARetryAfterHeader() throws Exception {
         setKnownWorkers();
         start();
         HttpResponse<String> answer = get(sendGift(300));
@@ -87,9 +87,9 @@
         assertTrue("" + after, after > 0 && after <= 2);
     }
 
-    /** Rule 3: nothing new goes to a worker that discovery says is draining. */
+    /** Rule 3: a worker that discovery lists as draining gets no new RPCs. */
     @Test
-    public void aDrainNoticeStopsSends() throws Exception {
+    public void aDrainingWorkerGetsNoNewRpcs() throws Exception {
         discovery.script = (request, out) -> {
             ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             ScriptedServer.chunk(
@@ -100,7 +100,7 @@
             return false;
         };
         workerB.script = (request, out) -> {
-            Thread.sleep(200); // long enough that jobs asked together would be spread over both
+            Thread.sleep(200); // long enough that concurrent RPCs would be spread over both workers
             return ScriptedServer.serve(request, out);
         };
         start();
@@ -117,35 +117,35 @@
         assertEquals(0, workerA.requests.size());
     }
 
-    /** Rule 4: of a burst, a worker that has just started is sent less than a warm one takes. */
+    /** Rule 4: of a burst, a worker that has just started gets less than a warm one would. */
     @Test
-    public void aColdWorkerIsNotPushedOver() throws Exception {
+    public void aColdWorkerIsNotOverloaded() throws Exception {
         workerA.script = ScriptedServer::neverAnswer;
         workerA.load = "x0=12,x1=12";
         setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", System.currentTimeMillis()));
         start();
         Thread.sleep(300);
         for (int i = 0; i < 12; i++) {
-            sendRequest("directory-page", 5000); // one turn of two is ours, and chance has a say
+            sendRequest("directory-page", 5000); // this dispatcher is one of two that share the worker, and the choice is random
         }
         await(() -> !workerA.requests.isEmpty());
         Thread.sleep(50);
         assertTrue("sent " + workerA.requests.size(), workerA.requests.size() <= 8);
     }
 
-    /** A watch that fails, ends or falls silent is followed by a new one. */
+    /** A discovery watch that fails, ends or falls silent is reopened. */
     @Test
-    public void aLostWatchIsFollowedByANewOne() throws Exception {
-        String one =
+    public void aLostWatchIsReopened() throws Exception {
+        String list =
                 "{\"revision\":7,\"complete\":true,\"members\":[" + entry("b", workerB.address(), 2, "SERVING", 0) + "]}";
         discovery.script = (request, out) -> {
-            int turn = discovery.requests.size();
-            if (turn == 1) {
-                return ScriptedServer.answerWith("503 Late", "").play(request, out);
+            int attempt = discovery.requests.size();
+            if (attempt == 1) {
+                return ScriptedServer.answerWith("503 Late", "").answer(request, out);
             }
             ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            ScriptedServer.chunk(out, turn == 2 ? "nonsense" : one);
-            Thread.sleep(turn == 3 ? 30_000 : 1); // the third stays open and silent
+            ScriptedServer.chunk(out, attempt == 2 ? "nonsense" : list);
+            Thread.sleep(attempt == 3 ? 30_000 : 1); // the third stays open and silent
             return false;
         };
         setKnownWorkers();
@@ -155,7 +155,7 @@
         assertEquals(200, get(sendRequest("directory-page", 3000)).statusCode());
     }
 
-    /** Malformed input from anyone is dropped, and the dispatcher serves on. */
+    /** Malformed datagrams and requests are rejected, and the dispatcher continues to serve. */
     @Test
     public void malformedInputDoesNoHarm() throws Exception {
         start();
@@ -183,9 +183,9 @@
         assertEquals(200, get(sendGift(3000)).statusCode());
     }
 
-    /** A datagram of more than 256 bytes voids a run; and a peer must know the sender by its address. */
+    /** Datagrams have at most 256 bytes, and come from the listed address, by which peers identify the sender. */
     @Test
-    public void datagramsAreShortAndComeFromTheListedAddress() throws Exception {
+    public void datagramsFitTheSizeLimitAndComeFromTheListedAddress() throws Exception {
         start();
         for (int i = 0; i < 5; i++) {
             DatagramPacket packet = new DatagramPacket(new byte[2000], 2000);
@@ -195,9 +195,9 @@
         }
     }
 
-    /** What a worker cannot use ends there: it goes to no other worker, and none is held to be at fault. */
+    /** An RPC that a worker rejects as malformed fails without a retry, and the worker is not penalized. */
     @Test
-    public void anRpcThatAWorkerFindsFaultWithFailsAtOnceAndBlamesNobody() throws Exception {
+    public void anRpcRejectedAsMalformedFailsAtOnceWithoutPenalty() throws Exception {
         workerA.script = ScriptedServer.answerWith("400 Bad Request", "");
         workerB.script = workerA.script;
         start();
@@ -211,9 +211,9 @@
                 200, sendRequest("directory-page", 5000).get(700, TimeUnit.MILLISECONDS).statusCode());
     }
 
-    /** A worker may drop a connection that it kept; a job written to it would be lost as one that may have run. */
+    /** A worker may close an idle connection; an RPC written to it meanwhile would fail as one that may have run. */
     @Test
-    public void noJobIsWrittenToAConnectionThatWasUsedBefore() throws Exception {
+    public void connectionsToWorkersAreNotReused() throws Exception {
         Set<Object> used = Collections.synchronizedSet(new HashSet<>());
         workerA.script = (request, out) -> used.add(out) && ScriptedServer.serve(request, out);
         workerB.script = workerA.script;
@@ -224,9 +224,9 @@
         assertEquals(6, workerA.requests.size() + workerB.requests.size());
     }
 
-    /** The attempt's connection is closed by us then, and the worker must not be held to have broken it. */
+    /** The dispatcher then closes the connection of the attempt itself, which must not count as a worker failure. */
     @Test
-    public void aClientThatGoesAwayEndsItsAttemptAndTheWorkerIsNotBlamed() throws Exception {
+    public void aDisconnectEndsTheAttemptWithoutPenaltyForTheWorker() throws Exception {
         workerA.script = ScriptedServer::neverAnswer;
         setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0));
         start();
@@ -242,44 +242,44 @@
         assertEquals(200, sendGift(3000).get(700, TimeUnit.MILLISECONDS).statusCode());
     }
 
-    /** After SIGTERM clients are served on, what comes late is answered before SIGKILL, and the process ends. */
+    /** After SIGTERM clients are still served, late RPCs are answered before SIGKILL, and the process ends. */
     @Test
-    public void sigtermDrains() throws Exception {
+    public void sigtermDrainsTheProcess() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(1200);
         workerB.script = ScriptedServer.serveAfterMs(1200);
         Process process = startProcess(configFile());
-        CompletableFuture<HttpResponse<String>> before = sendGift(8000);
+        CompletableFuture<HttpResponse<String>> openRpc = sendGift(8000);
         await(() -> workerA.requests.size() + workerB.requests.size() == 1);
         long begun = System.nanoTime();
         process.destroy();
         Thread.sleep(100);
-        CompletableFuture<HttpResponse<String>> after = sendGift(8000);
-        assertEquals(200, get(before).statusCode());
-        assertEquals(200, get(after).statusCode());
+        CompletableFuture<HttpResponse<String>> lateRpc = sendGift(8000);
+        assertEquals(200, get(openRpc).statusCode());
+        assertEquals(200, get(lateRpc).statusCode());
         assertEquals("a kept connection", 200, get(sendGift(8000)).statusCode());
         workerA.script = ScriptedServer::neverAnswer;
         workerB.script = ScriptedServer::neverAnswer;
-        assertEquals("not lost", 500, get(sendGift(20_000)).statusCode());
+        assertEquals("answered", 500, get(sendGift(20_000)).statusCode());
         assertTrue("before SIGKILL", System.nanoTime() - begun < 3_700_000_000L);
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
     }
 
-    /** What runs at SIGTERM for longer than any drain usually takes is answered, unless SIGKILL comes. */
+    /** An RPC that takes longer than a usual drain is still answered, unless SIGKILL arrives. */
     @Test
-    public void sigtermLosesNothingThatRunsOn() throws Exception {
+    public void sigtermWaitsForLongRunningRpcs() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(6500);
         workerB.script = workerA.script;
         Process process = startProcess(configFile());
-        CompletableFuture<HttpResponse<String>> before = sendGift(20_000);
+        CompletableFuture<HttpResponse<String>> openRpc = sendGift(20_000);
         await(() -> workerA.requests.size() + workerB.requests.size() == 1);
         process.destroy();
-        assertEquals(200, get(before).statusCode());
+        assertEquals(200, get(openRpc).statusCode());
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
     }
 
-    /** A request whose second half crosses the last intake has a whole answer and a close, not a reset. */
+    /** A request received partly before and partly after the last accept is refused with a full response, not a reset. */
     @Test
-    public void aRequestThatIsHalfHereAtTheLastIntakeIsRefusedInFull() throws Exception {
+    public void aPartialRequestAtTheLastAcceptIsRefusedWithAFullResponse() throws Exception {
         for (int i = 0; i < 2; i++) {
             config.getJSONObject("settings")
                     .getJSONArray("profiles")
@@ -289,15 +289,15 @@
         workerA.script = ScriptedServer.serveAfterMs(300);
         workerB.script = workerA.script;
         Process process = startProcess(configFile());
-        java.net.Socket resting = connect();
-        ScriptedServer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+        java.net.Socket idle = connect();
+        ScriptedServer.write(idle.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         java.net.Socket half = connect();
         ScriptedServer.write(
                 half.getOutputStream(),
                 "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: half\r\n"
                         + "X-Remaining-Ms: 500\r\nContent-Length: 60000\r\n\r\nfirst");
         process.destroy();
-        assertTrue(readAll(resting).startsWith("HTTP/1.1 ")); // until it is closed: the last intake
+        assertTrue(readAll(idle).startsWith("HTTP/1.1 ")); // until it is closed, at the last accept
         ScriptedServer.write(half.getOutputStream(), "x".repeat(59_995));
         String answer = readAll(half);
         assertTrue(answer, answer.startsWith("HTTP/1.1 503 ") && answer.endsWith("shutting down\n"));
@@ -306,21 +306,21 @@
     }
 
     /**
-     * A process that waits for its last answers lets nobody in any more: what came into the system's queue then would
-     * be reset at the end, unread. What waits there at the last intake is taken.
+     * A process that waits for its last responses accepts no connections: they would be reset unread when it ends.
+     * Connections that are in the accept queue at the last accept are still served.
      */
     @Test
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
-    public void behindTheLastIntakeNoConnectionComesIn() throws Exception {
+    public void noConnectionIsAcceptedAfterTheLastAccept() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(6500);
         workerB.script = workerA.script;
         Process process = startProcess(configFile());
-        CompletableFuture<HttpResponse<String>> before = sendGift(20_000);
+        CompletableFuture<HttpResponse<String>> openRpc = sendGift(20_000);
         await(() -> workerA.requests.size() + workerB.requests.size() == 1);
-        java.net.Socket resting = connect();
-        ScriptedServer.write(resting.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+        java.net.Socket idle = connect();
+        ScriptedServer.write(idle.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         process.destroy();
-        assertTrue(readAll(resting).startsWith("HTTP/1.1 ")); // until it is closed: the last intake
+        assertTrue(readAll(idle).startsWith("HTTP/1.1 ")); // until it is closed, at the last accept
         await(() -> {
             try (java.net.Socket s = new java.net.Socket("127.0.0.1", port())) {
                 return false;
@@ -328,22 +328,20 @@
                 return true;
             }
         });
-        assertTrue("it ends with its last answer", process.isAlive());
-        assertEquals(200, get(before).statusCode());
+        assertTrue("the process ends only with its last response", process.isAlive());
+        assertEquals(200, get(openRpc).statusCode());
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
     }
 
-    /**
-     * A worker with room for more has more at once; beyond five they waited inside the library for the first to end.
-     */
+    /** Without a larger pool, RPCs beyond five to one worker would wait inside Vert.x for the first to end. */
     @Test
-    public void aWorkerWithManySlotsHasManyRpcsAtOnce() throws Exception {
+    public void aWorkerWithManySlotsGetsManyConcurrentRpcs() throws Exception {
         workerB.close();
         setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0));
         workerA.load = "x0=20,x1=20";
         start();
         await(
-                () -> { // until what it tells has been learned
+                () -> { // until its load report has been received
                     try {
                         return get(sendRequest("directory-page", 3000)).statusCode() == 200;
                     } catch (Exception e) {
--- a/src/test/java/saffronferry/lifecycle/HungEventLoopMain.java
+++ b/src/test/java/saffronferry/lifecycle/HungEventLoopMain.java
@@ -1,6 +1,6 @@
 package saffronferry.lifecycle;
 
-/** A dispatcher whose event loop hangs for good soon after its start; its watchdog has a short timeout. */
+/** A dispatcher whose event loop hangs forever soon after its start, with a short watchdog timeout. */
 final class HungEventLoopMain {
     private HungEventLoopMain() {}
 
--- a/src/test/java/saffronferry/lifecycle/LossyNetwork.java
+++ b/src/test/java/saffronferry/lifecycle/LossyNetwork.java
@@ -11,26 +11,26 @@
 import java.util.SplittableRandom;
 
 /**
- * Carries datagrams between real dispatchers over a socket for each way of each pair, and loses, doubles and reorders
- * them.
+ * Forwards datagrams between dispatchers through one socket per direction of each pair, and drops, duplicates and
+ * delays them.
  */
 @SuppressWarnings("try") // close waits for the thread and may be interrupted
 final class LossyNetwork extends Thread implements AutoCloseable {
-    private record Late(long at, int from, int to, byte[] bytes) {}
+    private record Delayed(long at, int from, int to, byte[] bytes) {}
 
     volatile double loss;
-    volatile double doubled;
-    volatile int mostDelayMs;
-    /** Those below it and the others do not hear each other; 0 = all do. */
-    volatile int cutAt;
+    volatile double duplicated;
+    volatile int maxDelayMs;
+    /** Partitions the network: dispatchers below this number cannot reach the others; 0 = no partition. */
+    volatile int partitionAt;
 
     private final InetSocketAddress[] listen;
-    /** At [a][b]: where a sends what is for b, and where what b says comes from at a. */
+    /** At [a][b]: the socket that stands for b at a; a sends to it, and receives from it what b sent. */
     private final DatagramChannel[][] channels;
 
     private final Selector selector = Selector.open();
     private final SplittableRandom random = new SplittableRandom(38);
-    private final PriorityQueue<Late> late = new PriorityQueue<>(Comparator.comparingLong(Late::at));
+    private final PriorityQueue<Delayed> delayed = new PriorityQueue<>(Comparator.comparingLong(Delayed::at));
     private final ByteBuffer buffer = ByteBuffer.allocate(2048);
     private volatile boolean closed;
 
@@ -51,32 +51,33 @@
         start();
     }
 
-    /** One dispatcher's address as another is told it. */
-    String address(int of, int toldTo) {
-        InetSocketAddress at = of == toldTo
+    /** The address of a dispatcher as configured at a given dispatcher. */
+    String address(int of, int at) {
+        InetSocketAddress address = of == at
                 ? listen[of]
-                : (InetSocketAddress) channels[toldTo][of].socket().getLocalSocketAddress();
-        return "127.0.0.1:" + at.getPort();
+                : (InetSocketAddress) channels[at][of].socket().getLocalSocketAddress();
+        return "127.0.0.1:" + address.getPort();
     }
 
     @Override
     public void run() {
         try {
             while (!closed) {
-                selector.select(late.isEmpty() ? 100 : 1);
+                selector.select(delayed.isEmpty() ? 100 : 1);
                 for (SelectionKey key : selector.selectedKeys()) {
-                    int[] way = (int[]) key.attachment();
+                    int[] link = (int[]) key.attachment();
                     buffer.clear();
                     while (((DatagramChannel) key.channel()).receive(buffer) != null) {
                         byte[] bytes = new byte[buffer.flip().remaining()];
                         buffer.get(bytes).clear();
-                        carry(way[0], way[1], bytes);
+                        forward(link[0], link[1], bytes);
                     }
                 }
                 selector.selectedKeys().clear();
-                while (!late.isEmpty() && late.peek().at() <= System.nanoTime()) {
-                    Late l = late.poll();
-                    channels[l.to()][l.from()].send(ByteBuffer.wrap(l.bytes()), listen[l.to()]);
+                while (!delayed.isEmpty() && delayed.peek().at() <= System.nanoTime()) {
+                    Delayed datagram = delayed.poll();
+                    channels[datagram.to()][datagram.from()].send(
+                            ByteBuffer.wrap(datagram.bytes()), listen[datagram.to()]);
                 }
             }
         } catch (IOException e) {
@@ -84,14 +85,14 @@
         }
     }
 
-    private void carry(int from, int to, byte[] bytes) {
-        if (from < cutAt != to < cutAt) {
+    private void forward(int from, int to, byte[] bytes) {
+        if (from < partitionAt != to < partitionAt) {
             return;
         }
-        for (int copies = random.nextDouble() < doubled ? 2 : 1; copies > 0; copies--) {
+        for (int copies = random.nextDouble() < duplicated ? 2 : 1; copies > 0; copies--) {
             if (random.nextDouble() >= loss) {
-                long delay = mostDelayMs == 0 ? 0 : random.nextLong(mostDelayMs * 1_000_000L);
-                late.add(new Late(System.nanoTime() + delay, from, to, bytes));
+                long delay = maxDelayMs == 0 ? 0 : random.nextLong(maxDelayMs * 1_000_000L);
+                delayed.add(new Delayed(System.nanoTime() + delay, from, to, bytes));
             }
         }
     }
--- a/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
+++ b/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
@@ -18,7 +18,7 @@
 import org.junit.rules.TemporaryFolder;
 import saffronferry.Beside;
 
-/** The marks by which processes of one dispatcher know of each other; a sleeping process plays the other. */
+/** The mark files by which processes of one dispatcher find each other; a sleeping process is the sibling. */
 public class ProcessRegistryTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -27,14 +27,14 @@
     private Process other;
 
     @Before
-    public void begin() throws IOException {
+    public void setUp() throws IOException {
         registry = new ProcessRegistry(folder.getRoot().toPath(), "d");
         registry.registerStarted();
         other = new ProcessBuilder("sleep", "60").start();
     }
 
     @After
-    public void end() {
+    public void tearDown() {
         other.destroyForcibly();
     }
 
@@ -43,37 +43,37 @@
     }
 
     @Test
-    public void aProcessIsReplacedOnlyByOneThatServesAndLives() throws Exception {
+    public void aProcessIsReplacedOnlyByALiveProcessThatServes() throws Exception {
         assertFalse("no mark", registry.isReplaced());
         registry.registerServing();
         assertFalse("its own mark", registry.isReplaced());
         Files.writeString(file("d.serving"), "" + other.pid());
         assertTrue(registry.isReplaced());
         other.destroyForcibly().waitFor();
-        assertFalse("it has died", registry.isReplaced());
+        assertFalse("the sibling has ended", registry.isReplaced());
         for (String damaged : List.of("", "x", "-1", "99999999999999999999")) {
             Files.writeString(file("d.serving"), damaged);
             assertFalse(damaged, registry.isReplaced());
         }
     }
 
-    /** A folder that has not changed is not read again, and whoever comes is seen, however quickly. */
+    /** An unchanged folder is not read again, and yet no new sibling is missed, even within the same time step. */
     @Test
-    public void whoeverComesIsSeenThoughTheFolderIsNotReadEachTime() throws Exception {
+    public void newSiblingsAreFoundThoughAnUnchangedFolderIsNotRead() throws Exception {
         FileTime longAgo = FileTime.fromMillis(System.currentTimeMillis() - 60_000);
         Files.setLastModifiedTime(folder.getRoot().toPath(), longAgo);
         assertEquals(List.of(), registry.liveSiblings());
         Files.writeString(file("d.process-" + other.pid()), "");
         assertEquals("a mark changes the folder", List.of(other.pid()), registry.liveSiblings());
         other.destroyForcibly().waitFor();
-        assertEquals("an end changes nothing there", List.of(), registry.liveSiblings());
+        assertEquals("an ended process does not change the folder", List.of(), registry.liveSiblings());
         Process next = new ProcessBuilder("sleep", "60").start();
         try {
             assertEquals(List.of(), registry.liveSiblings());
             FileTime now = Files.getLastModifiedTime(folder.getRoot().toPath());
             Files.writeString(file("d.process-" + next.pid()), "");
             Files.setLastModifiedTime(folder.getRoot().toPath(), now);
-            assertEquals("within a step of the folder's time", List.of(next.pid()), registry.liveSiblings());
+            assertEquals("within the resolution of the folder's modification time", List.of(next.pid()), registry.liveSiblings());
         } finally {
             next.destroyForcibly().waitFor();
         }
@@ -84,30 +84,31 @@
                         + ProcessHandle.current().parent().orElseThrow().pid()),
                 "");
         Files.setLastModifiedTime(folder.getRoot().toPath(), longAgo);
-        assertEquals("not read: this test has put the time back", List.of(), registry.liveSiblings());
+        assertEquals("not read, since this test has reset the modification time", List.of(), registry.liveSiblings());
     }
 
     @Test
-    public void onlyProcessesThatLiveAreCompany() throws Exception {
+    public void onlyLiveProcessesAreSiblings() throws Exception {
         assertEquals(0, registry.exchangeState(Beside.NOBODY).count());
         assertFalse(
-                "nobody is there to read",
+                "no sibling would read it",
                 Files.exists(file("d.told-" + ProcessHandle.current().pid())));
         Files.writeString(file("d.process-" + other.pid()), "");
         Files.writeString(file("d.process-rubbish"), "");
         assertEquals(new ProcessRegistry.Siblings(1, Beside.NOBODY), registry.exchangeState(Beside.NOBODY));
         Files.writeString(file("d.told-" + other.pid()), "{\"jobs\":{\"w\":3,\"x\":-2},\"learned\":[1,2.5]}");
-        Beside heard =
+        Beside received =
                 registry.exchangeState(new Beside(Map.of("y", 1), new double[] {7})).state();
-        assertEquals(new Beside(Map.of("w", 3, "x", 0), new double[] {1, 2.5}), heard);
-        String told = Files.readString(file("d.told-" + ProcessHandle.current().pid()));
-        assertTrue(told, new JSONObject("{\"jobs\":{\"y\":1},\"learned\":[7]}").similar(new JSONObject(told)));
+        assertEquals(new Beside(Map.of("w", 3, "x", 0), new double[] {1, 2.5}), received);
+        String published = Files.readString(file("d.told-" + ProcessHandle.current().pid()));
+        assertTrue(
+                published, new JSONObject("{\"jobs\":{\"y\":1},\"learned\":[7]}").similar(new JSONObject(published)));
         for (String damaged : List.of("", "{\"jobs\":{\"w\":3", "{\"jobs\":{\"w\":\"many\"},\"learned\":[]}")) {
             Files.writeString(file("d.told-" + other.pid()), damaged);
             assertEquals(damaged, Beside.NOBODY, registry.exchangeState(Beside.NOBODY).state());
         }
         other.destroyForcibly().waitFor();
         assertEquals(0, registry.exchangeState(Beside.NOBODY).count());
-        assertFalse("its marks are cleared away", Files.exists(file("d.told-" + other.pid())));
+        assertFalse("files of ended processes are deleted", Files.exists(file("d.told-" + other.pid())));
     }
 }
--- a/src/test/java/saffronferry/lifecycle/ReloadTest.java
+++ b/src/test/java/saffronferry/lifecycle/ReloadTest.java
@@ -10,9 +10,9 @@
 import org.junit.Test;
 import org.tomlj.Toml;
 
-/** SIGHUP on the program itself: it serves on, and asks the discovery that the new file names. */
+/** SIGHUP to the program: it continues to serve, and switches to the discovery address in the new file. */
 public class ReloadTest extends SocketsFixture {
-    private static void hangUp(Process process) throws Exception {
+    private static void sendHangup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -21,7 +21,7 @@
     }
 
     @Test
-    public void sighupFollowsTheNewDiscoveryAndKeepsTheRest() throws Exception {
+    public void sighupSwitchesToTheNewDiscoveryAndKeepsTheRest() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(1000);
         workerB.script = ScriptedServer.serveAfterMs(1000);
         Path file = configFile();
@@ -31,14 +31,14 @@
         await(() -> workerA.requests.size() + workerB.requests.size() == 1);
 
         Files.writeString(file, "{\"listen\": 7}");
-        hangUp(process);
+        sendHangup(process);
         Thread.sleep(300);
-        assertTrue("a faulty file ends nothing", process.isAlive());
+        assertTrue("a faulty file does not end the process", process.isAlive());
 
-        // the new one counts its revisions anew, fails at first, and says that one worker drains
+        // the new discovery starts its revisions again, fails at first, and shows one worker as draining
         ScriptedServer next = closeAfterTest(new ScriptedServer(ScriptedServer.answerWith("503 Late", "")));
         Files.writeString(file, config.put("discovery", next.address()).toString());
-        hangUp(process);
+        sendHangup(process);
         await(() -> next.requests.size() == 1);
         next.script = watchSending(
                 "{\"revision\":1,\"complete\":false,\"members\":[" + entry("a", workerA.address(), 1, "DRAINING", 0) + "]}");
@@ -46,44 +46,44 @@
         for (String request : next.requests) {
             assertTrue(request, request.contains("from=0 "));
         }
-        assertEquals("the open RPC goes on", 200, get(open).statusCode());
+        assertEquals("the open RPC continues", 200, get(open).statusCode());
         workerA.requests.clear();
         Thread.sleep(300);
-        assertEquals("the list held stays", 200, get(sendGift(8000)).statusCode());
-        assertEquals("and what is new is followed", 0, workerA.requests.size());
+        assertEquals("the known list is kept", 200, get(sendGift(8000)).statusCode());
+        assertEquals("the new list is applied", 0, workerA.requests.size());
 
-        hangUp(process);
+        sendHangup(process);
         process.destroy();
         assertTrue(process.waitFor(5, java.util.concurrent.TimeUnit.SECONDS));
-        assertEquals("SIGTERM's, not SIGHUP's", 143, process.exitValue());
-        assertEquals("the same address is not asked again", 2, next.requests.size());
+        assertEquals("exit code of SIGTERM, not of SIGHUP", 143, process.exitValue());
+        assertEquals("an unchanged address is not asked again", 2, next.requests.size());
     }
 
-    /** A configuration may change, and SIGHUP come, while the process is still starting. */
+    /** The configuration may change, and SIGHUP arrive, while the process is still starting. */
     @Test
-    public void sighupDuringTheStartEndsNothingAndIsNotMissed() throws Exception {
+    public void sighupDuringTheStartIsHandledAfterIt() throws Exception {
         Path pipe = folder.resolve("config.json");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         Process process = launch(pipe, 1024, "saffronferry.cli.Main", "serve");
         ScriptedServer next = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         String before = config.toString();
-        try (java.io.Writer out = Files.newBufferedWriter(pipe)) { // opens once the process has begun to read it
-            hangUp(process);
-            await(() -> signalTaken(process) || !process.isAlive());
+        try (java.io.Writer out = Files.newBufferedWriter(pipe)) { // opens once the process has started to read it
+            sendHangup(process);
+            await(() -> noSignalPending(process) || !process.isAlive());
             assertTrue(process.isAlive());
             out.write(before);
         }
-        awaitUp(); // by now it has let go of the pipe, and asks for the file anew
+        awaitUp(); // by now it has closed the pipe, and opens the file again
         Files.writeString(pipe, config.put("discovery", next.address()).toString());
         await(() -> next.requests.size() == 1);
     }
 
     /**
-     * Under nohup, or a supervisor that ignores SIGHUP, the JVM would never hear one: every dispatcher of a day stayed
-     * with a discovery that was gone. The deployment's command gives the signal back.
+     * Under nohup, or a supervisor that ignores SIGHUP, the JVM never receives the signal: all dispatchers of a day kept
+     * using a discovery that no longer existed. The deployment's run command therefore resets the signal.
      */
     @Test
-    public void sighupIsHeardThoughWhoStartsTheProgramIgnoresIt() throws Exception {
+    public void theRunCommandResetsAnIgnoredSighup() throws Exception {
         String run = Toml.parse(Path.of("deploy/balancer.toml")).getString("run");
         String before = run.substring(0, run.indexOf("java "));
         assertTrue(before, before.startsWith("exec "));
@@ -92,25 +92,25 @@
         awaitUp();
         ScriptedServer next = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         Files.writeString(file, config.put("discovery", next.address()).toString());
-        hangUp(process);
+        sendHangup(process);
         await(() -> next.requests.size() == 1);
     }
 
-    /** Started without that, it cannot hear, and says so; it serves all the same. */
+    /** Without that reset the program logs that SIGHUP is ignored, and serves. */
     @Test
-    public void whereSighupIsIgnoredItIsSaidAtTheStart() throws Exception {
+    public void anIgnoredSighupIsLoggedAtTheStart() throws Exception {
         Path logFile = Files.createTempFile("said", ".txt");
         closeAfterTest(() -> Files.delete(logFile));
         Process process = launchIgnoringHangup("exec 2> " + logFile + "; exec ", configFile());
         awaitUp();
-        hangUp(process);
+        sendHangup(process);
         assertTrue(Files.readString(logFile), Files.readString(logFile).contains("SIGHUP is ignored"));
         assertTrue(process.isAlive());
     }
 
     private Process launchIgnoringHangup(String prefix, Path file) throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        // the shell cannot take back what it was started with: a second one ignores what the first one does
+        // a shell cannot reset a signal that it was started with as ignored, so a second shell is used
         ProcessBuilder builder = new ProcessBuilder(
                 "sh",
                 "-c",
@@ -124,12 +124,12 @@
         return process;
     }
 
-    /** Whether no signal waits to be taken by the process. */
-    private static boolean signalTaken(Process process) {
+    /** Whether no signal is pending for the process. */
+    private static boolean noSignalPending(Process process) {
         try {
             return Files.readString(Path.of("/proc/" + process.pid() + "/status"))
                     .contains("ShdPnd:\t0000000000000000");
-        } catch (java.io.IOException gone) {
+        } catch (java.io.IOException ended) {
             return false;
         }
     }
--- a/src/test/java/saffronferry/lifecycle/ScriptedServer.java
+++ b/src/test/java/saffronferry/lifecycle/ScriptedServer.java
@@ -14,19 +14,19 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The other end of a socket, played by a script: a subchannel or discovery. */
+/** An HTTP server that follows a script; stands for a worker or for discovery. */
 final class ScriptedServer implements AutoCloseable {
-    /** What to do with a request; the connection closes when it returns false. */
+    /** Answers a request; the connection is closed when it returns false. */
     interface Script {
-        boolean play(String request, OutputStream out) throws IOException, InterruptedException;
+        boolean answer(String request, OutputStream out) throws IOException, InterruptedException;
     }
 
     final ServerSocket server;
-    /** Head and body of each job or watch, probes left out. */
+    /** Head and body of each request other than load probes. */
     final List<String> requests = new CopyOnWriteArrayList<>();
 
     final AtomicInteger connectionsClosedByPeer = new AtomicInteger();
-    /** Connections that broke while we wrote to them. */
+    /** Connections that failed while this server wrote to them. */
     final AtomicInteger connectionsBrokenByPeer = new AtomicInteger();
 
     volatile Script script;
@@ -36,7 +36,7 @@
         this(0, script);
     }
 
-    /** At a port of its own choice where it is 0, else at that one, which another may just have left. */
+    /** Listens at the given port, which may have been in use until just now, or at any free one if it is 0. */
     ScriptedServer(int port, Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
@@ -77,10 +77,10 @@
         return "127.0.0.1:" + port();
     }
 
-    /** Connections of all peers, to be hung up when a test is over: scripts may sleep on. */
+    /** The connections of all scripted servers, to close after a test while scripts may still be sleeping. */
     private static final Set<Socket> CONNECTIONS = ConcurrentHashMap.newKeySet();
 
-    /** Gives back what scripts still hold: further tests count the descriptors of this process. */
+    /** Frees the descriptors that scripts still hold, since later tests count the descriptors of this process. */
     static void closeAllConnections() throws IOException {
         for (Socket s : CONNECTIONS) {
             s.close();
@@ -95,14 +95,14 @@
             OutputStream out = socket.getOutputStream();
             String request = read(in);
             while (request != null) {
-                boolean stays;
+                boolean keepOpen;
                 if (request.startsWith("GET /metrics/load")) {
                     write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + load.length() + "\r\n\r\n" + load);
-                    stays = true;
+                    keepOpen = true;
                 } else {
                     requests.add(request);
                     try {
-                        stays = script.play(request, out);
+                        keepOpen = script.answer(request, out);
                     } catch (Reset e) {
                         socket.setSoLinger(true, 0);
                         throw e;
@@ -111,7 +111,7 @@
                         throw e;
                     }
                 }
-                if (!stays) {
+                if (!keepOpen) {
                     return;
                 }
                 request = read(in);
@@ -150,7 +150,7 @@
         write(out, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** A subchannel that serves each job at once. */
+    /** A worker that serves each request at once. */
     static boolean serve(String request, OutputStream out) throws IOException {
         write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(out, "{\"state\":\"started\"}");
@@ -159,7 +159,7 @@
         return true;
     }
 
-    /** A subchannel whose jobs take so long. */
+    /** A worker that serves each request after the given time. */
     static Script serveAfterMs(int ms) {
         return (request, out) -> {
             Thread.sleep(ms);
@@ -167,7 +167,7 @@
         };
     }
 
-    /** A subchannel that takes jobs and never answers. */
+    /** A worker that accepts requests and never answers. */
     static boolean neverAnswer(String request, OutputStream out) {
         return true;
     }
--- a/src/test/java/saffronferry/lifecycle/SettingsAgreementTest.java
+++ b/src/test/java/saffronferry/lifecycle/SettingsAgreementTest.java
@@ -25,7 +25,7 @@
     private final List<JSONObject> configs = new ArrayList<>();
     private final List<Path> files = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
-    private LossyNetwork links;
+    private LossyNetwork network;
 
     private static void signal(Process process, String name) throws Exception {
         assertEquals(
@@ -50,13 +50,13 @@
         for (int i = 0; i < SIZE; i++) {
             listen[i] = new InetSocketAddress("127.0.0.1", freePort());
         }
-        links = closeAfterTest(new LossyNetwork(listen));
+        network = closeAfterTest(new LossyNetwork(listen));
         for (int i = 0; i < SIZE; i++) {
             JSONObject c = new JSONObject(config.toString());
             c.put("listen", "127.0.0.1:" + freePort()).put("console", "127.0.0.1:" + freePort());
             JSONArray peers = new JSONArray();
-            for (int of = 0; of < SIZE; of++) {
-                peers.put(links.address(of, i));
+            for (int peer = 0; peer < SIZE; peer++) {
+                peers.put(network.address(peer, i));
             }
             c.put("peer_listen", peers.getString(i)).put("peers", peers).remove("seed");
             c.put("agree", new JSONObject().put("secret", "known to the fleet alone"));
@@ -145,9 +145,9 @@
     @Test
     public void bothSidesOfAPartitionAgreeOnTheLaterChange() throws Exception {
         startAll();
-        degradeLinks();
+        degradeNetwork();
         awaitEverywhere("state", 0);
-        links.cutAt = 1;
+        network.partitionAt = 1;
         JSONObject one = new JSONObject(configs.get(0).toString());
         realms(one).getJSONObject(0).put("allowancePerS", 60);
         reload(0, one);
@@ -159,15 +159,15 @@
         await(() -> metric(2, "held") == 2);
         assertEquals(1, metric(0, "held"));
         long later = metric(1, "digest");
-        links.cutAt = 0;
+        network.partitionAt = 0;
         awaitEverywhere("digest", later);
         assertTrue(logContains("settings.realms.kilbarron-grads.allowancePerS 70 of dispatcher 1"));
     }
 
-    private void degradeLinks() {
-        links.loss = LOSS_PERCENT / 100.0;
-        links.doubled = 0.3;
-        links.mostDelayMs = 30;
+    private void degradeNetwork() {
+        network.loss = LOSS_PERCENT / 100.0;
+        network.duplicated = 0.3;
+        network.maxDelayMs = 30;
     }
 
     /** Prints the time from each reload until all processes have applied the change, as seen at their consoles. */
@@ -175,7 +175,7 @@
     public void consecutiveChangesTakeEffectEverywhere() throws Exception {
         startAll();
         awaitEverywhere("state", 0);
-        degradeLinks();
+        degradeNetwork();
         List<Double> took = new ArrayList<>();
         JSONObject next = new JSONObject(configs.get(0).toString());
         for (int i = 0; i < CHANGES; i++) {
@@ -211,7 +211,7 @@
         forged[6] = (byte) 0xA7;
         try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             // to the dispatcher itself, and by the link from dispatcher 2
-            for (String to : new String[] {links.address(0, 0), links.address(0, 2)}) {
+            for (String to : new String[] {network.address(0, 0), network.address(0, 2)}) {
                 stranger.send(new DatagramPacket(
                         forged, forged.length, InetAddress.getByName("127.0.0.1"), Integer.parseInt(to.split(":")[1])));
             }
--- a/src/test/java/saffronferry/lifecycle/SocketsFixture.java
+++ b/src/test/java/saffronferry/lifecycle/SocketsFixture.java
@@ -27,7 +27,7 @@
 import org.junit.After;
 import org.junit.Before;
 
-/** A whole dispatcher on real sockets between scripted peers: discovery, two subchannels and a dispatcher. */
+/** A whole dispatcher on real sockets between scripted servers: discovery, two workers and a peer dispatcher. */
 abstract class SocketsFixture {
     static final String KEY = "Idempotency-Key";
     final List<AutoCloseable> open = new ArrayList<>();
@@ -39,9 +39,9 @@
     DatagramSocket peer;
     int requestCount;
     JSONObject config;
-    /** Where the program's log goes; null for our own. */
+    /** The file for the log of launched programs; null to inherit the output of the test. */
     Path logFile;
-    /** The dispatcher's own temporary folder. */
+    /** The temporary folder of the dispatcher. */
     Path folder;
 
     @Before
@@ -69,7 +69,7 @@
             open.get(i - 1).close();
         }
         ScriptedServer.closeAllConnections();
-        System.gc(); // a client of ours gives its descriptors back once nobody refers to it
+        System.gc(); // an HttpClient frees its descriptors when it is collected
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
@@ -83,7 +83,7 @@
         return resource;
     }
 
-    /** A watch that tells one list and then only that it lives. */
+    /** A discovery watch that sends one list, followed by keep-alive lines. */
     static ScriptedServer.Script watchSending(String list) {
         return (request, out) -> {
             ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -96,7 +96,7 @@
         };
     }
 
-    /** Below the ports that the system gives to outgoing connections, which would take a free one meanwhile. */
+    /** A free port below the ephemeral range, so that no outgoing connection can take it meanwhile. */
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
     static int freePort() throws IOException {
         InetAddress here = InetAddress.getByName("127.0.0.1");
@@ -106,7 +106,7 @@
                     DatagramSocket udp = new DatagramSocket(port, here)) {
                 return port;
             } catch (java.net.BindException e) {
-                // taken: another one
+                // in use: try another one
             }
         }
         throw new IOException("no free port");
@@ -165,14 +165,14 @@
         return answer.get(10, TimeUnit.SECONDS);
     }
 
-    /** Waits until it has been so once: what is requestCount may ask others, and need not be so a second time. */
-    static void await(BooleanSupplier what) throws InterruptedException {
-        boolean was = what.getAsBoolean();
-        for (int i = 0; i < 2000 && !was; i++) {
+    /** Waits until the condition has been true once. It may send requests, and need not hold a second time. */
+    static void await(BooleanSupplier condition) throws InterruptedException {
+        boolean fulfilled = condition.getAsBoolean();
+        for (int i = 0; i < 2000 && !fulfilled; i++) {
             Thread.sleep(10);
-            was = what.getAsBoolean();
+            fulfilled = condition.getAsBoolean();
         }
-        assertTrue(was);
+        assertTrue(fulfilled);
     }
 
     /** A raw connection to the dispatcher; reading from it fails after 5 s. */
@@ -182,7 +182,7 @@
         return s;
     }
 
-    /** What arrives until the other side closes. */
+    /** Reads until the other side closes. */
     static String readAll(Socket s) throws IOException {
         StringBuilder text = new StringBuilder();
         InputStream in = s.getInputStream();
@@ -191,12 +191,12 @@
                 text.append((char) b);
             }
         } catch (java.net.SocketException e) {
-            // a reset is a close, too
+            // a reset counts as a close
         }
         return text.toString();
     }
 
-    /** The configuration in a file of its own. */
+    /** Writes the configuration to a new file. */
     Path configFile() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         closeAfterTest(() -> Files.delete(file));
@@ -204,14 +204,14 @@
         return file;
     }
 
-    /** The program itself, in a process of its own, once it serves. */
+    /** Starts the program in a separate process and waits until it serves. */
     Process startProcess(Path file) throws Exception {
         Process process = launch(file, 1024, "saffronferry.cli.Main", "serve");
         awaitUp();
         return process;
     }
 
-    /** A process of ours that may hold so many descriptors, on one core as on the platform. */
+    /** Starts a process with a limit on its descriptors, on one core as on the platform. */
     Process launch(Path file, int descriptors, String main, String... arguments) throws IOException {
         List<String> command =
                 new ArrayList<>(List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
@@ -250,7 +250,7 @@
         });
     }
 
-    /** One operator's call: the status, a space and the text. */
+    /** Makes an operator's call; returns the status, a space and the body. */
     String call(String method, String path) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + config.getString("console") + path))
                 .method(method, HttpRequest.BodyPublishers.noBody())
@@ -260,13 +260,13 @@
         return answer.statusCode() + " " + answer.body();
     }
 
-    /** Makes a call that is owed a yes. */
+    /** Makes an operator's call that must succeed. */
     void assertCallSucceeds(String path) throws Exception {
         String answer = call("PUT", path);
         assertTrue(answer, answer.startsWith("2"));
     }
 
-    /** One of the figures that operators read. */
+    /** Reads one of the operators' metrics. */
     long metric(String name) throws Exception {
         return call("GET", "/ops/stats")
                 .lines()
--- a/src/test/java/saffronferry/lifecycle/UpgradeTest.java
+++ b/src/test/java/saffronferry/lifecycle/UpgradeTest.java
@@ -17,22 +17,22 @@
 import org.json.JSONObject;
 import org.junit.Test;
 
-/** One process after the other at the same addresses, under load; every request is accounted for. */
+/** Replaces one process by another at the same addresses under load; every request is accounted for. */
 public class UpgradeTest extends SocketsFixture {
     private static final int UPGRADES = Integer.getInteger("upgrades", 2);
     private final AtomicInteger served = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicInteger failed = new AtomicInteger();
-    /** Not admitted, reset, or closed on with a request written. */
-    private final AtomicInteger atTheDoor = new AtomicInteger();
+    /** Requests whose connection was refused, reset or closed without a response. */
+    private final AtomicInteger connectionFailures = new AtomicInteger();
 
     private volatile boolean over;
 
-    /** Asks one request after the other, some on a connection of its own, some on a kept one. */
+    /** Sends one request after the other, some on a new connection, some on a kept one. */
     private final class Client extends Thread {
         private final int number;
         private Socket socket;
-        private int asked;
+        private int sent;
 
         Client(int number) {
             this.number = number;
@@ -41,12 +41,12 @@
         @Override
         public void run() {
             while (!over) {
-                boolean keep = (number + asked) % 3 != 0;
+                boolean keep = (number + sent) % 3 != 0;
                 try {
                     one(keep);
                     Thread.sleep(number % 4 * 10);
                 } catch (IOException e) {
-                    atTheDoor.incrementAndGet();
+                    connectionFailures.incrementAndGet();
                     drop();
                 } catch (InterruptedException e) {
                     return;
@@ -62,14 +62,14 @@
             }
             ScriptedServer.write(
                     socket.getOutputStream(),
-                    "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: c" + number + "-" + ++asked
+                    "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: c" + number + "-" + ++sent
                             + "\r\nX-Lane: directory-page\r\nX-Remaining-Ms: 6000\r\nContent-Length: 0\r\n\r\n");
             StringBuilder head = new StringBuilder();
             InputStream in = socket.getInputStream();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int b = in.read();
                 if (b < 0) {
-                    throw new IOException("closed on");
+                    throw new IOException("closed before a response");
                 }
                 head.append((char) b);
             }
@@ -80,7 +80,7 @@
                     .findFirst()
                     .orElse(0);
             if (in.readNBytes(length).length < length) {
-                throw new IOException("no whole answer");
+                throw new IOException("incomplete response");
             }
             (text.contains(" 200 ") ? served : text.contains(" 503 ") ? refused : failed).incrementAndGet();
             if (!keep || text.contains("connection: close")) {
@@ -94,15 +94,15 @@
                     socket.close();
                 }
             } catch (IOException e) {
-                // it is closed as far as it can be
+                // nothing more can be done
             }
             socket = null;
         }
     }
 
-    private Process next(JSONObject at) throws IOException {
+    private Process startNext(JSONObject configuration) throws IOException {
         Path file = Files.createTempFile(folder, "config", ".json");
-        Files.writeString(file, at.put("console", "127.0.0.1:" + freePort()).toString());
+        Files.writeString(file, configuration.put("console", "127.0.0.1:" + freePort()).toString());
         return launch(file, 384, "saffronferry.cli.Main", "serve");
     }
 
@@ -117,10 +117,10 @@
     }
 
     @Test
-    public void aProcessIsReplacedUnderLoadAndNoRequestEndsAtTheDoor() throws Exception {
+    public void aProcessIsReplacedUnderLoadWithoutConnectionFailures() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(20);
         workerB.script = ScriptedServer.serveAfterMs(20);
-        Process serving = next(config);
+        Process serving = startNext(config);
         awaitReady();
         assertCallSucceeds("/ops/workers/down/b");
         List<Client> clients = new ArrayList<>();
@@ -131,58 +131,59 @@
         Thread.sleep(500);
         for (int i = 0; i < UPGRADES; i++) {
             Process old = serving;
-            serving = next(config);
-            awaitReady(); // the new one's console: the port is another
+            serving = startNext(config);
+            awaitReady(); // the console of the new process, at another port
             Thread.sleep(100 * i % 500);
             old.destroy();
-            assertTrue("the old one ends by itself", old.waitFor(3_700, TimeUnit.MILLISECONDS));
+            assertTrue("the old process ends on SIGTERM", old.waitFor(3_700, TimeUnit.MILLISECONDS));
             assertTrue(serving.isAlive());
-            assertTrue("the ban outlives it", metric("app_pool_ejected") >= 1);
+            assertTrue("the ban survives the replacement", metric("app_pool_ejected") >= 1);
         }
         over = true;
         for (Client c : clients) {
             c.join(10_000);
             assertFalse(c.isAlive());
         }
-        int asked = clients.stream().mapToInt(c -> c.asked).sum();
-        System.out.println("upgrades " + UPGRADES + ": asked " + asked + ", served " + served + ", refused " + refused
-                + ", failed " + failed + ", at the door " + atTheDoor);
-        assertEquals(asked, served.get() + refused.get() + failed.get() + atTheDoor.get());
-        assertTrue("at the door: " + atTheDoor, atTheDoor.get() <= UPGRADES);
+        int sent = clients.stream().mapToInt(c -> c.sent).sum();
+        System.out.println("upgrades " + UPGRADES + ": sent " + sent + ", served " + served + ", refused " + refused
+                + ", failed " + failed + ", connection failures " + connectionFailures);
+        assertEquals(sent, served.get() + refused.get() + failed.get() + connectionFailures.get());
+        assertTrue("connection failures: " + connectionFailures, connectionFailures.get() <= UPGRADES);
         assertEquals(0, failed.get());
-        assertTrue("served: " + served, served.get() > asked * 9 / 10);
+        assertTrue("served: " + served, served.get() > sent * 9 / 10);
         assertEquals(0, workerB.requests.size());
     }
 
-    /** Sends gifts and says how many of them the process with the console in the configuration has served. */
-    private long servedOf(int gifts) throws Exception {
-        String figure = "app_responses{kind=\"record-gift\",result=\"ok\"}";
-        long before = metric(figure);
-        for (int i = 0; i < gifts; i++) {
+    /** Sends requests, and returns how many of them were served by the process whose console is configured. */
+    private long servedOf(int requests) throws Exception {
+        String servedMetric = "app_responses{kind=\"record-gift\",result=\"ok\"}";
+        long before = metric(servedMetric);
+        for (int i = 0; i < requests; i++) {
             assertEquals(200, get(sendGift(3000)).statusCode());
         }
-        return metric(figure) - before;
+        return metric(servedMetric) - before;
     }
 
     /**
-     * From its yes on the new one has all clients, so that the old one's end finds nothing; dead, it loses them again.
+     * Once the new process is ready it serves all clients, so that the end of the old one interrupts none. When the new
+     * process dies instead, the old one serves them again.
      */
     @Test
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
-    public void theOldOneLeavesClientsAtTheNewOnesYesAndTakesThemBackWhenThatDies() throws Exception {
+    public void theOldProcessHandsClientsOverAndTakesThemBackWhenTheNewOneDies() throws Exception {
         workerA.script = ScriptedServer.serveAfterMs(5);
         workerB.script = ScriptedServer.serveAfterMs(5);
-        Process old = next(config);
+        Process old = startNext(config);
         awaitReady();
         String console = config.getString("console");
         for (int round = 0; round < 2; round++) {
-            Process fresh = next(config);
+            Process replacement = startNext(config);
             awaitReady();
             config.put("console", console);
-            Thread.sleep(300); // three looks
-            assertTrue("the old one still serves clients", servedOf(20) <= 1); // one kept connection may leave
+            Thread.sleep(300); // three polls
+            assertTrue("the old process still serves clients", servedOf(20) <= 1); // one kept connection may get its last response
             assertTrue(call("GET", "/ops/readiness").startsWith("200"));
-            fresh.destroyForcibly().waitFor();
+            replacement.destroyForcibly().waitFor();
             await(() -> {
                 try (Socket s = connect()) {
                     return true;
@@ -196,17 +197,17 @@
         assertTrue(old.waitFor(5, TimeUnit.SECONDS));
     }
 
-    /** A new process that never serves leaves the old one as it is: its end is a plain one. */
+    /** A new process that never serves does not replace the old one, which then ends without a handover. */
     @Test
-    public void aNewProcessThatDiesAtOnceLeavesTheOldOneServing() throws Exception {
-        Process serving = next(config);
+    public void aNewProcessThatFailsToStartLeavesTheOldOneServing() throws Exception {
+        Process serving = startNext(config);
         awaitReady();
         String console = config.getString("console");
-        Process dies = next(config);
-        dies.destroyForcibly().waitFor();
+        Process killed = startNext(config);
+        killed.destroyForcibly().waitFor();
         JSONObject faulty = new JSONObject(config.toString()).put("settings", "none");
-        Process refuses = next(faulty);
-        assertEquals(2, refuses.waitFor());
+        Process rejecting = startNext(faulty);
+        assertEquals(2, rejecting.waitFor());
         config.put("console", console);
         assertTrue(call("GET", "/ops/readiness").startsWith("200"));
         for (int i = 0; i < 10; i++) {
@@ -220,7 +221,7 @@
                 "POST /directory-page?obj=1 HTTP/1.1\r\nHost: h\r\nX-Txn: k\r\n"
                         + "X-Lane: directory-page\r\nX-Remaining-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
         byte[] answer = s.getInputStream().readNBytes(12);
-        assertEquals("it still takes requests", "HTTP/1.1 200", new String(answer, StandardCharsets.US_ASCII));
+        assertEquals("it still accepts requests", "HTTP/1.1 200", new String(answer, StandardCharsets.US_ASCII));
         assertTrue(serving.waitFor(5, TimeUnit.SECONDS));
     }
 }
