--- a/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
+++ b/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
@@ -97,7 +97,7 @@
                     switch (state) {
                         case IN_TOUCH -> "agreed upon with another dispatcher, " + agreement.held() + " changes held";
                         case CATCHING_UP -> "catching up";
-                        case ALONE -> "no other dispatcher is heard; where two quotas are known, the smaller applies";
+                        case ALONE -> "no contact to other dispatchers; where two quotas are known, the smaller applies";
                     });
             apply();
         }
--- a/src/test/java/saffronferry/lifecycle/BadClientsTest.java
+++ b/src/test/java/saffronferry/lifecycle/BadClientsTest.java
@@ -31,7 +31,7 @@
         return answer.isEmpty() ? "" : answer.substring(9, 12);
     }
 
-    /** Guards against request smuggling: ambiguous framing could hide a second request that is forwarded to a worker. */
+    /** Guards against request smuggling: ambiguous framing could hide a second request, forwarded to a worker. */
     @Test
     public void malformedRequestsAreRejectedAtOnceAndNotForwarded() throws Exception {
         String[][] cases = {
--- a/src/test/java/saffronferry/lifecycle/ConnectionEndTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionEndTest.java
@@ -127,7 +127,8 @@
                     }
                     return true;
                 });
-        config.getJSONObject("settings").getJSONObject("limits").put("probes", false); // their connections would be counted as closed, too
+        // without probes, whose connections would be counted as closed, too
+        config.getJSONObject("settings").getJSONObject("limits").put("probes", false);
         start();
         int closed = 0;
         for (ScriptedServer.Script script : endless) {
@@ -206,7 +207,7 @@
         }
     }
 
-    /** Also where started attempts may not be cancelled, because this one has not started when the client disconnects. */
+    /** Also where started attempts may not be cancelled: this one has not started when the client disconnects. */
     @Test
     public void aLateConnectionSendsNothingForADisconnectedClient() throws Exception {
         for (boolean cancel : new boolean[] {true, false}) {
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -124,7 +124,8 @@
         workerA.script = (request, out) -> false; // takes the request and closes the connection
         assertEquals(500, get(sendGift(3000)).statusCode());
         workerA.script = ScriptedServer.serveAfterMs(1500);
-        CompletableFuture<HttpResponse<String>> late = sendRequest("directory-page", 400); // the worker exceeds the deadline
+        // the worker exceeds the deadline
+        CompletableFuture<HttpResponse<String>> late = sendRequest("directory-page", 400);
         assertTrue(get(late).statusCode() >= 500);
         long answers = 0;
         for (String name : List.of("directory-page", "record-gift")) {
--- a/src/test/java/saffronferry/lifecycle/DiscoveryWatchTest.java
+++ b/src/test/java/saffronferry/lifecycle/DiscoveryWatchTest.java
@@ -79,8 +79,8 @@
     }
 
     /**
-     * The known list may be as old as the downtime of the machine, so no request is served before discovery has sent its
-     * list.
+     * The known list may be as old as the downtime of the machine, so no request is served before discovery has sent
+     * its list.
      */
     @Test
     public void aProcessServesOnlyAfterTheListOfDiscovery() throws Exception {
--- a/src/test/java/saffronferry/lifecycle/DispatcherServerTest.java
+++ b/src/test/java/saffronferry/lifecycle/DispatcherServerTest.java
@@ -39,7 +39,8 @@
         workerB.script = ScriptedServer::neverAnswer;
         start();
         assertEquals(500, get(sendGift(700)).statusCode());
-        await(() -> workerA.connectionsClosedByPeer.get() + workerB.connectionsClosedByPeer.get() >= 1); // the attempt is given up
+        // the attempt is given up
+        await(() -> workerA.connectionsClosedByPeer.get() + workerB.connectionsClosedByPeer.get() >= 1);
     }
 
     /** Rule 2: a keyed RPC that may have run is not retried in another cell, and not reported as refused. */
@@ -126,7 +127,8 @@
         start();
         Thread.sleep(300);
         for (int i = 0; i < 12; i++) {
-            sendRequest("directory-page", 5000); // this dispatcher is one of two that share the worker, and the choice is random
+            // several, since this dispatcher is one of two that share the worker, and the choice is random
+            sendRequest("directory-page", 5000);
         }
         await(() -> !workerA.requests.isEmpty());
         Thread.sleep(50);
@@ -277,7 +279,7 @@
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
     }
 
-    /** A request received partly before and partly after the last accept is refused with a full response, not a reset. */
+    /** A request received partly before and partly after the last accept gets a full response, not a reset. */
     @Test
     public void aPartialRequestAtTheLastAcceptIsRefusedWithAFullResponse() throws Exception {
         for (int i = 0; i < 2; i++) {
--- a/src/test/java/saffronferry/lifecycle/ReloadTest.java
+++ b/src/test/java/saffronferry/lifecycle/ReloadTest.java
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Under nohup, or a supervisor that ignores SIGHUP, the JVM never receives the signal: all dispatchers of a day kept
-     * using a discovery that no longer existed. The deployment's run command therefore resets the signal.
+     * Under nohup, or a supervisor that ignores SIGHUP, the JVM never receives the signal: all dispatchers of a day
+     * kept using a discovery that no longer existed. The deployment's run command therefore resets the signal.
      */
     @Test
     public void theRunCommandResetsAnIgnoredSighup() throws Exception {
