--- a/src/main/java/saffronferry/state/ResolverResult.java
+++ b/src/main/java/saffronferry/state/ResolverResult.java
@@ -63,7 +63,7 @@
     }
 
     private WorkerInfo withBanApplied(WorkerInfo worker) {
-        return bans.has(worker.address()) && worker.state() == WorkerState.IN_SERVICE
+        return bans.contains(worker.address()) && worker.state() == WorkerState.IN_SERVICE
                 ? copyWith(worker, WorkerState.DRAINING, worker.startedAt())
                 : worker;
     }
@@ -80,9 +80,9 @@
         for (ListUpdate.Entry entry : entries.values()) {
             WorkerInfo worker = entry.info();
             if (worker.state() == WorkerState.IN_SERVICE
-                    && previous.has(worker.address()) != next.has(worker.address())) {
+                    && previous.contains(worker.address()) != next.contains(worker.address())) {
                 changed.add(
-                        next.has(worker.address()) ? withBanApplied(worker) : copyWith(worker, worker.state(), now));
+                        next.contains(worker.address()) ? withBanApplied(worker) : copyWith(worker, worker.state(), now));
             }
         }
         return changed;
@@ -94,7 +94,7 @@
 
     /** Whether the id is on the list, was removed from it recently, or is banned. */
     boolean isKnown(String subchannel) {
-        return entries.containsKey(subchannel) || removedIds.contains(subchannel) || bans.has(subchannel);
+        return entries.containsKey(subchannel) || removedIds.contains(subchannel) || bans.contains(subchannel);
     }
 
     int size() {
@@ -119,7 +119,7 @@
     /** Whether new attempts may go to the subchannel: it is on the list, in service, and not banned. */
     boolean inService(String subchannel) {
         ListUpdate.Entry entry = entries.get(subchannel);
-        return entry != null && entry.info().state() == WorkerState.IN_SERVICE && !bans.has(subchannel);
+        return entry != null && entry.info().state() == WorkerState.IN_SERVICE && !bans.contains(subchannel);
     }
 
     long revision() {
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -20,8 +20,8 @@
 import saffronferry.BalancerEvent;
 import saffronferry.BalancerAction;
 import saffronferry.ops.Bans;
-import saffronferry.ops.Figures;
-import saffronferry.ops.Figures.Result;
+import saffronferry.ops.Metrics;
+import saffronferry.ops.Metrics.Result;
 
 /**
  * Owns the state of all open RPCs. It consults the balancer, executes the steps the balancer returns, and ensures that
@@ -36,7 +36,7 @@
     private final Balancer balancer;
     private final Clock clock;
     private final OutboundOperations<M> outbound;
-    private final Figures figures;
+    private final Metrics figures;
     private final ResolverResult resolverResult = new ResolverResult();
     private final Map<Long, Rpc<M>> openRpcs = new HashMap<>();
     private final Set<String> namesInUse = new HashSet<>();
@@ -47,7 +47,7 @@
     private int unansweredCount;
 
     /** Creates a coordinator that counts answers and attempts by class in {@code figures}. */
-    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> outbound, Figures figures) {
+    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> outbound, Metrics figures) {
         this.balancer = balancer;
         this.clock = clock;
         this.outbound = outbound;
@@ -139,7 +139,7 @@
         removeIfDone(rpc);
         unansweredCount--;
         if (result != null) {
-            figures.answered(rpc.rpcClass, result);
+            figures.recordResult(rpc.rpcClass, result);
         }
         answer.accept(channel);
     }
@@ -187,7 +187,7 @@
             report(new BalancerEvent.Resolved(ListKind.CHANGES, changed));
         }
         // the balancer cannot take back an attempt whose connection is still being established
-        cancelUnsentAttempts(subchannel -> next.has(subchannel) && !previous.has(subchannel));
+        cancelUnsentAttempts(subchannel -> next.contains(subchannel) && !previous.contains(subchannel));
     }
 
     /** The state for another process of this dispatcher that runs at the same time, during a replacement. */
@@ -205,8 +205,8 @@
     }
 
     /** The current values of the gauges; counters are kept in the figures. */
-    public Figures.Now snapshot() {
-        return new Figures.Now(
+    public Metrics.Snapshot snapshot() {
+        return new Metrics.Snapshot(
                 unansweredCount,
                 resolverResult.size(),
                 resolverResult.bannedCount() + balancer.avoided(),
@@ -215,7 +215,7 @@
 
     @Override
     public void written(CallAttempt attempt) {
-        figures.tried(attempt.rpcClass);
+        figures.recordAttempt(attempt.rpcClass);
     }
 
     @Override
@@ -312,7 +312,7 @@
         String address = resolverResult.address(step.subchannel());
         if (rpc.answered() || now >= rpc.deadline) {
             attempt.ended(Outcome.NOT_SENT, null);
-        } else if (resolverResult.bans().has(step.subchannel())) {
+        } else if (resolverResult.bans().contains(step.subchannel())) {
             // the step may have been decided before the ban
             attempt.ended(Outcome.NOT_SENT, null);
         } else if (address == null) {
@@ -336,7 +336,7 @@
     }
 
     private void probe(String subchannel) {
-        String address = resolverResult.bans().has(subchannel) ? null : resolverResult.address(subchannel);
+        String address = resolverResult.bans().contains(subchannel) ? null : resolverResult.address(subchannel);
         if (address == null) {
             report(new BalancerEvent.Probed(subchannel, Outcome.CONNECT_FAILED, null));
         } else {
--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.TimeUnit;
 import saffronferry.limit.AcceptGate;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.ControlSpend;
+import saffronferry.ops.ControlUsage;
 
 /**
  * The Vert.x transport with two changes. First, connections are accepted on the event loop itself: Vert.x uses a
@@ -43,7 +43,7 @@
 
     private final ListenerAdmission clientAdmission;
     private final BoundedLog log;
-    private final ControlSpend controlSpend = new ControlSpend();
+    private final ControlUsage controlSpend = new ControlUsage();
     private final List<Acceptor> acceptors = new ArrayList<>();
     private EventLoopGroup loops;
     private Runnable onListenerLost = () -> {};
@@ -62,7 +62,7 @@
     }
 
     /** The control traffic over sockets of this transport, counted by the code that opens them. */
-    public ControlSpend controlSpend() {
+    public ControlUsage controlSpend() {
         return controlSpend;
     }
 
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -12,8 +12,8 @@
 import java.util.List;
 import java.util.Locale;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.Drain.Phase;
-import saffronferry.ops.Figures;
+import saffronferry.ops.DrainState.Phase;
+import saffronferry.ops.Metrics;
 import saffronferry.state.Channel;
 import saffronferry.state.RpcCoordinator;
 import saffronferry.state.RpcInfo;
@@ -28,10 +28,10 @@
     private final RpcParser parser;
     private final RpcCoordinator<ForwardedRequest> coordinator;
     private final ClientConnections clientConnections;
-    private final Figures figures;
+    private final Metrics figures;
     private final BoundedLog log;
     private boolean ready;
-    private Phase phase = Phase.OPEN;
+    private Phase phase = Phase.SERVING;
     private boolean processEnding;
     private boolean servedElsewhere;
     private boolean requestReceived;
@@ -41,7 +41,7 @@
             RpcParser parser,
             RpcCoordinator<ForwardedRequest> coordinator,
             BoundedTransport transport,
-            Figures figures,
+            Metrics figures,
             BoundedLog log) {
         this.parser = parser;
         this.coordinator = coordinator;
@@ -85,14 +85,14 @@
         phase = next;
         processEnding = processEnds;
         servedElsewhere = otherProcessServes;
-        if (phase == Phase.EMPTY) {
+        if (phase == Phase.CLOSING_IDLE) {
             clientConnections.closeIdle();
         }
     }
 
     /** Whether connections are closed once their request is answered. */
     private boolean closesAnsweredConnections() {
-        return phase.compareTo(Phase.LEAVING) >= 0;
+        return phase.compareTo(Phase.CLOSING_AFTER_RESPONSE) >= 0;
     }
 
     /** Whether no request is partially received and no response is waiting to be sent. */
@@ -128,7 +128,7 @@
             checkFraming(request);
             if (request.method() == HttpMethod.GET && "/up".equals(request.path())) {
                 clientConnections.requestComplete(connection);
-                boolean up = ready && (phase == Phase.OPEN || servedElsewhere);
+                boolean up = ready && (phase == Phase.SERVING || servedElsewhere);
                 request.response().setStatusCode(up ? 200 : 503).end(up ? "up\n" : "not up\n");
                 return;
             }
@@ -177,10 +177,10 @@
     }
 
     private void open(HttpServerRequest request, RpcInfo info, Buffer body) {
-        if (processEnding && phase == Phase.EMPTY) {
+        if (processEnding && phase == Phase.CLOSING_IDLE) {
             // answered only when the request is read completely: closing with unread input would reset the
             // connection before the client has read the response
-            figures.answered(info.rpcClass(), Figures.Result.SHED);
+            figures.recordResult(info.rpcClass(), Metrics.Result.SHED);
             reject(request, new RejectedRequestException(503, "shutting down"));
             return;
         }
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -15,7 +15,7 @@
 import saffronferry.limit.AttemptRoom;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Clock;
 import saffronferry.state.ListUpdate;
@@ -64,7 +64,7 @@
             Vertx vertx,
             Options options,
             Balancer balancer,
-            Figures figures,
+            Metrics figures,
             Descriptors descriptors,
             BoundedTransport transport,
             BoundedLog log) {
@@ -191,7 +191,7 @@
     public void probeLoad(String subchannel, String address) {
         subchannelClient.probe(
                 address,
-                () -> !coordinator.bans().has(subchannel),
+                () -> !coordinator.bans().contains(subchannel),
                 (outcome, load) -> coordinator.report(new BalancerEvent.Probed(subchannel, outcome, load)));
     }
 
--- a/src/test/java/saffronferry/lifecycle/Peer.java
+++ b/src/test/java/saffronferry/lifecycle/ScriptedServer.java
@@ -14,36 +14,36 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The other end of a socket, played by a script: a subchannel or discovery. */
-final class Peer implements AutoCloseable {
-    /** What to do with a request; the connection closes when it returns false. */
+/** An HTTP server that follows a script; stands for a worker or for discovery. */
+final class ScriptedServer implements AutoCloseable {
+    /** Answers a request; the connection is closed when it returns false. */
     interface Script {
-        boolean play(String request, OutputStream out) throws IOException, InterruptedException;
+        boolean answer(String request, OutputStream out) throws IOException, InterruptedException;
     }
 
     final ServerSocket server;
-    /** Head and body of each job or watch, probes left out. */
+    /** Head and body of each request other than load probes. */
     final List<String> requests = new CopyOnWriteArrayList<>();
 
-    final AtomicInteger closedByOther = new AtomicInteger();
-    /** Connections that broke while we wrote to them. */
-    final AtomicInteger brokenByOther = new AtomicInteger();
+    final AtomicInteger connectionsClosedByPeer = new AtomicInteger();
+    /** Connections that failed while this server wrote to them. */
+    final AtomicInteger connectionsBrokenByPeer = new AtomicInteger();
 
     volatile Script script;
     volatile String load = "x0=4,x1=4";
 
-    Peer(Script script) throws IOException {
+    ScriptedServer(Script script) throws IOException {
         this(0, script);
     }
 
-    /** At a port of its own choice where it is 0, else at that one, which another may just have left. */
-    Peer(int port, Script script) throws IOException {
+    /** Listens at the given port, which may have been in use until just now, or at any free one if it is 0. */
+    ScriptedServer(int port, Script script) throws IOException {
         this.script = script;
         server = new ServerSocket(port, 50, InetAddress.getByName("127.0.0.1"));
         daemon(() -> {
             while (true) {
                 Socket socket = server.accept();
-                daemon(() -> converse(socket));
+                daemon(() -> handleConnection(socket));
             }
         });
     }
@@ -77,48 +77,48 @@
         return "127.0.0.1:" + port();
     }
 
-    /** Connections of all peers, to be hung up when a test is over: scripts may sleep on. */
-    private static final Set<Socket> TAKEN = ConcurrentHashMap.newKeySet();
+    /** The connections of all scripted servers, to close after a test while scripts may still be sleeping. */
+    private static final Set<Socket> CONNECTIONS = ConcurrentHashMap.newKeySet();
 
-    /** Gives back what scripts still hold: further tests count the descriptors of this process. */
-    static void hangUpAll() throws IOException {
-        for (Socket s : TAKEN) {
+    /** Frees the descriptors that scripts still hold, since later tests count the descriptors of this process. */
+    static void closeAllConnections() throws IOException {
+        for (Socket s : CONNECTIONS) {
             s.close();
         }
-        TAKEN.clear();
+        CONNECTIONS.clear();
     }
 
-    private void converse(Socket socket) throws IOException, InterruptedException {
-        TAKEN.add(socket);
+    private void handleConnection(Socket socket) throws IOException, InterruptedException {
+        CONNECTIONS.add(socket);
         try (socket) {
             InputStream in = socket.getInputStream();
             OutputStream out = socket.getOutputStream();
             String request = read(in);
             while (request != null) {
-                boolean stays;
+                boolean keepOpen;
                 if (request.startsWith("GET /metrics/load")) {
                     write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + load.length() + "\r\n\r\n" + load);
-                    stays = true;
+                    keepOpen = true;
                 } else {
                     requests.add(request);
                     try {
-                        stays = script.play(request, out);
+                        keepOpen = script.answer(request, out);
                     } catch (Reset e) {
                         socket.setSoLinger(true, 0);
                         throw e;
                     } catch (IOException e) {
-                        brokenByOther.incrementAndGet();
+                        connectionsBrokenByPeer.incrementAndGet();
                         throw e;
                     }
                 }
-                if (!stays) {
+                if (!keepOpen) {
                     return;
                 }
                 request = read(in);
             }
-            closedByOther.incrementAndGet();
+            connectionsClosedByPeer.incrementAndGet();
         } finally {
-            TAKEN.remove(socket);
+            CONNECTIONS.remove(socket);
         }
     }
 
@@ -150,7 +150,7 @@
         write(out, Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
 
-    /** A subchannel that serves each job at once. */
+    /** A worker that serves each request at once. */
     static boolean serve(String request, OutputStream out) throws IOException {
         write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         chunk(out, "{\"state\":\"started\"}");
@@ -159,20 +159,20 @@
         return true;
     }
 
-    /** A subchannel whose jobs take so long. */
-    static Script slow(int ms) {
+    /** A worker that serves each request after the given time. */
+    static Script serveAfterMs(int ms) {
         return (request, out) -> {
             Thread.sleep(ms);
             return serve(request, out);
         };
     }
 
-    /** A subchannel that takes jobs and never answers. */
-    static boolean keepSilent(String request, OutputStream out) {
+    /** A worker that accepts requests and never answers. */
+    static boolean neverAnswer(String request, OutputStream out) {
         return true;
     }
 
-    static Script status(String status, String header) {
+    static Script answerWith(String status, String header) {
         return (request, out) -> {
             write(out, "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\n" + header + "\r\n");
             return true;
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -14,7 +14,7 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.BalancerEvent;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.settings.SettingsReader;
 
 /** RpcCoordinator without sockets: each RPC gets one final answer whatever fails, and leaves no state behind. */
@@ -25,7 +25,7 @@
     private final TreeMap<Long, Runnable> timers = new TreeMap<>();
     private boolean startFails;
     private Error error;
-    private final Figures figures = new Figures(List.of("directory-page", "record-gift"));
+    private final Metrics figures = new Metrics(List.of("directory-page", "record-gift"));
     private RpcCoordinator<String> coordinator;
 
     private final Channel channel = new Channel() {
