--- a/src/main/java/saffronferry/agree/Frame.java
+++ b/src/main/java/saffronferry/agree/Frame.java
@@ -157,7 +157,7 @@
             }
         }
         countAt--;
-        Changeable what = Changeable.of((int) take(1));
+        DynamicSetting what = DynamicSetting.fromNumber((int) take(1));
         String name = text((int) take(1));
         int length = (int) take(1);
         String value = length == REMOVAL ? null : text(length);
--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -142,7 +142,7 @@
         }
         for (Map.Entry<Key, String> e : changes.entrySet()) {
             Change c = new Change(e.getKey(), e.getValue(), stamp, setup.self(), incarnation);
-            String fault = Changeable.fault(c.key().name(), c.value());
+            String fault = DynamicSetting.validationError(c.key().name(), c.value());
             if (fault == null && map.merge(c, now) == LwwMap.Merged.TAKEN) {
                 spread(c, now);
             } else {
--- a/src/main/java/saffronferry/agree/Key.java
+++ b/src/main/java/saffronferry/agree/Key.java
@@ -1,9 +1,9 @@
 package saffronferry.agree;
 
 /** One setting that may change: a row of the table, and whose it is. */
-public record Key(Changeable what, String name) {
+public record Key(DynamicSetting what, String name) {
     @Override
     public String toString() {
-        return what.path(name);
+        return what.keyPath(name);
     }
 }
--- a/src/main/java/saffronferry/agree/LwwMap.java
+++ b/src/main/java/saffronferry/agree/LwwMap.java
@@ -54,7 +54,7 @@
         if (mine != null && !c.beats(mine)) {
             return mine.equals(c) ? Merged.KNOWN : Merged.OLDER;
         }
-        if (c.stamp() > now + MOST_AHEAD || Changeable.fault(c.key().name(), c.value()) != null) {
+        if (c.stamp() > now + MOST_AHEAD || DynamicSetting.validationError(c.key().name(), c.value()) != null) {
             return Merged.REFUSED;
         }
         if (mine == null
--- a/src/main/java/saffronferry/lifecycle/ConfigDiff.java
+++ b/src/main/java/saffronferry/lifecycle/ConfigDiff.java
@@ -9,7 +9,7 @@
 import org.json.JSONArray;
 import org.json.JSONException;
 import org.json.JSONObject;
-import saffronferry.agree.Changeable;
+import saffronferry.agree.DynamicSetting;
 import saffronferry.agree.Key;
 
 /**
@@ -41,7 +41,7 @@
     /** The values that may change. */
     static Map<Key, String> values(JSONObject json) {
         Map<Key, String> values = new LinkedHashMap<>();
-        for (Changeable what : Changeable.values()) {
+        for (DynamicSetting what : DynamicSetting.values()) {
             named(json, what).forEach((name, entry) -> {
                 Key key = new Key(what, name);
                 values.put(key, value(key, entry));
@@ -53,18 +53,18 @@
     private static String value(Key key, JSONObject entry) {
         String value;
         try {
-            value = Changeable.text(entry.isNull(key.what().field) ? 0 : entry.getDouble(key.what().field));
+            value = DynamicSetting.formatNumber(entry.isNull(key.what().field) ? 0 : entry.getDouble(key.what().field));
         } catch (JSONException e) {
             throw new IllegalArgumentException("configuration key " + key + ": must be a number");
         }
-        String fault = Changeable.fault(key.name(), value);
+        String fault = DynamicSetting.validationError(key.name(), value);
         if (fault != null) {
             throw new IllegalArgumentException("configuration key " + key + ": " + fault);
         }
         return value;
     }
 
-    private static Map<String, JSONObject> named(JSONObject json, Changeable what) {
+    private static Map<String, JSONObject> named(JSONObject json, DynamicSetting what) {
         Object at = json;
         for (String part : what.path.split("\\.")) {
             at = at instanceof JSONObject o ? o.opt(part) : null;
@@ -102,7 +102,7 @@
 
     /** Whether a key is a table of which something may change; else what differs there is refused. */
     private static boolean table(String path, JSONObject before, JSONObject after, List<String> refused) {
-        for (Changeable what : Changeable.values()) {
+        for (DynamicSetting what : DynamicSetting.values()) {
             if (what.path.equals(path)) {
                 String last = path.substring(path.lastIndexOf('.') + 1);
                 Map<String, JSONObject> had = entries(before.optJSONArray(last));
--- a/src/main/java/saffronferry/lifecycle/Node.java
+++ b/src/main/java/saffronferry/lifecycle/Node.java
@@ -276,7 +276,7 @@
     /**
      * SIGHUP runs this, on a thread of its own, since reading a file must not park the event loop; one at a
      * time, so that of several the last one's file prevails. Of the new configuration only {@code
-     * discovery} is taken, and with the key {@code agree} what {@link saffronferry.agree.Changeable} names.
+     * discovery} is taken, and with the key {@code agree} what {@link saffronferry.agree.DynamicSetting} names.
      */
     synchronized void reload(Supplier<Config> read) {
         try {
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -14,7 +14,7 @@
 import saffronferry.News;
 import saffronferry.agree.Agreement;
 import saffronferry.agree.Change;
-import saffronferry.agree.Changeable;
+import saffronferry.agree.DynamicSetting;
 import saffronferry.agree.Gossip;
 import saffronferry.agree.Key;
 import saffronferry.log.BoundedLog;
@@ -135,13 +135,13 @@
         }
         for (Map.Entry<Key, String> e : all.entrySet()) {
             String name = e.getKey().name();
-            if (e.getKey().what() == Changeable.ALLOWANCE && e.getValue() != null && known.add(name)) {
+            if (e.getKey().what() == DynamicSetting.ALLOWANCE && e.getValue() != null && known.add(name)) {
                 names.add(name);
             }
         }
         List<Tenant> next = names.stream()
                 .map(name -> {
-                    String value = all.get(new Key(Changeable.ALLOWANCE, name));
+                    String value = all.get(new Key(DynamicSetting.ALLOWANCE, name));
                     return new Tenant(name, value == null ? 0 : Double.parseDouble(value));
                 })
                 .toList();
--- a/src/test/java/saffronferry/agree/HollowFleet.java
+++ b/src/test/java/saffronferry/agree/HollowFleet.java
@@ -215,7 +215,7 @@
     }
 
     static Key key(int tenant) {
-        return new Key(Changeable.ALLOWANCE, "kilbarron-team-" + tenant);
+        return new Key(DynamicSetting.ALLOWANCE, "kilbarron-team-" + tenant);
     }
 
     /** An operator's change, followed until the last one has it. */
--- a/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
@@ -13,7 +13,7 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import saffronferry.agree.Changeable;
+import saffronferry.agree.DynamicSetting;
 import saffronferry.agree.Key;
 
 class ConfigDiffTest {
@@ -31,7 +31,7 @@
     }
 
     private static Key key(String name) {
-        return new Key(Changeable.ALLOWANCE, name);
+        return new Key(DynamicSetting.ALLOWANCE, name);
     }
 
     @Test
