--- a/src/main/java/saffronferry/agree/Change.java
+++ b/src/main/java/saffronferry/agree/Change.java
@@ -7,7 +7,7 @@
  * @param origin the number of the dispatcher at which it was made
  * @param incarnation which of that dispatcher's processes made it
  */
-public record Change(Key key, String value, long stamp, int origin, int incarnation) {
+public record Change(SettingKey key, String value, long stamp, int origin, int incarnation) {
     /**
      * Whether it wins over another change of the same key: the higher stamp, then the higher origin. What
      * is left decides between those that only a fault or a forger can make; the order must be total, or two
@@ -32,12 +32,12 @@
 
     /** The leaf of the digests to which its key belongs. */
     int leaf() {
-        return (int) (mix(text(key.name(), key.what().number())) & LwwMap.LEAVES - 1);
+        return (int) (mix(text(key.name(), key.setting().number())) & LwwMap.LEAVES - 1);
     }
 
     /** Differs, but for chance, from that of any other change. */
     long hash() {
-        long h = text(key.name(), key.what().number());
+        long h = text(key.name(), key.setting().number());
         h = mix(h ^ stamp);
         h = mix(h ^ (long) origin << 32 ^ incarnation);
         return mix(value == null ? h : text(value, h));
--- a/src/main/java/saffronferry/agree/Frame.java
+++ b/src/main/java/saffronferry/agree/Frame.java
@@ -137,7 +137,7 @@
             group = c;
         }
         b[countAt]++;
-        put(c.key().what().number(), 1);
+        put(c.key().setting().number(), 1);
         put(c.key().name().length(), 1);
         text(c.key().name());
         put(c.removes() ? REMOVAL : c.value().length(), 1);
@@ -163,7 +163,7 @@
         String value = length == REMOVAL ? null : text(length);
         return what == null
                 ? null
-                : new Change(new Key(what, name), value, group.stamp(), group.origin(), group.incarnation());
+                : new Change(new SettingKey(what, name), value, group.stamp(), group.origin(), group.incarnation());
     }
 
     private void text(String s) {
--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -71,10 +71,10 @@
      */
     public record Setup(int self, int peers, int bytesPerS, byte[] secret, long seed) {}
 
-    private record Recent(Key key, long at) {}
+    private record Recent(SettingKey key, long at) {}
 
     /** What a peer is to be told: it asked, and lacks these. */
-    private record Owed(int peer, long until, ArrayDeque<Key> keys) {}
+    private record Owed(int peer, long until, ArrayDeque<SettingKey> keys) {}
 
     /** A change that is being passed on. */
     private static final class Rumour {
@@ -96,7 +96,7 @@
     private final double depth;
     private final LwwMap map = new LwwMap();
     private final ArrayDeque<Rumour> rumours = new ArrayDeque<>();
-    private final Map<Key, Rumour> rumourOf = new HashMap<>();
+    private final Map<SettingKey, Rumour> rumourOf = new HashMap<>();
     private final ArrayDeque<Recent> recent = new ArrayDeque<>();
     private final ArrayDeque<Owed> owed = new ArrayDeque<>();
     private double tokens;
@@ -132,15 +132,15 @@
     // ---- what the own dispatcher says ----
 
     /** Takes the own dispatcher's changes in, null for a removal; returns what is refused, with why. */
-    public List<String> change(long now, Map<Key, String> changes) {
+    public List<String> change(long now, Map<SettingKey, String> changes) {
         List<String> faults = new ArrayList<>();
         long stamp = now;
-        for (Key key : changes.keySet()) {
+        for (SettingKey key : changes.keySet()) {
             Change held = map.get(key);
             // guards against a change that loses to the one it replaces, made by a clock ahead of ours
             stamp = Math.max(stamp, held == null ? 0 : held.stamp() + 1);
         }
-        for (Map.Entry<Key, String> e : changes.entrySet()) {
+        for (Map.Entry<SettingKey, String> e : changes.entrySet()) {
             Change c = new Change(e.getKey(), e.getValue(), stamp, setup.self(), incarnation);
             String fault = DynamicSetting.validationError(c.key().name(), c.value());
             if (fault == null && map.merge(c, now) == LwwMap.Merged.TAKEN) {
@@ -256,7 +256,7 @@
             return; // in a burst there is more that is recent than a datagram holds
         }
         Frame f = Frame.of(Frame.Kind.CHANGES, 0, now);
-        Set<Key> seen = new HashSet<>();
+        Set<SettingKey> seen = new HashSet<>();
         for (Iterator<Recent> i = recent.descendingIterator(); i.hasNext(); ) {
             Change c = map.get(i.next().key());
             if (c != null && leaves.test(c.leaf()) && seen.add(c.key()) && !f.add(c)) {
@@ -312,7 +312,7 @@
 
     /** A peer says what it holds of some leaves: it is told what it lacks, and asked for what we lack. */
     private void compareHeld(long now, int peer, Frame f, boolean ask) {
-        ArrayDeque<Key> lacks = new ArrayDeque<>();
+        ArrayDeque<SettingKey> lacks = new ArrayDeque<>();
         BitSet weLack = new BitSet();
         while (f.has(1)) {
             int leaf = (int) f.take(1);
@@ -419,7 +419,7 @@
         Owed o = owed.peekFirst();
         Frame f = Frame.of(Frame.Kind.CHANGES, 0, now);
         int told = 0;
-        for (Key key : o.keys()) {
+        for (SettingKey key : o.keys()) {
             Change c = map.get(key);
             if (c != null && !f.add(c)) {
                 break;
--- a/src/main/java/saffronferry/agree/LwwMap.java
+++ b/src/main/java/saffronferry/agree/LwwMap.java
@@ -32,12 +32,12 @@
         REFUSED
     }
 
-    private final Map<Key, Change> held = new HashMap<>();
+    private final Map<SettingKey, Change> held = new HashMap<>();
     private final TreeSet<Change> marks = new TreeSet<>(Comparator.comparingLong(Change::stamp)
-            .thenComparing(c -> c.key().what())
+            .thenComparing(c -> c.key().setting())
             .thenComparing(c -> c.key().name()));
     private final long[] leaves = new long[LEAVES];
-    private final List<Map<Key, Change>> byLeaf = new ArrayList<>();
+    private final List<Map<SettingKey, Change>> byLeaf = new ArrayList<>();
     /** The newest stamp of a mark dropped: what is older and unknown may be what that mark removed. */
     private long floor;
 
@@ -101,7 +101,7 @@
         }
     }
 
-    Change get(Key key) {
+    Change get(SettingKey key) {
         return held.get(key);
     }
 
--- a/src/main/java/saffronferry/lifecycle/ConfigDiff.java
+++ b/src/main/java/saffronferry/lifecycle/ConfigDiff.java
@@ -10,7 +10,7 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 import saffronferry.agree.DynamicSetting;
-import saffronferry.agree.Key;
+import saffronferry.agree.SettingKey;
 
 /**
  * What differs between two configurations of one dispatcher.
@@ -18,15 +18,15 @@
  * @param changes of settings that may change while it runs; null for a removal
  * @param refused keys that differ, too, and are read at a start only
  */
-record ConfigDiff(Map<Key, String> changes, List<String> refused) {
+record ConfigDiff(Map<SettingKey, String> changes, List<String> refused) {
     /** Followed by each dispatcher for itself, or told anew at each start. */
     private static final Set<String> OWN = Set.of("discovery", "known", "seed");
 
     /** {@link IllegalArgumentException} names the key in the new one that is at fault. */
     static ConfigDiff between(JSONObject before, JSONObject after) {
-        Map<Key, String> had = values(before);
-        Map<Key, String> has = values(after);
-        Map<Key, String> changes = new LinkedHashMap<>();
+        Map<SettingKey, String> had = values(before);
+        Map<SettingKey, String> has = values(after);
+        Map<SettingKey, String> changes = new LinkedHashMap<>();
         has.forEach((key, value) -> {
             if (!value.equals(had.get(key))) {
                 changes.put(key, value);
@@ -39,21 +39,21 @@
     }
 
     /** The values that may change. */
-    static Map<Key, String> values(JSONObject json) {
-        Map<Key, String> values = new LinkedHashMap<>();
+    static Map<SettingKey, String> values(JSONObject json) {
+        Map<SettingKey, String> values = new LinkedHashMap<>();
         for (DynamicSetting what : DynamicSetting.values()) {
             named(json, what).forEach((name, entry) -> {
-                Key key = new Key(what, name);
+                SettingKey key = new SettingKey(what, name);
                 values.put(key, value(key, entry));
             });
         }
         return values;
     }
 
-    private static String value(Key key, JSONObject entry) {
+    private static String value(SettingKey key, JSONObject entry) {
         String value;
         try {
-            value = DynamicSetting.formatNumber(entry.isNull(key.what().field) ? 0 : entry.getDouble(key.what().field));
+            value = DynamicSetting.formatNumber(entry.isNull(key.setting().field) ? 0 : entry.getDouble(key.setting().field));
         } catch (JSONException e) {
             throw new IllegalArgumentException("configuration key " + key + ": must be a number");
         }
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -16,7 +16,7 @@
 import saffronferry.agree.Change;
 import saffronferry.agree.DynamicSetting;
 import saffronferry.agree.Gossip;
-import saffronferry.agree.Key;
+import saffronferry.agree.SettingKey;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Figures;
 import saffronferry.ops.Figures.More;
@@ -34,7 +34,7 @@
     private final Clock clock = new Clock();
     private final Gossip gossip;
     private JSONObject file;
-    private Map<Key, String> inFile;
+    private Map<SettingKey, String> inFile;
     private final List<String> names = new ArrayList<>();
     private final Set<String> known = new HashSet<>();
     private List<Tenant> tenants;
@@ -128,20 +128,20 @@
     }
 
     private void apply() {
-        Map<Key, String> all = new HashMap<>(inFile);
+        Map<SettingKey, String> all = new HashMap<>(inFile);
         for (Change c : gossip.held()) {
             String before = all.get(c.key());
             all.put(c.key(), state == Agreement.State.ALONE ? smaller(before, c.value()) : c.value());
         }
-        for (Map.Entry<Key, String> e : all.entrySet()) {
+        for (Map.Entry<SettingKey, String> e : all.entrySet()) {
             String name = e.getKey().name();
-            if (e.getKey().what() == DynamicSetting.ALLOWANCE && e.getValue() != null && known.add(name)) {
+            if (e.getKey().setting() == DynamicSetting.ALLOWANCE && e.getValue() != null && known.add(name)) {
                 names.add(name);
             }
         }
         List<Tenant> next = names.stream()
                 .map(name -> {
-                    String value = all.get(new Key(DynamicSetting.ALLOWANCE, name));
+                    String value = all.get(new SettingKey(DynamicSetting.ALLOWANCE, name));
                     return new Tenant(name, value == null ? 0 : Double.parseDouble(value));
                 })
                 .toList();
--- a/src/test/java/saffronferry/agree/HollowFleet.java
+++ b/src/test/java/saffronferry/agree/HollowFleet.java
@@ -45,8 +45,8 @@
     /** Bytes sent by kind of datagram. */
     final long[] byKind = new long[Frame.Kind.values().length];
 
-    final List<Map<Key, String>> inForce = new ArrayList<>();
-    final Map<Key, Spread> spreads = new HashMap<>();
+    final List<Map<SettingKey, String>> inForce = new ArrayList<>();
+    final Map<SettingKey, Spread> spreads = new HashMap<>();
     final List<Spread> allSpreads = new ArrayList<>();
     /** The most bytes that any of them sent within any second. */
     long mostInASecond;
@@ -214,8 +214,8 @@
         return true;
     }
 
-    static Key key(int tenant) {
-        return new Key(DynamicSetting.ALLOWANCE, "kilbarron-team-" + tenant);
+    static SettingKey key(int tenant) {
+        return new SettingKey(DynamicSetting.ALLOWANCE, "kilbarron-team-" + tenant);
     }
 
     /** An operator's change, followed until the last one has it. */
@@ -226,7 +226,7 @@
         changeAll(node, java.util.Collections.singletonMap(key(tenant), value));
     }
 
-    void changeAll(int node, Map<Key, String> changes) {
+    void changeAll(int node, Map<SettingKey, String> changes) {
         changes.forEach((k, v) -> inForce.get(node).put(k, v));
         List<String> faults = nodes[node].change(clock(node), changes);
         if (!faults.isEmpty()) {
@@ -234,8 +234,8 @@
         }
     }
 
-    static Map<Key, String> burst(int tenants, String value) {
-        Map<Key, String> all = new HashMap<>();
+    static Map<SettingKey, String> burst(int tenants, String value) {
+        Map<SettingKey, String> all = new HashMap<>();
         for (int i = 0; i < tenants; i++) {
             all.put(key(i), value);
         }
--- a/src/test/java/saffronferry/agree/LwwMapTest.java
+++ b/src/test/java/saffronferry/agree/LwwMapTest.java
@@ -33,7 +33,7 @@
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.integers().between(0, 1))
                 .as((name, value, stamp, origin, life) ->
-                        new Change(new Key(DynamicSetting.ALLOWANCE, name), value, stamp, origin, life));
+                        new Change(new SettingKey(DynamicSetting.ALLOWANCE, name), value, stamp, origin, life));
     }
 
     private static LwwMap map(Iterable<Change> changes) {
@@ -166,7 +166,7 @@
         assertEquals(LwwMap.Merged.REFUSED, map.merge(change(1, "5", NOW + LwwMap.MOST_AHEAD + 1), NOW));
         assertEquals(
                 LwwMap.Merged.REFUSED,
-                map.merge(new Change(new Key(DynamicSetting.ALLOWANCE, "a b"), "5", NOW, 0, 0), NOW));
+                map.merge(new Change(new SettingKey(DynamicSetting.ALLOWANCE, "a b"), "5", NOW, 0, 0), NOW));
         assertEquals(LwwMap.Merged.TAKEN, map.merge(change(1, "5", NOW + 100_000), NOW));
         for (int i = 0; i < LwwMap.MOST_KEYS + 5; i++) {
             map.merge(change(i, "5", NOW), NOW);
--- a/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigDiffTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import saffronferry.agree.DynamicSetting;
-import saffronferry.agree.Key;
+import saffronferry.agree.SettingKey;
 
 class ConfigDiffTest {
     private JSONObject before;
@@ -30,8 +30,8 @@
         return after.getJSONObject("settings").getJSONArray("realms");
     }
 
-    private static Key key(String name) {
-        return new Key(DynamicSetting.ALLOWANCE, name);
+    private static SettingKey key(String name) {
+        return new SettingKey(DynamicSetting.ALLOWANCE, name);
     }
 
     @Test
