--- a/src/main/java/saffronferry/agree/Frame.java
+++ b/src/main/java/saffronferry/agree/Frame.java
@@ -29,7 +29,7 @@
 
     private byte[] b = new byte[MOST_BYTES];
     private int at = HEADER;
-    private Change group;
+    private SettingChange group;
     private int countAt;
 
     private Frame() {}
@@ -118,7 +118,7 @@
     }
 
     /** False where there is no room for it. Changes of one stamp, origin and incarnation share these. */
-    boolean add(Change c) {
+    boolean add(SettingChange c) {
         boolean same = group != null
                 && group.stamp() == c.stamp()
                 && group.origin() == c.origin()
@@ -146,11 +146,11 @@
     }
 
     /** Reads the next change of a datagram, null for one of a key that this version does not know. */
-    Change next() {
+    SettingChange next() {
         if (group == null || countAt == 0) {
             long stamp = take(7);
             int origin = (int) take(2);
-            group = new Change(null, null, stamp, origin, (int) take(4));
+            group = new SettingChange(null, null, stamp, origin, (int) take(4));
             countAt = (int) take(1);
             if (countAt == 0) {
                 throw new IllegalArgumentException("an empty group");
@@ -163,7 +163,7 @@
         String value = length == REMOVAL ? null : text(length);
         return what == null
                 ? null
-                : new Change(new SettingKey(what, name), value, group.stamp(), group.origin(), group.incarnation());
+                : new SettingChange(new SettingKey(what, name), value, group.stamp(), group.origin(), group.incarnation());
     }
 
     private void text(String s) {
--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -61,7 +61,7 @@
         void tell(int peer, byte[] bytes);
 
         /** These hold from now on; none of them is the own dispatcher's. */
-        void taken(List<Change> changes);
+        void taken(List<SettingChange> changes);
     }
 
     /**
@@ -78,12 +78,12 @@
 
     /** A change that is being passed on. */
     private static final class Rumour {
-        final Change change;
+        final SettingChange change;
         int pushed;
         boolean replaced;
         long lastPush;
 
-        Rumour(Change change) {
+        Rumour(SettingChange change) {
             this.change = change;
         }
     }
@@ -136,12 +136,12 @@
         List<String> faults = new ArrayList<>();
         long stamp = now;
         for (SettingKey key : changes.keySet()) {
-            Change held = map.get(key);
+            SettingChange held = map.get(key);
             // guards against a change that loses to the one it replaces, made by a clock ahead of ours
             stamp = Math.max(stamp, held == null ? 0 : held.stamp() + 1);
         }
         for (Map.Entry<SettingKey, String> e : changes.entrySet()) {
-            Change c = new Change(e.getKey(), e.getValue(), stamp, setup.self(), incarnation);
+            SettingChange c = new SettingChange(e.getKey(), e.getValue(), stamp, setup.self(), incarnation);
             String fault = DynamicSetting.validationError(c.key().name(), c.value());
             if (fault == null && map.merge(c, now) == LwwMap.Merged.TAKEN) {
                 spread(c, now);
@@ -209,12 +209,12 @@
     }
 
     private void changes(long now, Frame f) {
-        List<Change> all = new ArrayList<>();
+        List<SettingChange> all = new ArrayList<>();
         while (f.has(1)) {
             all.add(f.next());
         }
-        List<Change> taken = new ArrayList<>();
-        for (Change c : all) {
+        List<SettingChange> taken = new ArrayList<>();
+        for (SettingChange c : all) {
             LwwMap.Merged merged = c == null ? LwwMap.Merged.REFUSED : map.merge(c, now);
             if (merged == LwwMap.Merged.TAKEN) {
                 taken.add(c);
@@ -258,7 +258,7 @@
         Frame f = Frame.of(Frame.Kind.CHANGES, 0, now);
         Set<SettingKey> seen = new HashSet<>();
         for (Iterator<Recent> i = recent.descendingIterator(); i.hasNext(); ) {
-            Change c = map.get(i.next().key());
+            SettingChange c = map.get(i.next().key());
             if (c != null && leaves.test(c.leaf()) && seen.add(c.key()) && !f.add(c)) {
                 break;
             }
@@ -302,7 +302,7 @@
         }
         f.put(leaf, 1);
         f.put(n, 1);
-        for (Change c : map.in(leaf)) {
+        for (SettingChange c : map.in(leaf)) {
             if (n-- > 0) {
                 f.put(c.shortHash(f.salt()), 2);
             }
@@ -320,7 +320,7 @@
             for (int n = (int) f.take(1); n > 0; n--) {
                 its.add((int) f.take(2));
             }
-            for (Change c : map.in(leaf)) {
+            for (SettingChange c : map.in(leaf)) {
                 if (!its.remove(c.shortHash(f.salt()))) {
                     lacks.add(c.key());
                 }
@@ -345,7 +345,7 @@
         nextDigest = Math.min(nextDigest, now + HOT_PERIOD);
     }
 
-    private void spread(Change c, long now) {
+    private void spread(SettingChange c, long now) {
         if (setup.peers() < 2) {
             return; // guards memory: nobody would ever take it off our hands
         }
@@ -420,7 +420,7 @@
         Frame f = Frame.of(Frame.Kind.CHANGES, 0, now);
         int told = 0;
         for (SettingKey key : o.keys()) {
-            Change c = map.get(key);
+            SettingChange c = map.get(key);
             if (c != null && !f.add(c)) {
                 break;
             }
@@ -494,7 +494,7 @@
     // ---- for operators ----
 
     /** All changes held, marks of removals among them. */
-    public Iterable<Change> held() {
+    public Iterable<SettingChange> held() {
         return map.changes();
     }
 
--- a/src/main/java/saffronferry/agree/LwwMap.java
+++ b/src/main/java/saffronferry/agree/LwwMap.java
@@ -32,12 +32,12 @@
         REFUSED
     }
 
-    private final Map<SettingKey, Change> held = new HashMap<>();
-    private final TreeSet<Change> marks = new TreeSet<>(Comparator.comparingLong(Change::stamp)
+    private final Map<SettingKey, SettingChange> held = new HashMap<>();
+    private final TreeSet<SettingChange> marks = new TreeSet<>(Comparator.comparingLong(SettingChange::stamp)
             .thenComparing(c -> c.key().setting())
             .thenComparing(c -> c.key().name()));
     private final long[] leaves = new long[LEAVES];
-    private final List<Map<SettingKey, Change>> byLeaf = new ArrayList<>();
+    private final List<Map<SettingKey, SettingChange>> byLeaf = new ArrayList<>();
     /** The newest stamp of a mark dropped: what is older and unknown may be what that mark removed. */
     private long floor;
 
@@ -49,8 +49,8 @@
         }
     }
 
-    Merged merge(Change c, long now) {
-        Change mine = held.get(c.key());
+    Merged merge(SettingChange c, long now) {
+        SettingChange mine = held.get(c.key());
         if (mine != null && !c.beats(mine)) {
             return mine.equals(c) ? Merged.KNOWN : Merged.OLDER;
         }
@@ -87,12 +87,12 @@
         }
     }
 
-    private void forget(Change mark) {
+    private void forget(SettingChange mark) {
         drop(mark);
         floor = Math.max(floor, mark.stamp());
     }
 
-    private void drop(Change c) {
+    private void drop(SettingChange c) {
         held.remove(c.key());
         byLeaf.get(c.leaf()).remove(c.key());
         leaves[c.leaf()] ^= c.hash();
@@ -101,16 +101,16 @@
         }
     }
 
-    Change get(SettingKey key) {
+    SettingChange get(SettingKey key) {
         return held.get(key);
     }
 
     /** All changes held, marks of removals among them. */
-    public Iterable<Change> changes() {
+    public Iterable<SettingChange> changes() {
         return held.values();
     }
 
-    Iterable<Change> in(int leaf) {
+    Iterable<SettingChange> in(int leaf) {
         return byLeaf.get(leaf).values();
     }
 
@@ -154,6 +154,6 @@
     }
 
     private static int cut(long digest, int salt) {
-        return (int) (Change.mix(digest ^ (long) salt << 48) >>> 48);
+        return (int) (SettingChange.mix(digest ^ (long) salt << 48) >>> 48);
     }
 }
--- a/src/main/java/saffronferry/agree/Change.java
+++ b/src/main/java/saffronferry/agree/SettingChange.java
@@ -7,13 +7,13 @@
  * @param origin the number of the dispatcher at which it was made
  * @param incarnation which of that dispatcher's processes made it
  */
-public record Change(SettingKey key, String value, long stamp, int origin, int incarnation) {
+public record SettingChange(SettingKey key, String value, long stamp, int origin, int incarnation) {
     /**
      * Whether it wins over another change of the same key: the higher stamp, then the higher origin. What
      * is left decides between those that only a fault or a forger can make; the order must be total, or two
      * dispatchers would hold different ones for good.
      */
-    boolean beats(Change other) {
+    boolean beats(SettingChange other) {
         if (stamp != other.stamp) {
             return stamp > other.stamp;
         }
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -13,7 +13,7 @@
 import saffronferry.Contract.Tenant;
 import saffronferry.News;
 import saffronferry.agree.Agreement;
-import saffronferry.agree.Change;
+import saffronferry.agree.SettingChange;
 import saffronferry.agree.DynamicSetting;
 import saffronferry.agree.Gossip;
 import saffronferry.agree.SettingKey;
@@ -62,7 +62,7 @@
                     }
 
                     @Override
-                    public void taken(List<Change> changes) {
+                    public void taken(List<SettingChange> changes) {
                         said("setting in force", changes);
                         apply();
                     }
@@ -118,7 +118,7 @@
         apply();
     }
 
-    private void said(String title, List<Change> changes) {
+    private void said(String title, List<SettingChange> changes) {
         // one line: of many of a title in a second, the log writes the first
         String all = changes.stream()
                 .limit(TOLD)
@@ -129,7 +129,7 @@
 
     private void apply() {
         Map<SettingKey, String> all = new HashMap<>(inFile);
-        for (Change c : gossip.held()) {
+        for (SettingChange c : gossip.held()) {
             String before = all.get(c.key());
             all.put(c.key(), state == Agreement.State.ALONE ? smaller(before, c.value()) : c.value());
         }
--- a/src/test/java/saffronferry/agree/GossipTest.java
+++ b/src/test/java/saffronferry/agree/GossipTest.java
@@ -103,7 +103,7 @@
                     }
 
                     @Override
-                    public void taken(List<Change> changes) {}
+                    public void taken(List<SettingChange> changes) {}
                 },
                 fleet.now);
         fleet.dead[0] = true;
@@ -198,7 +198,7 @@
 
         long digest = fleet.nodes[5].agreement(fleet.now).digest();
         Frame forged = Frame.of(Frame.Kind.CHANGES, 0, fleet.now);
-        forged.add(new Change(HollowFleet.key(1), "999", fleet.now, 0, 0));
+        forged.add(new SettingChange(HollowFleet.key(1), "999", fleet.now, 0, 0));
         byte[] later = forged.bytes(new Seal(HollowFleet.SECRET));
         later[0] = Frame.VERSION + 1;
         fleet.arrive(0, 5, later);
--- a/src/test/java/saffronferry/agree/HollowFleet.java
+++ b/src/test/java/saffronferry/agree/HollowFleet.java
@@ -104,7 +104,7 @@
                     }
 
                     @Override
-                    public void taken(List<Change> changes) {
+                    public void taken(List<SettingChange> changes) {
                         changes.forEach(c -> took(node, c));
                     }
                 },
@@ -112,7 +112,7 @@
         at(now + random.nextLong(Gossip.TICK), () -> tick(node, life));
     }
 
-    private void took(int node, Change c) {
+    private void took(int node, SettingChange c) {
         inForce.get(node).put(c.key(), c.value());
         Spread s = spreads.get(c.key());
         if (s != null && --s.missing == 0) {
--- a/src/test/java/saffronferry/agree/LwwMapTest.java
+++ b/src/test/java/saffronferry/agree/LwwMapTest.java
@@ -25,7 +25,7 @@
 
     /** Few keys, stamps and origins, so that most changes meet others of their key, and ties are common. */
     @Provide
-    Arbitrary<Change> changes() {
+    Arbitrary<SettingChange> changes() {
         return Combinators.combine(
                         Arbitraries.of("a", "b", "c"),
                         Arbitraries.of("0", "7", "50.5").injectNull(0.3),
@@ -33,10 +33,10 @@
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.integers().between(0, 1))
                 .as((name, value, stamp, origin, life) ->
-                        new Change(new SettingKey(DynamicSetting.ALLOWANCE, name), value, stamp, origin, life));
+                        new SettingChange(new SettingKey(DynamicSetting.ALLOWANCE, name), value, stamp, origin, life));
     }
 
-    private static LwwMap map(Iterable<Change> changes) {
+    private static LwwMap map(Iterable<SettingChange> changes) {
         LwwMap map = new LwwMap();
         changes.forEach(c -> map.merge(c, NOW));
         return map;
@@ -48,8 +48,8 @@
         return joined;
     }
 
-    private static Set<Change> held(LwwMap map) {
-        Set<Change> all = new HashSet<>();
+    private static Set<SettingChange> held(LwwMap map) {
+        Set<SettingChange> all = new HashSet<>();
         map.changes().forEach(all::add);
         return all;
     }
@@ -62,47 +62,47 @@
 
     @Property(seed = SEED, tries = 500)
     void mergingIsCommutative(
-            @ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") Change> a,
-            @ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") Change> b) {
+            @ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") SettingChange> a,
+            @ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") SettingChange> b) {
         same(join(map(a), map(b)), join(map(b), map(a)));
     }
 
     @Property(seed = SEED, tries = 500)
     void mergingIsAssociative(
-            @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") Change> a,
-            @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") Change> b,
-            @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") Change> c) {
+            @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") SettingChange> a,
+            @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") SettingChange> b,
+            @ForAll @Size(max = 8) List<@net.jqwik.api.From("changes") SettingChange> c) {
         same(join(join(map(a), map(b)), map(c)), join(map(a), join(map(b), map(c))));
     }
 
     @Property(seed = SEED, tries = 500)
-    void mergingIsIdempotent(@ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") Change> a) {
+    void mergingIsIdempotent(@ForAll @Size(max = 12) List<@net.jqwik.api.From("changes") SettingChange> a) {
         same(map(a), join(map(a), map(a)));
-        List<Change> twice = new ArrayList<>(a);
+        List<SettingChange> twice = new ArrayList<>(a);
         twice.addAll(a);
         same(map(a), map(twice));
     }
 
     @Property(seed = SEED, tries = 500)
     void anyOrderLeavesTheHighestStampAndThenTheHighestOrigin(
-            @ForAll @Size(min = 1, max = 12) List<@net.jqwik.api.From("changes") Change> all, @ForAll long order) {
-        List<Change> shuffled = new ArrayList<>(all);
+            @ForAll @Size(min = 1, max = 12) List<@net.jqwik.api.From("changes") SettingChange> all, @ForAll long order) {
+        List<SettingChange> shuffled = new ArrayList<>(all);
         Collections.shuffle(shuffled, new Random(order));
         LwwMap map = map(shuffled);
         same(map(all), map);
-        for (Change c : all) {
-            Change holds = map.get(c.key());
+        for (SettingChange c : all) {
+            SettingChange holds = map.get(c.key());
             assertEquals(
                     all.stream()
                             .filter(o -> o.key().equals(c.key()))
-                            .mapToLong(Change::stamp)
+                            .mapToLong(SettingChange::stamp)
                             .max()
                             .getAsLong(),
                     holds.stamp());
             assertEquals(
                     all.stream()
                             .filter(o -> o.key().equals(c.key()) && o.stamp() == holds.stamp())
-                            .mapToInt(Change::origin)
+                            .mapToInt(SettingChange::origin)
                             .max()
                             .getAsInt(),
                     holds.origin());
@@ -111,30 +111,30 @@
 
     @Property(seed = SEED, tries = 500)
     void equalDigestsMeanThatTheSameIsHeld(
-            @ForAll @Size(max = 6) List<@net.jqwik.api.From("changes") Change> a,
-            @ForAll @Size(max = 6) List<@net.jqwik.api.From("changes") Change> b) {
+            @ForAll @Size(max = 6) List<@net.jqwik.api.From("changes") SettingChange> a,
+            @ForAll @Size(max = 6) List<@net.jqwik.api.From("changes") SettingChange> b) {
         assertEquals(held(map(a)).equals(held(map(b))), map(a).digest() == map(b).digest());
     }
 
     @Property(seed = SEED, tries = 300)
-    void whatIsWrittenIsRead(@ForAll @Size(min = 1, max = 8) List<@net.jqwik.api.From("changes") Change> all) {
+    void whatIsWrittenIsRead(@ForAll @Size(min = 1, max = 8) List<@net.jqwik.api.From("changes") SettingChange> all) {
         Frame f = Frame.of(Frame.Kind.CHANGES, 3, NOW);
-        List<Change> fitted = all.stream().filter(f::add).toList();
+        List<SettingChange> fitted = all.stream().filter(f::add).toList();
         Seal seal = new Seal(HollowFleet.SECRET);
         byte[] bytes = f.bytes(seal);
         assertEquals(f.size(), bytes.length);
         assertNull(saffronferry.MessageProbe.read(bytes), "what knows only jobs drops it");
         Frame read = Frame.read(bytes);
         assertEquals(true, read.sealed(seal));
-        List<Change> got = new ArrayList<>();
+        List<SettingChange> got = new ArrayList<>();
         while (read.has(1)) {
             got.add(read.next());
         }
         assertEquals(fitted, got);
     }
 
-    private static Change change(int i, String value, long stamp) {
-        return new Change(HollowFleet.key(i), value, stamp, 0, 0);
+    private static SettingChange change(int i, String value, long stamp) {
+        return new SettingChange(HollowFleet.key(i), value, stamp, 0, 0);
     }
 
     /** Neither too many marks nor old ones are kept, and what they removed does not come back by an old copy. */
@@ -166,7 +166,7 @@
         assertEquals(LwwMap.Merged.REFUSED, map.merge(change(1, "5", NOW + LwwMap.MOST_AHEAD + 1), NOW));
         assertEquals(
                 LwwMap.Merged.REFUSED,
-                map.merge(new Change(new SettingKey(DynamicSetting.ALLOWANCE, "a b"), "5", NOW, 0, 0), NOW));
+                map.merge(new SettingChange(new SettingKey(DynamicSetting.ALLOWANCE, "a b"), "5", NOW, 0, 0), NOW));
         assertEquals(LwwMap.Merged.TAKEN, map.merge(change(1, "5", NOW + 100_000), NOW));
         for (int i = 0; i < LwwMap.MOST_KEYS + 5; i++) {
             map.merge(change(i, "5", NOW), NOW);
