--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -498,11 +498,11 @@
         return map.changes();
     }
 
-    public Agreement agreement(long now) {
-        Agreement.State state = setup.peers() > 1 && now - lastHeard > SILENCE
-                ? Agreement.State.ALONE
-                : caughtUp ? Agreement.State.IN_TOUCH : Agreement.State.CATCHING_UP;
-        return new Agreement(
+    public GossipStatus status(long now) {
+        GossipStatus.State state = setup.peers() > 1 && now - lastHeard > SILENCE
+                ? GossipStatus.State.ISOLATED
+                : caughtUp ? GossipStatus.State.CONNECTED : GossipStatus.State.CATCHING_UP;
+        return new GossipStatus(
                 state,
                 map.size(),
                 map.marks(),
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -12,7 +12,7 @@
 import org.json.JSONObject;
 import saffronferry.Contract.Tenant;
 import saffronferry.News;
-import saffronferry.agree.Agreement;
+import saffronferry.agree.GossipStatus;
 import saffronferry.agree.SettingChange;
 import saffronferry.agree.DynamicSetting;
 import saffronferry.agree.Gossip;
@@ -39,7 +39,7 @@
     private final Set<String> known = new HashSet<>();
     private List<Tenant> tenants;
     private Wire wire;
-    private Agreement.State state;
+    private GossipStatus.State state;
 
     SettingsInForce(Config config, BoundedLog log) {
         this.log = log;
@@ -68,7 +68,7 @@
                     }
                 },
                 clock.now());
-        state = gossip.agreement(clock.now()).state();
+        state = gossip.status(clock.now()).state();
     }
 
     /** The tenants' names by index: the list grows, and an index never becomes another tenant's. */
@@ -88,15 +88,15 @@
         vertx.setTimer(Gossip.TICK / 1000, t -> tick(vertx));
         long now = clock.now();
         gossip.tick(now);
-        Agreement agreement = gossip.agreement(now);
-        if (agreement.state() != state) {
-            state = agreement.state();
+        GossipStatus status = gossip.status(now);
+        if (status.state() != state) {
+            state = status.state();
             log.line(
                     "settings",
                     switch (state) {
-                        case IN_TOUCH -> "agreed upon with another dispatcher, " + agreement.held() + " changes held";
+                        case CONNECTED -> "agreed upon with another dispatcher, " + status.heldChanges() + " changes held";
                         case CATCHING_UP -> "catching up";
-                        case ALONE -> "no other dispatcher is heard; of quotas the smaller holds where two are known";
+                        case ISOLATED -> "no other dispatcher is heard; of quotas the smaller holds where two are known";
                     });
             apply();
         }
@@ -131,7 +131,7 @@
         Map<SettingKey, String> all = new HashMap<>(inFile);
         for (SettingChange c : gossip.held()) {
             String before = all.get(c.key());
-            all.put(c.key(), state == Agreement.State.ALONE ? smaller(before, c.value()) : c.value());
+            all.put(c.key(), state == GossipStatus.State.ISOLATED ? smaller(before, c.value()) : c.value());
         }
         for (Map.Entry<SettingKey, String> e : all.entrySet()) {
             String name = e.getKey().name();
@@ -161,30 +161,30 @@
     }
 
     private List<More> figures() {
-        Agreement a = gossip.agreement(clock.now());
+        GossipStatus a = gossip.status(clock.now());
         return List.of(
                 gauge(
                         "app_settings_state",
                         "0 in touch, 1 catching up, 2 no other is heard.",
                         a.state().ordinal()),
-                gauge("app_settings_held", "Changes of settings held, marks of removals among them.", a.held()),
-                gauge("app_settings_marks", "Of these, marks of removals.", a.marks()),
+                gauge("app_settings_held", "Changes of settings held, marks of removals among them.", a.heldChanges()),
+                gauge("app_settings_marks", "Of these, marks of removals.", a.tombstones()),
                 gauge("app_settings_digest", "Equal where the same changes are held.", a.digest() >>> 32),
                 gauge(
                         "app_settings_newest_seconds",
                         "The newest stamp held, in Unix time; 0 for none.",
-                        a.newest() / 1e6),
+                        a.newestTimestampUs() / 1e6),
                 gauge(
                         "app_settings_behind_seconds",
                         "For how long another is known to hold something else.",
-                        a.behind() / 1e6),
-                counter("app_settings_said_bytes", "Bytes of datagrams said of settings.", a.bytesOut()),
-                counter("app_settings_heard_bytes", "Bytes of such datagrams heard.", a.bytesIn()),
+                        a.divergedUs() / 1e6),
+                counter("app_settings_said_bytes", "Bytes of datagrams said of settings.", a.bytesSent()),
+                counter("app_settings_heard_bytes", "Bytes of such datagrams heard.", a.bytesReceived()),
                 counter(
                         "app_settings_refused",
                         "Changes not taken: faulty, ahead of the clock, too old or too many.",
-                        a.refused()),
-                counter("app_settings_dropped", "Datagrams forged, garbled, late or of another version.", a.dropped()));
+                        a.rejectedChanges()),
+                counter("app_settings_dropped", "Datagrams forged, garbled, late or of another version.", a.droppedDatagrams()));
     }
 
     private static More gauge(String name, String help, double value) {
--- a/src/test/java/saffronferry/agree/GossipTest.java
+++ b/src/test/java/saffronferry/agree/GossipTest.java
@@ -63,7 +63,7 @@
         fleet.changeAll(0, HollowFleet.burst(1100, "5"));
         long took = fleet.runUntilAgreed(120 * SECOND);
         assertTrue(took >= 0 && fleet.mostInASecond <= CAP, took + " us, " + fleet.mostInASecond + " bytes");
-        assertEquals(1100, fleet.nodes[7].agreement(fleet.now).held());
+        assertEquals(1100, fleet.nodes[7].status(fleet.now).heldChanges());
     }
 
     @Test
@@ -122,12 +122,12 @@
             fleet.start(10 + i);
         }
         assertEquals(
-                Agreement.State.CATCHING_UP,
-                fleet.nodes[12].agreement(fleet.now).state());
+                GossipStatus.State.CATCHING_UP,
+                fleet.nodes[12].status(fleet.now).state());
         assertTrue(fleet.runUntilAgreed(120 * SECOND) >= 0);
         fleet.run(5 * SECOND);
         assertEquals(
-                Agreement.State.IN_TOUCH, fleet.nodes[12].agreement(fleet.now).state());
+                GossipStatus.State.CONNECTED, fleet.nodes[12].status(fleet.now).state());
         assertEquals(1100, fleet.inForce.get(12).size());
     }
 
@@ -172,12 +172,12 @@
         fleet.run(5 * SECOND);
         fleet.side[9] = 1;
         fleet.run(12 * SECOND);
-        assertEquals(Agreement.State.ALONE, fleet.nodes[9].agreement(fleet.now).state());
+        assertEquals(GossipStatus.State.ISOLATED, fleet.nodes[9].status(fleet.now).state());
         assertEquals("10", fleet.inForce.get(9).get(HollowFleet.key(1)));
         fleet.side[9] = 0;
         fleet.run(5 * SECOND);
         assertEquals(
-                Agreement.State.IN_TOUCH, fleet.nodes[9].agreement(fleet.now).state());
+                GossipStatus.State.CONNECTED, fleet.nodes[9].status(fleet.now).state());
     }
 
     @Test
@@ -194,9 +194,9 @@
         fleet.stream(20, SECOND);
         assertTrue(fleet.runUntilAgreed(20 * SECOND) >= 0);
         assertEquals(20, fleet.inForce.get(5).size());
-        assertTrue(fleet.nodes[5].agreement(fleet.now).dropped() > 0);
+        assertTrue(fleet.nodes[5].status(fleet.now).droppedDatagrams() > 0);
 
-        long digest = fleet.nodes[5].agreement(fleet.now).digest();
+        long digest = fleet.nodes[5].status(fleet.now).digest();
         Frame forged = Frame.of(Frame.Kind.CHANGES, 0, fleet.now);
         forged.add(new SettingChange(HollowFleet.key(1), "999", fleet.now, 0, 0));
         byte[] later = forged.bytes(new Seal(HollowFleet.SECRET));
@@ -207,7 +207,7 @@
         Frame strange = Frame.of(Frame.Kind.CHANGES, 0, fleet.now);
         strange.put(7, 5); // sealed rightly, and no form
         fleet.arrive(0, 5, strange.bytes(new Seal(HollowFleet.SECRET)));
-        assertEquals(digest, fleet.nodes[5].agreement(fleet.now).digest());
+        assertEquals(digest, fleet.nodes[5].status(fleet.now).digest());
         fleet.arrive(0, 5, forged.bytes(new Seal(HollowFleet.SECRET)));
         assertEquals("999", fleet.inForce.get(5).get(HollowFleet.key(1)), "the same with its seal is taken");
     }
@@ -226,13 +226,13 @@
         List<byte[]> replayed = List.copyOf(heard);
         for (long later : new long[] {SECOND, 60 * SECOND}) {
             fleet.run(later);
-            long digest = fleet.nodes[5].agreement(fleet.now).digest();
-            long dropped = fleet.nodes[5].agreement(fleet.now).dropped();
+            long digest = fleet.nodes[5].status(fleet.now).digest();
+            long dropped = fleet.nodes[5].status(fleet.now).droppedDatagrams();
             replayed.forEach(b -> fleet.arrive(0, 5, b));
-            assertEquals(digest, fleet.nodes[5].agreement(fleet.now).digest());
+            assertEquals(digest, fleet.nodes[5].status(fleet.now).digest());
             assertEquals(
                     later > 30 * SECOND ? replayed.size() : 0,
-                    fleet.nodes[5].agreement(fleet.now).dropped() - dropped);
+                    fleet.nodes[5].status(fleet.now).droppedDatagrams() - dropped);
         }
         assertTrue(fleet.mostInASecond <= CAP);
     }
@@ -244,6 +244,6 @@
         fleet.run(20 * SECOND);
         assertEquals(0, fleet.totalBytes());
         assertEquals(
-                Agreement.State.IN_TOUCH, fleet.nodes[0].agreement(fleet.now).state());
+                GossipStatus.State.CONNECTED, fleet.nodes[0].status(fleet.now).state());
     }
 }
--- a/src/test/java/saffronferry/agree/HollowFleet.java
+++ b/src/test/java/saffronferry/agree/HollowFleet.java
@@ -203,7 +203,7 @@
         boolean first = true;
         for (int i = 0; i < size; i++) {
             if (!dead[i]) {
-                long its = nodes[i].agreement(clock(i)).digest();
+                long its = nodes[i].status(clock(i)).digest();
                 if (!first && its != digest) {
                     return false;
                 }
--- a/src/test/java/saffronferry/agree/SpreadMain.java
+++ b/src/test/java/saffronferry/agree/SpreadMain.java
@@ -79,7 +79,7 @@
             kinds.append(' ').append(k).append(' ').append((f.byKind[k.ordinal()] - before[k.ordinal()]) / f.size);
         }
         int[] held = Arrays.stream(f.nodes)
-                .mapToInt(n -> n.agreement(f.now).held())
+                .mapToInt(n -> n.status(f.now).heldChanges())
                 .sorted()
                 .toArray();
         return String.format(
