--- a/src/main/java/saffronferry/agree/Frame.java
+++ b/src/main/java/saffronferry/agree/Frame.java
@@ -54,7 +54,7 @@
         return f;
     }
 
-    static boolean speaksOfSettings(byte[] bytes) {
+    static boolean isGossipDatagram(byte[] bytes) {
         return bytes.length > MARK_AT && bytes[MARK_AT] == MARK;
     }
 
--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -19,9 +19,9 @@
  */
 public final class Gossip {
     /** How often {@link #tick} is to be called. */
-    public static final long TICK = 100_000;
+    public static final long TICK_INTERVAL_US = 100_000;
     /** Least cap: below, no whole datagram would fit into what may be said at once. */
-    public static final int LEAST_BYTES_PER_S = 1024;
+    public static final int MIN_BYTES_PER_SECOND = 1024;
     /** A dispatcher that has heard nobody for so long says so. */
     static final long SILENCE = 10_000_000;
     /** A new change is pushed to so many at once, and to one with each tick from then on. */
@@ -38,7 +38,7 @@
     /** More than so many lately learned are a burst: no datagram holds what is recent. */
     private static final int MANY = 32;
     /** Where much is to be had from others: after a start, and while a datagram brings several changes. */
-    private static final long BULK_PERIOD = TICK;
+    private static final long BULK_PERIOD = TICK_INTERVAL_US;
 
     private static final long BULK = 2_000_000;
     private static final int SEVERAL = 2;
@@ -57,19 +57,19 @@
     private static final long LATEST = 30_000_000;
 
     /** What is to be done. */
-    public interface Out {
-        void tell(int peer, byte[] bytes);
+    public interface Callbacks {
+        void send(int peer, byte[] bytes);
 
         /** These hold from now on; none of them is the own dispatcher's. */
-        void taken(List<SettingChange> changes);
+        void changesApplied(List<SettingChange> changes);
     }
 
     /**
      * @param self our number among the peers
-     * @param peers of the fleet, itself included
-     * @param bytesPerS what it may say of settings in any second
+     * @param peerCount of the fleet, itself included
+     * @param maxBytesPerSecond what it may say of settings in any second
      */
-    public record Setup(int self, int peers, int bytesPerS, byte[] secret, long seed) {}
+    public record Options(int self, int peerCount, int maxBytesPerSecond, byte[] secret, long seed) {}
 
     private record Recent(SettingKey key, long at) {}
 
@@ -88,8 +88,8 @@
         }
     }
 
-    private final Setup setup;
-    private final Out out;
+    private final Options options;
+    private final Callbacks callbacks;
     private final Seal seal;
     private final SplittableRandom random;
     private final int incarnation;
@@ -114,25 +114,25 @@
     private int turn;
 
     /** {@code now}: of the one clock, which must never run backwards. */
-    public Gossip(Setup setup, Out out, long now) {
-        this.setup = setup;
-        this.out = out;
-        seal = new Seal(setup.secret());
-        random = new SplittableRandom(setup.seed());
+    public Gossip(Options options, Callbacks callbacks, long now) {
+        this.options = options;
+        this.callbacks = callbacks;
+        seal = new Seal(options.secret());
+        random = new SplittableRandom(options.seed());
         incarnation = (int) (now / 1_000_000);
-        depth = setup.bytesPerS() / 4.0;
+        depth = options.maxBytesPerSecond() / 4.0;
         tokens = depth;
         filledAt = now;
         lastHeard = now;
         hotUntil = now + HOT;
         nextDigest = now;
-        caughtUp = setup.peers() < 2;
+        caughtUp = options.peerCount() < 2;
     }
 
     // ---- what the own dispatcher says ----
 
     /** Takes the own dispatcher's changes in, null for a removal; returns what is refused, with why. */
-    public List<String> change(long now, Map<SettingKey, String> changes) {
+    public List<String> applyLocalChanges(long now, Map<SettingKey, String> changes) {
         List<String> faults = new ArrayList<>();
         long stamp = now;
         for (SettingKey key : changes.keySet()) {
@@ -141,7 +141,7 @@
             stamp = Math.max(stamp, held == null ? 0 : held.stamp() + 1);
         }
         for (Map.Entry<SettingKey, String> e : changes.entrySet()) {
-            SettingChange c = new SettingChange(e.getKey(), e.getValue(), stamp, setup.self(), incarnation);
+            SettingChange c = new SettingChange(e.getKey(), e.getValue(), stamp, options.self(), incarnation);
             String fault = DynamicSetting.validationError(c.key().name(), c.value());
             if (fault == null && map.merge(c, now) == LwwMap.Merged.TAKEN) {
                 spread(c, now);
@@ -153,7 +153,7 @@
         return faults;
     }
 
-    /** To be called each {@link #TICK}. */
+    /** To be called each {@link #TICK_INTERVAL_US}. */
     public void tick(long now) {
         fill(now);
         map.expire(now);
@@ -176,17 +176,17 @@
 
     // ---- what others say ----
 
-    /** Whether a datagram is one of settings, which are for {@link #hear} alone. */
-    public static boolean speaksOfSettings(byte[] bytes) {
-        return Frame.speaksOfSettings(bytes);
+    /** Whether a datagram is one of settings, which are for {@link #receive} alone. */
+    public static boolean isGossipDatagram(byte[] bytes) {
+        return Frame.isGossipDatagram(bytes);
     }
 
     /** Takes a peer's datagram in. */
-    public void hear(long now, int peer, byte[] bytes) {
+    public void receive(long now, int peer, byte[] bytes) {
         bytesIn += bytes.length;
         Frame f = Frame.read(bytes);
-        if (peer == setup.self()
-                || !Frame.speaksOfSettings(bytes)
+        if (peer == options.self()
+                || !Frame.isGossipDatagram(bytes)
                 || f.isLater()
                 || !f.sealed(seal)
                 || Math.abs(f.age(now)) > LATEST
@@ -227,7 +227,7 @@
         }
         bulkUntil = taken.size() >= SEVERAL ? now + BULK : bulkUntil;
         if (!taken.isEmpty()) {
-            out.taken(taken);
+            callbacks.changesApplied(taken);
             push(now, AT_ONCE);
         }
     }
@@ -346,7 +346,7 @@
     }
 
     private void spread(SettingChange c, long now) {
-        if (setup.peers() < 2) {
+        if (options.peerCount() < 2) {
             return; // guards memory: nobody would ever take it off our hands
         }
         Rumour r = new Rumour(c);
@@ -365,7 +365,7 @@
     /** How often each change is pushed: in a burst less, since to repair costs less than to push in vain. */
     private int pushes() {
         int many = Math.max(1, Math.max(recent.size(), rumours.size()));
-        double room = setup.bytesPerS() * PUSHED_SECONDS / TYPICAL_CHANGE / many;
+        double room = options.maxBytesPerSecond() * PUSHED_SECONDS / TYPICAL_CHANGE / many;
         return (int) Math.max(1, Math.min(MOST_PUSHES, room));
     }
 
@@ -465,15 +465,15 @@
     }
 
     private int anyPeer() {
-        if (setup.peers() < 2) {
-            return setup.self();
+        if (options.peerCount() < 2) {
+            return options.self();
         }
-        int peer = random.nextInt(setup.peers() - 1);
-        return peer >= setup.self() ? peer + 1 : peer;
+        int peer = random.nextInt(options.peerCount() - 1);
+        return peer >= options.self() ? peer + 1 : peer;
     }
 
     private void fill(long now) {
-        tokens = Math.min(depth, tokens + (now - filledAt) / 1e6 * (setup.bytesPerS() - depth));
+        tokens = Math.min(depth, tokens + (now - filledAt) / 1e6 * (options.maxBytesPerSecond() - depth));
         filledAt = now;
     }
 
@@ -482,24 +482,24 @@
         fill(now);
         // guards changes that wait against digests, which are smaller and would always find room first
         boolean yields = f.kind() != Frame.Kind.CHANGES && !(rumours.isEmpty() && owed.isEmpty());
-        if (peer == setup.self() || tokens < Math.max(f.size(), yields ? YIELDS * depth : 0)) {
+        if (peer == options.self() || tokens < Math.max(f.size(), yields ? YIELDS * depth : 0)) {
             return false;
         }
         tokens -= f.size();
         bytesOut += f.size();
-        out.tell(peer, f.bytes(seal));
+        callbacks.send(peer, f.bytes(seal));
         return true;
     }
 
     // ---- for operators ----
 
     /** All changes held, marks of removals among them. */
-    public Iterable<SettingChange> held() {
+    public Iterable<SettingChange> heldChanges() {
         return map.changes();
     }
 
     public GossipStatus status(long now) {
-        GossipStatus.State state = setup.peers() > 1 && now - lastHeard > SILENCE
+        GossipStatus.State state = options.peerCount() > 1 && now - lastHeard > SILENCE
                 ? GossipStatus.State.ISOLATED
                 : caughtUp ? GossipStatus.State.CONNECTED : GossipStatus.State.CATCHING_UP;
         return new GossipStatus(
--- a/src/main/java/saffronferry/lifecycle/AgreeOptions.java
+++ b/src/main/java/saffronferry/lifecycle/AgreeOptions.java
@@ -25,9 +25,9 @@
             throw new IllegalArgumentException("secret must have " + LEAST_SECRET + " bytes at least");
         }
         int bytesPerS = json.isNull("bytes_per_s") ? BYTES_PER_S : json.getInt("bytes_per_s");
-        if (bytesPerS < Gossip.LEAST_BYTES_PER_S) {
+        if (bytesPerS < Gossip.MIN_BYTES_PER_SECOND) {
             throw new IllegalArgumentException(
-                    "bytes_per_s must be " + Gossip.LEAST_BYTES_PER_S + " at least: " + bytesPerS);
+                    "bytes_per_s must be " + Gossip.MIN_BYTES_PER_SECOND + " at least: " + bytesPerS);
         }
         return new AgreeOptions(secret, bytesPerS);
     }
--- a/src/main/java/saffronferry/lifecycle/SettingsInForce.java
+++ b/src/main/java/saffronferry/lifecycle/SettingsInForce.java
@@ -49,20 +49,20 @@
         known.addAll(names);
         tenants = config.settings.settings.tenants();
         gossip = new Gossip(
-                new Gossip.Setup(
+                new Gossip.Options(
                         config.settings.settings.self(),
                         config.peers.size(),
                         config.agree.bytesPerS(),
                         config.agree.secret(),
                         config.settings.settings.seed()),
-                new Gossip.Out() {
+                new Gossip.Callbacks() {
                     @Override
-                    public void tell(int peer, byte[] bytes) {
+                    public void send(int peer, byte[] bytes) {
                         wire.tell(peer, bytes);
                     }
 
                     @Override
-                    public void taken(List<SettingChange> changes) {
+                    public void changesApplied(List<SettingChange> changes) {
                         said("setting in force", changes);
                         apply();
                     }
@@ -79,13 +79,13 @@
     void start(Vertx vertx, Wire wire, Figures figures) {
         this.wire = wire;
         figures.also(this::figures);
-        wire.onSettings((peer, bytes) -> gossip.hear(clock.now(), peer, bytes));
+        wire.onSettings((peer, bytes) -> gossip.receive(clock.now(), peer, bytes));
         tick(vertx);
     }
 
     /** A timer each: after a stop of half a minute a periodic one would make up for all it has missed. */
     private void tick(Vertx vertx) {
-        vertx.setTimer(Gossip.TICK / 1000, t -> tick(vertx));
+        vertx.setTimer(Gossip.TICK_INTERVAL_US / 1000, t -> tick(vertx));
         long now = clock.now();
         gossip.tick(now);
         GossipStatus status = gossip.status(now);
@@ -110,7 +110,7 @@
         ConfigDiff diff = ConfigDiff.between(file, next.json);
         diff.refused().forEach(key -> log.line("read at a start only", "configuration key " + key));
         if (!diff.changes().isEmpty()) {
-            gossip.change(clock.now(), diff.changes()).forEach(fault -> log.line("not changed", fault));
+            gossip.applyLocalChanges(clock.now(), diff.changes()).forEach(fault -> log.line("not changed", fault));
             log.line("settings changed", diff.changes().size() + " by the new file");
         }
         file = next.json;
@@ -129,7 +129,7 @@
 
     private void apply() {
         Map<SettingKey, String> all = new HashMap<>(inFile);
-        for (SettingChange c : gossip.held()) {
+        for (SettingChange c : gossip.heldChanges()) {
             String before = all.get(c.key());
             all.put(c.key(), state == GossipStatus.State.ISOLATED ? smaller(before, c.value()) : c.value());
         }
--- a/src/main/java/saffronferry/wire/Wire.java
+++ b/src/main/java/saffronferry/wire/Wire.java
@@ -155,7 +155,7 @@
     }
 
     private void heard(int peer, byte[] bytes) {
-        if (settings != null && Gossip.speaksOfSettings(bytes)) {
+        if (settings != null && Gossip.isGossipDatagram(bytes)) {
             settings.accept(peer, bytes);
         } else {
             ledger.report(new News.PeerSaid(peer, bytes));
--- a/src/test/java/saffronferry/agree/GossipTest.java
+++ b/src/test/java/saffronferry/agree/GossipTest.java
@@ -95,19 +95,19 @@
         List<byte[]> said = new ArrayList<>();
         HollowFleet fleet = fleet(20, 0);
         Gossip origin = new Gossip(
-                new Gossip.Setup(0, 20, CAP, HollowFleet.SECRET, 5),
-                new Gossip.Out() {
+                new Gossip.Options(0, 20, CAP, HollowFleet.SECRET, 5),
+                new Gossip.Callbacks() {
                     @Override
-                    public void tell(int peer, byte[] bytes) {
+                    public void send(int peer, byte[] bytes) {
                         said.add(bytes);
                     }
 
                     @Override
-                    public void taken(List<SettingChange> changes) {}
+                    public void changesApplied(List<SettingChange> changes) {}
                 },
                 fleet.now);
         fleet.dead[0] = true;
-        origin.change(fleet.now, Map.of(HollowFleet.key(1), "7"));
+        origin.applyLocalChanges(fleet.now, Map.of(HollowFleet.key(1), "7"));
         fleet.arrive(0, 5, said.get(0));
         assertTrue(fleet.runUntilAgreed(6 * SECOND) >= 0);
         assertEquals("7", fleet.inForce.get(19).get(HollowFleet.key(1)));
--- a/src/test/java/saffronferry/agree/HollowFleet.java
+++ b/src/test/java/saffronferry/agree/HollowFleet.java
@@ -96,20 +96,20 @@
         inLastSecond[node] = 0;
         int life = ++lives[node];
         nodes[node] = new Gossip(
-                new Gossip.Setup(node, size, cap, SECRET, random.nextLong()),
-                new Gossip.Out() {
+                new Gossip.Options(node, size, cap, SECRET, random.nextLong()),
+                new Gossip.Callbacks() {
                     @Override
-                    public void tell(int peer, byte[] said) {
-                        send(node, peer, said);
+                    public void send(int peer, byte[] said) {
+                        transmit(node, peer, said);
                     }
 
                     @Override
-                    public void taken(List<SettingChange> changes) {
+                    public void changesApplied(List<SettingChange> changes) {
                         changes.forEach(c -> took(node, c));
                     }
                 },
                 clock(node));
-        at(now + random.nextLong(Gossip.TICK), () -> tick(node, life));
+        at(now + random.nextLong(Gossip.TICK_INTERVAL_US), () -> tick(node, life));
     }
 
     private void took(int node, SettingChange c) {
@@ -129,7 +129,7 @@
             if (!stopped[node]) {
                 nodes[node].tick(clock(node));
             }
-            at(now + Gossip.TICK, () -> tick(node, life));
+            at(now + Gossip.TICK_INTERVAL_US, () -> tick(node, life));
         }
     }
 
@@ -137,7 +137,7 @@
         events.add(new Event(when, number++, what));
     }
 
-    private void send(int from, int to, byte[] said) {
+    private void transmit(int from, int to, byte[] said) {
         bytes[from] += said.length;
         datagrams[from]++;
         byKind[said[1]] += said.length;
@@ -166,7 +166,7 @@
         if (stopped[to]) {
             queued.get(to).add(() -> arrive(from, to, said));
         } else {
-            nodes[to].hear(clock(to), from, said);
+            nodes[to].receive(clock(to), from, said);
         }
     }
 
@@ -228,7 +228,7 @@
 
     void changeAll(int node, Map<SettingKey, String> changes) {
         changes.forEach((k, v) -> inForce.get(node).put(k, v));
-        List<String> faults = nodes[node].change(clock(node), changes);
+        List<String> faults = nodes[node].applyLocalChanges(clock(node), changes);
         if (!faults.isEmpty()) {
             throw new IllegalStateException(faults.toString());
         }
