--- a/src/main/java/saffronferry/agree/DynamicSetting.java
+++ b/src/main/java/saffronferry/agree/DynamicSetting.java
@@ -2,18 +2,22 @@
 
 import java.util.regex.Pattern;
 
-/** The table of what may change while dispatchers run; any other key is read at a start only. */
+/**
+ * The settings that may change while dispatchers run; every other key is read at startup only. The ordinal plus one is
+ * the number of a setting in datagrams.
+ */
 public enum DynamicSetting {
-    /** A tenant's requests a second over all dispatchers, within its share; 0 = no limit known. */
+    /** Requests per second of a tenant over all dispatchers, within its share; 0 means that no limit is known. */
     ALLOWANCE("settings.realms", "allowancePerS");
 
     private static final Pattern NAME = Pattern.compile("[!-~]{1,64}");
     private static final Pattern NUMBER = Pattern.compile("[0-9][0-9.E-]{0,23}");
-    private static final DynamicSetting[] TABLE = values();
+    private static final DynamicSetting[] VALUES = values();
 
-    /** Where the table of names is in a configuration, and what of an entry may change. */
+    /** Configuration path of the table of named entries. */
     public final String path;
 
+    /** The field of an entry that may change. */
     public final String field;
 
     DynamicSetting(String path, String field) {
@@ -21,21 +25,26 @@
         this.field = field;
     }
 
-    /** The key as operators know it. */
+    /** The full configuration key of this setting for the entry with the given name. */
     String keyPath(String name) {
         return path + "." + name + "." + field;
     }
 
-    /** The row with this number in a datagram, or null. */
+    /** Returns the setting with this number in a datagram, or null if this version does not know it. */
     static DynamicSetting fromNumber(int number) {
-        return number >= 1 && number <= TABLE.length ? TABLE[number - 1] : null;
+        return number >= 1 && number <= VALUES.length ? VALUES[number - 1] : null;
     }
 
     int number() {
         return ordinal() + 1;
     }
 
-    /** What is wrong with a name and its value, null for a removal; null where nothing is. */
+    /**
+     * Checks a name and its value.
+     *
+     * @param value the value, or null for a removal
+     * @return what is wrong, or null if both are valid
+     */
     public static String validationError(String name, String value) {
         if (!NAME.matcher(name).matches()) {
             return "the name must be at most 64 printable ASCII characters without blanks";
@@ -44,15 +53,15 @@
             return null;
         }
         try {
-            // guards the limits against what a datagram says: NaN, a sign, or infinity by its exponent
-            boolean good = NUMBER.matcher(value).matches() && Double.isFinite(Double.parseDouble(value));
-            return good ? null : "must be a number of 0 at least";
+            // A datagram could carry NaN, a negative number, or an exponent that overflows to infinity.
+            boolean valid = NUMBER.matcher(value).matches() && Double.isFinite(Double.parseDouble(value));
+            return valid ? null : "must be a number of 0 at least";
         } catch (NumberFormatException e) {
             return "must be a number of 0 at least";
         }
     }
 
-    /** A number in the one form in which it is agreed upon. */
+    /** Formats a number in its canonical form, so that equal values have equal texts on all dispatchers. */
     public static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -13,458 +13,513 @@
 import java.util.function.IntPredicate;
 
 /**
- * Spreads changes of settings: new ones are pushed at once to a few others, which pass them on (rumour
- * mongering); what that misses is repaired by digests (anti-entropy). Whatever there is to say, a cap of
- * bytes a second holds. Times in microseconds. For one thread.
+ * Replicates setting changes between dispatchers. A new change is pushed at once to a few random peers, which push it
+ * on (rumor mongering); what the pushes miss is repaired by comparing digests (anti-entropy). A token bucket bounds the
+ * bytes sent in any second. Times are in microseconds. Not thread-safe.
  */
 public final class Gossip {
-    /** How often {@link #tick} is to be called. */
+    /** Interval at which {@link #tick} has to be called. */
     public static final long TICK_INTERVAL_US = 100_000;
-    /** Least cap: below, no whole datagram would fit into what may be said at once. */
+
+    /** Smallest valid rate limit: with less, the token bucket could not hold a datagram of the maximum size. */
     public static final int MIN_BYTES_PER_SECOND = 1024;
-    /** A dispatcher that has heard nobody for so long says so. */
-    static final long SILENCE = 10_000_000;
-    /** A new change is pushed to so many at once, and to one with each tick from then on. */
-    private static final int AT_ONCE = 3;
-
-    private static final int MOST_PUSHES = 10;
-    /** So much of the cap goes into pushing what has come within {@link #HOT}; the rest is repair's. */
-    private static final double PUSHED_SECONDS = 1.5;
-    /** Where changes wait, digests leave the bucket filled to this part. */
-    private static final double YIELDS = 0.75;
-
-    private static final int TYPICAL_CHANGE = 22; // bytes, where many share a stamp
-    private static final int PER_TICK = 6;
-    /** More than so many lately learned are a burst: no datagram holds what is recent. */
-    private static final int MANY = 32;
-    /** Where much is to be had from others: after a start, and while a datagram brings several changes. */
-    private static final long BULK_PERIOD = TICK_INTERVAL_US;
-
-    private static final long BULK = 2_000_000;
-    private static final int SEVERAL = 2;
-    /** While something has changed lately, and else. */
-    private static final long HOT_PERIOD = 500_000;
-
-    private static final long QUIET_PERIOD = 2_000_000;
-    /** For so long after a difference digests are sent at the shorter period. */
-    private static final long HOT = 10_000_000;
-
-    private static final int MOST_RECENT = 1024;
-    private static final int RANGES_TOLD = 13;
-    private static final int MOST_OWED = 16;
-    private static final long STILL_OWED = 3_000_000;
-    /** Later than so a datagram is a replay, or was kept for a process that was stopped. */
-    private static final long LATEST = 30_000_000;
-
-    /** What is to be done. */
+
+    /** After this time without a datagram from a peer the dispatcher reports itself as isolated. */
+    static final long ISOLATION_TIMEOUT_US = 10_000_000;
+
+    /** Peers that a new change is pushed to at once; from then on it is pushed to one more peer per tick. */
+    private static final int INITIAL_FANOUT = 3;
+
+    private static final int MAX_PUSHES_PER_CHANGE = 10;
+
+    /**
+     * The pushes of the changes of the last {@link #ACTIVE_DURATION_US} may use what the rate limit allows in this time;
+     * the rest is left to anti-entropy.
+     */
+    private static final double PUSH_BUDGET_SECONDS = 1.5;
+
+    /** While changes wait to be sent, digests leave the token bucket filled to at least this fraction. */
+    private static final double DIGEST_MIN_BUCKET_FILL = 0.75;
+
+    /** Encoded size of a change where many share a group header. */
+    private static final int TYPICAL_CHANGE_BYTES = 22;
+
+    private static final int SENDS_PER_TICK = 6;
+
+    /** With more recent changes than this there is a burst, and a datagram cannot hold the recent changes. */
+    private static final int BURST_THRESHOLD_CHANGES = 32;
+
+    /** Digest interval after a start, and while datagrams bring several new changes each. */
+    private static final long CATCH_UP_DIGEST_INTERVAL_US = TICK_INTERVAL_US;
+
+    private static final long CATCH_UP_DURATION_US = 2_000_000;
+    private static final int CATCH_UP_MIN_CHANGES = 2;
+
+    /** Digest interval after a recent change or difference. */
+    private static final long ACTIVE_DIGEST_INTERVAL_US = 500_000;
+
+    private static final long IDLE_DIGEST_INTERVAL_US = 2_000_000;
+
+    /** How long digests are sent at the active interval after a change or a difference. */
+    private static final long ACTIVE_DURATION_US = 10_000_000;
+
+    private static final int MAX_RECENT_CHANGES = 1024;
+    private static final int MAX_RANGES_PER_DATAGRAM = 13;
+    private static final int MAX_PENDING_REPLIES = 16;
+    private static final long PENDING_REPLY_TTL_US = 3_000_000;
+
+    /** An older datagram is a replay, or was queued for a process that was stopped. */
+    private static final long MAX_DATAGRAM_AGE_US = 30_000_000;
+
+    /** Receives what the protocol wants done. */
     public interface Callbacks {
+        /** Sends a datagram to a peer. */
         void send(int peer, byte[] bytes);
 
-        /** These hold from now on; none of them is the own dispatcher's. */
+        /** Called with changes from other dispatchers that are in force from now on. */
         void changesApplied(List<SettingChange> changes);
     }
 
     /**
-     * @param self our number among the peers
-     * @param peerCount of the fleet, itself included
-     * @param maxBytesPerSecond what it may say of settings in any second
+     * Configuration of one dispatcher's gossip.
+     *
+     * @param self index of this dispatcher among the peers
+     * @param peerCount number of dispatchers in the fleet, this one included
+     * @param maxBytesPerSecond limit of the bytes sent in any second
+     * @param secret secret of the fleet, with which datagrams are authenticated
+     * @param seed seed of the random draws
      */
     public record Options(int self, int peerCount, int maxBytesPerSecond, byte[] secret, long seed) {}
 
-    private record Recent(SettingKey key, long at) {}
+    private record RecentChange(SettingKey key, long learnedAt) {}
 
-    /** What a peer is to be told: it asked, and lacks these. */
-    private record Owed(int peer, long until, ArrayDeque<SettingKey> keys) {}
+    /** Changes to send to a peer that has shown that it lacks them. */
+    private record PendingReply(int peer, long expiresAt, ArrayDeque<SettingKey> keys) {}
 
-    /** A change that is being passed on. */
-    private static final class Rumour {
+    /** A change that is being pushed to peers (a rumor). */
+    private static final class Rumor {
         final SettingChange change;
-        int pushed;
-        boolean replaced;
-        long lastPush;
+        int pushes;
+        boolean superseded;
+        long lastPushedAt;
 
-        Rumour(SettingChange change) {
+        Rumor(SettingChange change) {
             this.change = change;
         }
     }
 
     private final Options options;
     private final Callbacks callbacks;
-    private final Seal seal;
+    private final DatagramAuthenticator authenticator;
     private final SplittableRandom random;
     private final int incarnation;
-    private final double depth;
+    private final double bucketCapacityBytes;
     private final LwwMap map = new LwwMap();
-    private final ArrayDeque<Rumour> rumours = new ArrayDeque<>();
-    private final Map<SettingKey, Rumour> rumourOf = new HashMap<>();
-    private final ArrayDeque<Recent> recent = new ArrayDeque<>();
-    private final ArrayDeque<Owed> owed = new ArrayDeque<>();
-    private double tokens;
-    private long filledAt;
-    private long nextDigest;
-    private long hotUntil;
-    private long bulkUntil;
-    private long lastHeard;
-    private long differsSince;
+
+    /** Rumors in the order of their next push, new ones first. */
+    private final ArrayDeque<Rumor> rumors = new ArrayDeque<>();
+
+    private final Map<SettingKey, Rumor> rumorByKey = new HashMap<>();
+
+    /** Changes learned within the last {@link #ACTIVE_DURATION_US}, oldest first. */
+    private final ArrayDeque<RecentChange> recentChanges = new ArrayDeque<>();
+
+    private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
+    private double tokensBytes;
+    private long tokensRefilledAt;
+    private long nextDigestAt;
+    private long activeUntil;
+    private long catchUpUntil;
+    private long lastReceivedAt;
+    private long divergedSince;
     private boolean caughtUp;
-    private long bytesOut;
-    private long bytesIn;
-    private long refused;
-    private long dropped;
-    private int turn;
+    private long bytesSent;
+    private long bytesReceived;
+    private long rejectedChanges;
+    private long droppedDatagrams;
+    private int sendTurn;
 
-    /** {@code now}: of the one clock, which must never run backwards. */
+    /**
+     * Creates an instance that holds no changes.
+     *
+     * @param now the current time, like every {@code now} of the shared clock, which must never run backwards
+     */
     public Gossip(Options options, Callbacks callbacks, long now) {
         this.options = options;
         this.callbacks = callbacks;
-        seal = new Seal(options.secret());
+        authenticator = new DatagramAuthenticator(options.secret());
         random = new SplittableRandom(options.seed());
         incarnation = (int) (now / 1_000_000);
-        depth = options.maxBytesPerSecond() / 4.0;
-        tokens = depth;
-        filledAt = now;
-        lastHeard = now;
-        hotUntil = now + HOT;
-        nextDigest = now;
+        bucketCapacityBytes = options.maxBytesPerSecond() / 4.0;
+        tokensBytes = bucketCapacityBytes;
+        tokensRefilledAt = now;
+        lastReceivedAt = now;
+        activeUntil = now + ACTIVE_DURATION_US;
+        nextDigestAt = now;
         caughtUp = options.peerCount() < 2;
     }
 
-    // ---- what the own dispatcher says ----
+    // ---- local changes ----
 
-    /** Takes the own dispatcher's changes in, null for a removal; returns what is refused, with why. */
+    /**
+     * Applies changes made at this dispatcher, and pushes them to peers.
+     *
+     * @param changes the new values; null removes a key
+     * @return a message for each change that was rejected
+     */
     public List<String> applyLocalChanges(long now, Map<SettingKey, String> changes) {
-        List<String> faults = new ArrayList<>();
-        long stamp = now;
+        List<String> errors = new ArrayList<>();
+        long timestampUs = now;
         for (SettingKey key : changes.keySet()) {
             SettingChange held = map.get(key);
-            // guards against a change that loses to the one it replaces, made by a clock ahead of ours
-            stamp = Math.max(stamp, held == null ? 0 : held.stamp() + 1);
-        }
-        for (Map.Entry<SettingKey, String> e : changes.entrySet()) {
-            SettingChange c = new SettingChange(e.getKey(), e.getValue(), stamp, options.self(), incarnation);
-            String fault = DynamicSetting.validationError(c.key().name(), c.value());
-            if (fault == null && map.merge(c, now) == LwwMap.Merged.TAKEN) {
-                spread(c, now);
+            // If another clock is ahead, the new change must still win over the one that it replaces.
+            timestampUs = Math.max(timestampUs, held == null ? 0 : held.timestampUs() + 1);
+        }
+        for (Map.Entry<SettingKey, String> entry : changes.entrySet()) {
+            SettingChange change =
+                    new SettingChange(entry.getKey(), entry.getValue(), timestampUs, options.self(), incarnation);
+            String error = DynamicSetting.validationError(change.key().name(), change.value());
+            if (error == null && map.merge(change, now) == LwwMap.MergeResult.APPLIED) {
+                addRumor(change, now);
             } else {
-                faults.add(c.key() + ": " + (fault == null ? "too many keys are held" : fault));
+                errors.add(change.key() + ": " + (error == null ? "too many keys are held" : error));
             }
         }
-        push(now, AT_ONCE);
-        return faults;
+        pushRumors(now, INITIAL_FANOUT);
+        return errors;
     }
 
-    /** To be called each {@link #TICK_INTERVAL_US}. */
+    /** Sends digests, pushes and replies that are due. To be called every {@link #TICK_INTERVAL_US}. */
     public void tick(long now) {
-        fill(now);
-        map.expire(now);
-        while (!recent.isEmpty() && recent.peekFirst().at() < now - HOT) {
-            recent.pollFirst();
-        }
-        if (now >= nextDigest && (now >= bulkUntil || tokens > depth / 2)) {
-            tell(anyPeer(), ranges(now), now);
-            long period = !caughtUp || now < bulkUntil ? BULK_PERIOD : now < hotUntil ? HOT_PERIOD : QUIET_PERIOD;
-            nextDigest = now + period - random.nextLong(period / 4);
-        }
-        for (int i = 0; i < PER_TICK; i++) {
-            if ((turn++ & 1) == 0) {
-                push(now, 1);
+        refillTokens(now);
+        map.expireTombstones(now);
+        while (!recentChanges.isEmpty() && recentChanges.peekFirst().learnedAt() < now - ACTIVE_DURATION_US) {
+            recentChanges.pollFirst();
+        }
+        if (now >= nextDigestAt && (now >= catchUpUntil || tokensBytes > bucketCapacityBytes / 2)) {
+            send(randomPeer(), rangeDigests(now), now);
+            long interval = !caughtUp || now < catchUpUntil
+                    ? CATCH_UP_DIGEST_INTERVAL_US
+                    : now < activeUntil ? ACTIVE_DIGEST_INTERVAL_US : IDLE_DIGEST_INTERVAL_US;
+            nextDigestAt = now + interval - random.nextLong(interval / 4);
+        }
+        for (int i = 0; i < SENDS_PER_TICK; i++) {
+            if ((sendTurn++ & 1) == 0) {
+                pushRumors(now, 1);
             } else {
-                answer(now);
+                sendPendingReply(now);
             }
         }
     }
 
-    // ---- what others say ----
+    // ---- received datagrams ----
 
-    /** Whether a datagram is one of settings, which are for {@link #receive} alone. */
+    /** Whether a peer datagram is a gossip datagram, which only {@link #receive} understands. */
     public static boolean isGossipDatagram(byte[] bytes) {
-        return Frame.isGossipDatagram(bytes);
+        return GossipDatagram.isGossipDatagram(bytes);
     }
 
-    /** Takes a peer's datagram in. */
+    /** Processes a datagram from a peer. */
     public void receive(long now, int peer, byte[] bytes) {
-        bytesIn += bytes.length;
-        Frame f = Frame.read(bytes);
+        bytesReceived += bytes.length;
+        GossipDatagram datagram = GossipDatagram.read(bytes);
         if (peer == options.self()
-                || !Frame.isGossipDatagram(bytes)
-                || f.isLater()
-                || !f.sealed(seal)
-                || Math.abs(f.age(now)) > LATEST
-                || f.kind() == null) {
-            dropped++;
+                || !GossipDatagram.isGossipDatagram(bytes)
+                || datagram.hasNewerVersion()
+                || !datagram.isAuthentic(authenticator)
+                || Math.abs(datagram.ageUs(now)) > MAX_DATAGRAM_AGE_US
+                || datagram.kind() == null) {
+            droppedDatagrams++;
             return;
         }
-        lastHeard = now;
+        lastReceivedAt = now;
         try {
-            switch (f.kind()) {
-                case CHANGES -> changes(now, f);
-                case RANGES -> compareRanges(now, peer, f);
-                case LEAVES -> compareLeaves(now, peer, f);
-                case HELD -> compareHeld(now, peer, f, true);
-                default -> compareHeld(now, peer, f, false);
+            switch (datagram.kind()) {
+                case CHANGES -> mergeChanges(now, datagram);
+                case RANGES -> compareRanges(now, peer, datagram);
+                case LEAVES -> compareLeaves(now, peer, datagram);
+                case HELD -> compareHashes(now, peer, datagram, true);
+                default -> compareHashes(now, peer, datagram, false);
             }
         } catch (IllegalArgumentException e) {
-            dropped++; // guards against a fault in another's program: the seal is right and the form is not
+            // Authentic but malformed: a peer with a faulty program must not stop this one.
+            droppedDatagrams++;
         }
     }
 
-    private void changes(long now, Frame f) {
-        List<SettingChange> all = new ArrayList<>();
-        while (f.has(1)) {
-            all.add(f.next());
-        }
-        List<SettingChange> taken = new ArrayList<>();
-        for (SettingChange c : all) {
-            LwwMap.Merged merged = c == null ? LwwMap.Merged.REFUSED : map.merge(c, now);
-            if (merged == LwwMap.Merged.TAKEN) {
-                taken.add(c);
-                if (c.stamp() > now - HOT) {
-                    spread(c, now);
+    private void mergeChanges(long now, GossipDatagram datagram) {
+        List<SettingChange> received = new ArrayList<>();
+        while (datagram.hasRemaining(1)) {
+            received.add(datagram.takeChange());
+        }
+        List<SettingChange> applied = new ArrayList<>();
+        for (SettingChange change : received) {
+            LwwMap.MergeResult result = change == null ? LwwMap.MergeResult.REJECTED : map.merge(change, now);
+            if (result == LwwMap.MergeResult.APPLIED) {
+                applied.add(change);
+                if (change.timestampUs() > now - ACTIVE_DURATION_US) {
+                    addRumor(change, now);
                 }
-            } else if (merged == LwwMap.Merged.REFUSED) {
-                refused++;
+            } else if (result == LwwMap.MergeResult.REJECTED) {
+                rejectedChanges++;
             }
         }
-        bulkUntil = taken.size() >= SEVERAL ? now + BULK : bulkUntil;
-        if (!taken.isEmpty()) {
-            callbacks.changesApplied(taken);
-            push(now, AT_ONCE);
+        catchUpUntil = applied.size() >= CATCH_UP_MIN_CHANGES ? now + CATCH_UP_DURATION_US : catchUpUntil;
+        if (!applied.isEmpty()) {
+            callbacks.changesApplied(applied);
+            pushRumors(now, INITIAL_FANOUT);
         }
     }
 
-    private void compareRanges(long now, int peer, Frame f) {
-        f.take(2);
-        f.take(7);
-        BitSet differ = new BitSet();
+    private void compareRanges(long now, int peer, GossipDatagram datagram) {
+        datagram.takeInteger(2); // number of changes
+        datagram.takeInteger(7); // newest timestamp
+        BitSet differing = new BitSet();
         for (int i = 0; i < LwwMap.RANGES; i++) {
-            differ.set(i, f.take(2) != map.rangeDigest(i, f.salt()));
+            differing.set(i, datagram.takeInteger(2) != map.rangeDigest(i, datagram.salt()));
         }
-        if (differ.isEmpty()) {
-            differsSince = 0;
+        if (differing.isEmpty()) {
+            divergedSince = 0;
             caughtUp = true;
             return;
         }
-        differsSince = differsSince == 0 ? now : differsSince;
-        heat(now);
-        tellRecent(now, peer, leaf -> differ.get(leaf / LwwMap.RANGE));
-        tell(peer, leaves(some(differ, RANGES_TOLD), now), now);
+        divergedSince = divergedSince == 0 ? now : divergedSince;
+        markActive(now);
+        sendRecentChanges(now, peer, leaf -> differing.get(leaf / LwwMap.LEAVES_PER_RANGE));
+        send(peer, leafDigests(randomSubset(differing, MAX_RANGES_PER_DATAGRAM), now), now);
     }
 
-    /** Says the newest of what was learned lately, which is what a peer that differs mostly lacks. */
-    private void tellRecent(long now, int peer, IntPredicate leaves) {
-        if (recent.size() > MANY) {
-            return; // in a burst there is more that is recent than a datagram holds
+    /** Sends the most recently learned changes in the given leaves: most often these are what the peer lacks. */
+    private void sendRecentChanges(long now, int peer, IntPredicate leaves) {
+        if (recentChanges.size() > BURST_THRESHOLD_CHANGES) {
+            return;
         }
-        Frame f = Frame.of(Frame.Kind.CHANGES, 0, now);
+        GossipDatagram datagram = GossipDatagram.of(GossipDatagram.Kind.CHANGES, 0, now);
         Set<SettingKey> seen = new HashSet<>();
-        for (Iterator<Recent> i = recent.descendingIterator(); i.hasNext(); ) {
-            SettingChange c = map.get(i.next().key());
-            if (c != null && leaves.test(c.leaf()) && seen.add(c.key()) && !f.add(c)) {
+        for (Iterator<RecentChange> i = recentChanges.descendingIterator(); i.hasNext(); ) {
+            SettingChange change = map.get(i.next().key());
+            if (change != null
+                    && leaves.test(change.leaf())
+                    && seen.add(change.key())
+                    && !datagram.addChange(change)) {
                 break;
             }
         }
-        if (!f.isEmpty()) {
-            tell(peer, f, now);
+        if (!datagram.isEmpty()) {
+            send(peer, datagram, now);
         }
     }
 
-    private void compareLeaves(long now, int peer, Frame f) {
-        int ranges = (int) f.take(2);
-        BitSet differ = new BitSet();
+    private void compareLeaves(long now, int peer, GossipDatagram datagram) {
+        int ranges = (int) datagram.takeInteger(2);
+        BitSet differing = new BitSet();
         for (int r = 0; r < LwwMap.RANGES; r++) {
-            for (int i = r * LwwMap.RANGE; (ranges >> r & 1) == 1 && i < (r + 1) * LwwMap.RANGE; i++) {
-                differ.set(i, f.take(1) != map.leafDigest(i, f.salt()));
+            for (int i = r * LwwMap.LEAVES_PER_RANGE;
+                    (ranges >> r & 1) == 1 && i < (r + 1) * LwwMap.LEAVES_PER_RANGE;
+                    i++) {
+                differing.set(i, datagram.takeInteger(1) != map.leafDigest(i, datagram.salt()));
             }
         }
-        if (differ.isEmpty()) {
+        if (differing.isEmpty()) {
             return;
         }
-        heat(now);
-        tellRecent(now, peer, differ::get);
-        tellHeld(now, peer, differ, Frame.Kind.HELD);
+        markActive(now);
+        sendRecentChanges(now, peer, differing::get);
+        sendHashes(now, peer, differing, GossipDatagram.Kind.HELD);
     }
 
-    private void tellHeld(long now, int peer, BitSet leaves, Frame.Kind kind) {
-        Frame held = Frame.of(kind, random.nextInt(1 << 16), now);
-        int[] each = leaves.stream().toArray();
-        int from = random.nextInt(each.length); // who asks several peers asks each for other leaves
-        for (int i = 0; i < each.length && addHeld(held, each[(from + i) % each.length]); ) {
+    private void sendHashes(long now, int peer, BitSet leaves, GossipDatagram.Kind kind) {
+        GossipDatagram datagram = GossipDatagram.of(kind, random.nextInt(1 << 16), now);
+        int[] leafIndexes = leaves.stream().toArray();
+        // With a random start, a dispatcher that asks several peers asks each of them about other leaves.
+        int start = random.nextInt(leafIndexes.length);
+        for (int i = 0;
+                i < leafIndexes.length && addHashes(datagram, leafIndexes[(start + i) % leafIndexes.length]); ) {
             i++;
         }
-        tell(peer, held, now);
+        send(peer, datagram, now);
     }
 
-    /** Adds short hashes of what is held of a leaf; false where there is no room. */
-    private boolean addHeld(Frame f, int leaf) {
-        int n = Math.min(255, map.count(leaf));
-        if (f.size() + 2 + 2 * n > Frame.MOST_BYTES) {
+    /** Appends the short hashes of the changes in a leaf; returns false if there is no room left for them. */
+    private boolean addHashes(GossipDatagram datagram, int leaf) {
+        int remaining = Math.min(255, map.countInLeaf(leaf));
+        if (datagram.size() + 2 + 2 * remaining > GossipDatagram.MAX_BYTES) {
             return false;
         }
-        f.put(leaf, 1);
-        f.put(n, 1);
-        for (SettingChange c : map.in(leaf)) {
-            if (n-- > 0) {
-                f.put(c.shortHash(f.salt()), 2);
+        datagram.putInteger(leaf, 1);
+        datagram.putInteger(remaining, 1);
+        for (SettingChange change : map.changesInLeaf(leaf)) {
+            if (remaining-- > 0) {
+                datagram.putInteger(change.shortHash(datagram.salt()), 2);
             }
         }
         return true;
     }
 
-    /** A peer says what it holds of some leaves: it is told what it lacks, and asked for what we lack. */
-    private void compareHeld(long now, int peer, Frame f, boolean ask) {
-        ArrayDeque<SettingKey> lacks = new ArrayDeque<>();
-        BitSet weLack = new BitSet();
-        while (f.has(1)) {
-            int leaf = (int) f.take(1);
-            Set<Integer> its = new HashSet<>();
-            for (int n = (int) f.take(1); n > 0; n--) {
-                its.add((int) f.take(2));
+    /**
+     * Compares the hashes of what a peer holds in some leaves: the peer is sent what it lacks, and, if {@code reply} is
+     * set, the hashes of those leaves in which this dispatcher lacks something.
+     */
+    private void compareHashes(long now, int peer, GossipDatagram datagram, boolean reply) {
+        ArrayDeque<SettingKey> missingAtPeer = new ArrayDeque<>();
+        BitSet leavesWithMissing = new BitSet();
+        while (datagram.hasRemaining(1)) {
+            int leaf = (int) datagram.takeInteger(1);
+            Set<Integer> peerHashes = new HashSet<>();
+            for (int n = (int) datagram.takeInteger(1); n > 0; n--) {
+                peerHashes.add((int) datagram.takeInteger(2));
             }
-            for (SettingChange c : map.in(leaf)) {
-                if (!its.remove(c.shortHash(f.salt()))) {
-                    lacks.add(c.key());
+            for (SettingChange change : map.changesInLeaf(leaf)) {
+                if (!peerHashes.remove(change.shortHash(datagram.salt()))) {
+                    missingAtPeer.add(change.key());
                 }
             }
-            weLack.set(leaf, !its.isEmpty());
+            leavesWithMissing.set(leaf, !peerHashes.isEmpty());
         }
-        if (ask && !weLack.isEmpty()) {
-            tellHeld(now, peer, weLack, Frame.Kind.HELD_TOO);
+        if (reply && !leavesWithMissing.isEmpty()) {
+            sendHashes(now, peer, leavesWithMissing, GossipDatagram.Kind.HELD_TOO);
         }
-        // guards memory against peers that ask without end: they will ask again
-        if (!lacks.isEmpty() && owed.size() < MOST_OWED) {
-            owed.addLast(new Owed(peer, now + STILL_OWED, lacks));
-            answer(now);
+        // The limit bounds the memory when peers ask faster than replies can be sent; such peers will ask again.
+        if (!missingAtPeer.isEmpty() && pendingReplies.size() < MAX_PENDING_REPLIES) {
+            pendingReplies.addLast(new PendingReply(peer, now + PENDING_REPLY_TTL_US, missingAtPeer));
+            sendPendingReply(now);
         }
     }
 
-    // ---- saying it ----
+    // ---- sending ----
 
-    /** Something differs, or has changed: digests go at the shorter period from now on. */
-    private void heat(long now) {
-        hotUntil = now + HOT;
-        nextDigest = Math.min(nextDigest, now + HOT_PERIOD);
+    /** After a change or a difference, sends digests at the shorter interval for some time. */
+    private void markActive(long now) {
+        activeUntil = now + ACTIVE_DURATION_US;
+        nextDigestAt = Math.min(nextDigestAt, now + ACTIVE_DIGEST_INTERVAL_US);
     }
 
-    private void spread(SettingChange c, long now) {
+    private void addRumor(SettingChange change, long now) {
         if (options.peerCount() < 2) {
-            return; // guards memory: nobody would ever take it off our hands
+            return; // without peers the queue would only grow
         }
-        Rumour r = new Rumour(c);
-        Rumour before = rumourOf.put(c.key(), r);
-        if (before != null) {
-            before.replaced = true; // nobody needs to hear what has been replaced
+        Rumor rumor = new Rumor(change);
+        Rumor previous = rumorByKey.put(change.key(), rumor);
+        if (previous != null) {
+            previous.superseded = true;
         }
-        rumours.addFirst(r);
-        recent.addLast(new Recent(c.key(), now));
-        if (recent.size() > MOST_RECENT) {
-            recent.pollFirst();
+        rumors.addFirst(rumor);
+        recentChanges.addLast(new RecentChange(change.key(), now));
+        if (recentChanges.size() > MAX_RECENT_CHANGES) {
+            recentChanges.pollFirst();
         }
-        heat(now);
+        markActive(now);
     }
 
-    /** How often each change is pushed: in a burst less, since to repair costs less than to push in vain. */
-    private int pushes() {
-        int many = Math.max(1, Math.max(recent.size(), rumours.size()));
-        double room = options.maxBytesPerSecond() * PUSHED_SECONDS / TYPICAL_CHANGE / many;
-        return (int) Math.max(1, Math.min(MOST_PUSHES, room));
+    /**
+     * How often each change is pushed. Less often in a burst: repairing by digests costs less than pushing changes that
+     * most peers have already.
+     */
+    private int pushesPerChange() {
+        int changes = Math.max(1, Math.max(recentChanges.size(), rumors.size()));
+        double affordable = options.maxBytesPerSecond() * PUSH_BUDGET_SECONDS / TYPICAL_CHANGE_BYTES / changes;
+        return (int) Math.max(1, Math.min(MAX_PUSHES_PER_CHANGE, affordable));
     }
 
-    /** Pushes what has been pushed least, to so many others. */
-    private void push(long now, int times) {
-        for (int i = 0; i < times; i++) {
-            Frame f = Frame.of(Frame.Kind.CHANGES, 0, now);
-            List<Rumour> told = new ArrayList<>();
-            boolean room = true;
-            int most = pushes();
-            while (room && !rumours.isEmpty()) {
-                Rumour r = rumours.peekFirst();
-                boolean again = r.lastPush == now && times == 1;
-                room = !again && (r.pushed >= most || r.replaced || f.add(r.change));
-                if (room) {
-                    rumours.pollFirst();
-                    told.add(r);
+    /** Sends the given number of datagrams to random peers, with the rumors from the head of the queue. */
+    private void pushRumors(long now, int datagrams) {
+        for (int i = 0; i < datagrams; i++) {
+            GossipDatagram datagram = GossipDatagram.of(GossipDatagram.Kind.CHANGES, 0, now);
+            List<Rumor> taken = new ArrayList<>();
+            boolean hasRoom = true;
+            int maxPushes = pushesPerChange();
+            while (hasRoom && !rumors.isEmpty()) {
+                Rumor rumor = rumors.peekFirst();
+                boolean pushedInThisTick = rumor.lastPushedAt == now && datagrams == 1;
+                hasRoom = !pushedInThisTick
+                        && (rumor.pushes >= maxPushes || rumor.superseded || datagram.addChange(rumor.change));
+                if (hasRoom) {
+                    rumors.pollFirst();
+                    taken.add(rumor);
                 }
             }
-            if (f.isEmpty()) {
+            if (datagram.isEmpty()) {
                 return;
             }
-            if (!tell(anyPeer(), f, now)) {
-                for (int k = told.size() - 1; k >= 0; k--) {
-                    rumours.addFirst(told.get(k));
+            if (!send(randomPeer(), datagram, now)) {
+                for (int k = taken.size() - 1; k >= 0; k--) {
+                    rumors.addFirst(taken.get(k));
                 }
                 return;
             }
-            for (Rumour r : told) {
-                r.pushed++;
-                r.lastPush = now;
-                if (r.pushed < most && !r.replaced) {
-                    rumours.addLast(r);
+            for (Rumor rumor : taken) {
+                rumor.pushes++;
+                rumor.lastPushedAt = now;
+                if (rumor.pushes < maxPushes && !rumor.superseded) {
+                    rumors.addLast(rumor);
                 } else {
-                    rumourOf.remove(r.change.key(), r);
+                    rumorByKey.remove(rumor.change.key(), rumor);
                 }
             }
         }
     }
 
-    /** Says what one peer is owed, as much as a datagram holds. */
-    private void answer(long now) {
-        // guards against telling what the peer has had from others by now
-        while (!owed.isEmpty()
-                && (owed.peekFirst().until() < now || owed.peekFirst().keys().isEmpty())) {
-            owed.pollFirst();
+    /** Sends one datagram of the oldest pending reply. */
+    private void sendPendingReply(long now) {
+        // By the time a reply expires, the peer has probably received the changes from others.
+        while (!pendingReplies.isEmpty()
+                && (pendingReplies.peekFirst().expiresAt() < now
+                        || pendingReplies.peekFirst().keys().isEmpty())) {
+            pendingReplies.pollFirst();
         }
-        if (owed.isEmpty()) {
+        if (pendingReplies.isEmpty()) {
             return;
         }
-        Owed o = owed.peekFirst();
-        Frame f = Frame.of(Frame.Kind.CHANGES, 0, now);
-        int told = 0;
-        for (SettingKey key : o.keys()) {
-            SettingChange c = map.get(key);
-            if (c != null && !f.add(c)) {
+        PendingReply reply = pendingReplies.peekFirst();
+        GossipDatagram datagram = GossipDatagram.of(GossipDatagram.Kind.CHANGES, 0, now);
+        int processed = 0;
+        for (SettingKey key : reply.keys()) {
+            SettingChange change = map.get(key);
+            if (change != null && !datagram.addChange(change)) {
                 break;
             }
-            told++;
+            processed++;
         }
-        if (f.isEmpty() || tell(o.peer(), f, now)) {
-            for (; told > 0; told--) {
-                o.keys().pollFirst();
+        if (datagram.isEmpty() || send(reply.peer(), datagram, now)) {
+            for (; processed > 0; processed--) {
+                reply.keys().pollFirst();
             }
         }
     }
 
-    private Frame ranges(long now) {
-        Frame f = Frame.of(Frame.Kind.RANGES, random.nextInt(1 << 16), now);
-        f.put(Math.min(0xFFFF, map.size()), 2);
-        f.put(map.newest(), 7);
+    private GossipDatagram rangeDigests(long now) {
+        GossipDatagram datagram = GossipDatagram.of(GossipDatagram.Kind.RANGES, random.nextInt(1 << 16), now);
+        datagram.putInteger(Math.min(0xFFFF, map.size()), 2);
+        datagram.putInteger(map.newestTimestampUs(), 7);
         for (int i = 0; i < LwwMap.RANGES; i++) {
-            f.put(map.rangeDigest(i, f.salt()), 2);
+            datagram.putInteger(map.rangeDigest(i, datagram.salt()), 2);
         }
-        return f;
+        return datagram;
     }
 
-    private Frame leaves(BitSet ranges, long now) {
-        Frame f = Frame.of(Frame.Kind.LEAVES, random.nextInt(1 << 16), now);
-        f.put(ranges.stream().map(r -> 1 << r).sum(), 2);
+    private GossipDatagram leafDigests(BitSet ranges, long now) {
+        GossipDatagram datagram = GossipDatagram.of(GossipDatagram.Kind.LEAVES, random.nextInt(1 << 16), now);
+        datagram.putInteger(ranges.stream().map(r -> 1 << r).sum(), 2);
         ranges.stream().forEach(r -> {
-            for (int i = r * LwwMap.RANGE; i < (r + 1) * LwwMap.RANGE; i++) {
-                f.put(map.leafDigest(i, f.salt()), 1);
+            for (int i = r * LwwMap.LEAVES_PER_RANGE; i < (r + 1) * LwwMap.LEAVES_PER_RANGE; i++) {
+                datagram.putInteger(map.leafDigest(i, datagram.salt()), 1);
             }
         });
-        return f;
+        return datagram;
     }
 
-    /** At most so many of them, drawn evenly: who asks several peers is told different things. */
-    private BitSet some(BitSet all, int most) {
-        BitSet left = (BitSet) all.clone();
-        while (left.cardinality() > most) {
-            int[] each = left.stream().toArray();
-            left.clear(each[random.nextInt(each.length)]);
+    /** A uniformly drawn subset of at most the given size, so that different peers are asked about different ranges. */
+    private BitSet randomSubset(BitSet all, int maxSize) {
+        BitSet subset = (BitSet) all.clone();
+        while (subset.cardinality() > maxSize) {
+            int[] members = subset.stream().toArray();
+            subset.clear(members[random.nextInt(members.length)]);
         }
-        return left;
+        return subset;
     }
 
-    private int anyPeer() {
+    /** A random other dispatcher; without peers, this one, to which nothing is sent. */
+    private int randomPeer() {
         if (options.peerCount() < 2) {
             return options.self();
         }
@@ -472,46 +527,58 @@
         return peer >= options.self() ? peer + 1 : peer;
     }
 
-    private void fill(long now) {
-        tokens = Math.min(depth, tokens + (now - filledAt) / 1e6 * (options.maxBytesPerSecond() - depth));
-        filledAt = now;
+    private void refillTokens(long now) {
+        tokensBytes = Math.min(
+                bucketCapacityBytes,
+                tokensBytes + (now - tokensRefilledAt) / 1e6 * (options.maxBytesPerSecond() - bucketCapacityBytes));
+        tokensRefilledAt = now;
     }
 
-    /** Bytes in any second are at most the cap: a quarter of it at once, and three quarters in its course. */
-    private boolean tell(int peer, Frame f, long now) {
-        fill(now);
-        // guards changes that wait against digests, which are smaller and would always find room first
-        boolean yields = f.kind() != Frame.Kind.CHANGES && !(rumours.isEmpty() && owed.isEmpty());
-        if (peer == options.self() || tokens < Math.max(f.size(), yields ? YIELDS * depth : 0)) {
+    /**
+     * Sends a datagram if the rate limit allows it. The token bucket holds a quarter of the limit and refills at three
+     * quarters of it per second, so that the bytes in any second never exceed the limit.
+     *
+     * @return whether the datagram was sent
+     */
+    private boolean send(int peer, GossipDatagram datagram, long now) {
+        refillTokens(now);
+        // Digests are smaller than changes and would otherwise always take the tokens first.
+        boolean yieldsToChanges = datagram.kind() != GossipDatagram.Kind.CHANGES
+                && !(rumors.isEmpty() && pendingReplies.isEmpty());
+        if (peer == options.self()
+                || tokensBytes
+                        < Math.max(
+                                datagram.size(), yieldsToChanges ? DIGEST_MIN_BUCKET_FILL * bucketCapacityBytes : 0)) {
             return false;
         }
-        tokens -= f.size();
-        bytesOut += f.size();
-        callbacks.send(peer, f.bytes(seal));
+        tokensBytes -= datagram.size();
+        bytesSent += datagram.size();
+        callbacks.send(peer, datagram.toBytes(authenticator));
         return true;
     }
 
-    // ---- for operators ----
+    // ---- monitoring ----
 
-    /** All changes held, marks of removals among them. */
+    /** All changes held, tombstones included. */
     public Iterable<SettingChange> heldChanges() {
         return map.changes();
     }
 
+    /** Returns the state of replication for monitoring. */
     public GossipStatus status(long now) {
-        GossipStatus.State state = options.peerCount() > 1 && now - lastHeard > SILENCE
+        GossipStatus.State state = options.peerCount() > 1 && now - lastReceivedAt > ISOLATION_TIMEOUT_US
                 ? GossipStatus.State.ISOLATED
                 : caughtUp ? GossipStatus.State.CONNECTED : GossipStatus.State.CATCHING_UP;
         return new GossipStatus(
                 state,
                 map.size(),
-                map.marks(),
+                map.tombstoneCount(),
                 map.digest(),
-                map.newest(),
-                differsSince == 0 ? 0 : Math.max(1, now - differsSince),
-                bytesOut,
-                bytesIn,
-                refused,
-                dropped);
+                map.newestTimestampUs(),
+                divergedSince == 0 ? 0 : Math.max(1, now - divergedSince),
+                bytesSent,
+                bytesReceived,
+                rejectedChanges,
+                droppedDatagrams);
     }
 }
--- a/src/main/java/saffronferry/agree/LwwMap.java
+++ b/src/main/java/saffronferry/agree/LwwMap.java
@@ -8,152 +8,167 @@
 import java.util.TreeSet;
 
 /**
- * The changes held, the last writer's of each key, with digests over ranges of keys. Merging is commutative,
- * associative and idempotent as long as no mark of a removal is dropped.
+ * Last-writer-wins map: holds the winning change of each key, and digests over ranges of keys (a two-level hash tree).
+ * A removal is held as a tombstone. Merging is commutative, associative and idempotent as long as no tombstone is
+ * dropped.
  */
 public final class LwwMap {
     static final int LEAVES = 256;
     static final int RANGES = 16;
-    static final int RANGE = LEAVES / RANGES;
-    /** Some 200 bytes each: all of them below a megabyte. */
-    static final int MOST_KEYS = 4096;
-
-    static final int MOST_MARKS = 2048;
-    /** How long a removal is remembered: longer than an operator takes to mend a dispatcher's old file. */
-    static final long MARK_AGE = 7L * 86_400 * 1_000_000;
-    /** How far ahead of ours another's clock may be; more would win over each change for that long. */
-    static final long MOST_AHEAD = 1_000_000;
-
-    /** What became of a change. */
-    enum Merged {
-        TAKEN,
-        KNOWN,
-        OLDER,
-        REFUSED
-    }
-
-    private final Map<SettingKey, SettingChange> held = new HashMap<>();
-    private final TreeSet<SettingChange> marks = new TreeSet<>(Comparator.comparingLong(SettingChange::stamp)
+    static final int LEAVES_PER_RANGE = LEAVES / RANGES;
+
+    /** A change takes some 200 bytes, so a full map stays below a megabyte. */
+    static final int MAX_KEYS = 4096;
+
+    static final int MAX_TOMBSTONES = 2048;
+
+    /** Longer than an operator takes to correct the outdated configuration file of a dispatcher. */
+    static final long TOMBSTONE_TTL_US = 7L * 86_400 * 1_000_000;
+
+    /** A change from a clock further ahead would win over every other change for that long. */
+    static final long MAX_CLOCK_LEAD_US = 1_000_000;
+
+    /** Outcome of merging a change. */
+    enum MergeResult {
+        /** The change is held now. */
+        APPLIED,
+        /** The same change was held already. */
+        DUPLICATE,
+        /** A newer change of the key is held. */
+        STALE,
+        /** The change is invalid, too far ahead of the clock, too old, or over the capacity. */
+        REJECTED
+    }
+
+    private final Map<SettingKey, SettingChange> changes = new HashMap<>();
+    private final TreeSet<SettingChange> tombstones = new TreeSet<>(Comparator.comparingLong(SettingChange::timestampUs)
             .thenComparing(c -> c.key().setting())
             .thenComparing(c -> c.key().name()));
-    private final long[] leaves = new long[LEAVES];
-    private final List<Map<SettingKey, SettingChange>> byLeaf = new ArrayList<>();
-    /** The newest stamp of a mark dropped: what is older and unknown may be what that mark removed. */
-    private long floor;
+    private final long[] leafDigests = new long[LEAVES];
+    private final List<Map<SettingKey, SettingChange>> changesByLeaf = new ArrayList<>();
+
+    /**
+     * The newest timestamp of a dropped tombstone. A change of an unknown key that is not newer may be one that the
+     * tombstone had removed.
+     */
+    private long newestDroppedTombstoneUs;
 
-    private long newest;
+    private long newestTimestampUs;
 
     LwwMap() {
         for (int i = 0; i < LEAVES; i++) {
-            byLeaf.add(new HashMap<>());
+            changesByLeaf.add(new HashMap<>());
         }
     }
 
-    Merged merge(SettingChange c, long now) {
-        SettingChange mine = held.get(c.key());
-        if (mine != null && !c.beats(mine)) {
-            return mine.equals(c) ? Merged.KNOWN : Merged.OLDER;
+    MergeResult merge(SettingChange change, long now) {
+        SettingChange current = changes.get(change.key());
+        if (current != null && !change.supersedes(current)) {
+            return current.equals(change) ? MergeResult.DUPLICATE : MergeResult.STALE;
         }
-        if (c.stamp() > now + MOST_AHEAD || DynamicSetting.validationError(c.key().name(), c.value()) != null) {
-            return Merged.REFUSED;
+        if (change.timestampUs() > now + MAX_CLOCK_LEAD_US
+                || DynamicSetting.validationError(change.key().name(), change.value()) != null) {
+            return MergeResult.REJECTED;
         }
-        if (mine == null
-                && (c.stamp() <= floor
-                        || held.size() - marks.size() >= MOST_KEYS
-                        || c.removes() && c.stamp() <= now - MARK_AGE)) {
-            // guards against an old copy that brings back what was removed, and memory against a flood
-            return Merged.REFUSED;
+        if (current == null
+                && (change.timestampUs() <= newestDroppedTombstoneUs
+                        || changes.size() - tombstones.size() >= MAX_KEYS
+                        || change.isRemoval() && change.timestampUs() <= now - TOMBSTONE_TTL_US)) {
+            // An outdated copy must not bring back a removed key, and a flood of keys must not exhaust the memory.
+            return MergeResult.REJECTED;
         }
-        if (mine != null) {
-            drop(mine);
+        if (current != null) {
+            remove(current);
         }
-        held.put(c.key(), c);
-        byLeaf.get(c.leaf()).put(c.key(), c);
-        leaves[c.leaf()] ^= c.hash();
-        newest = Math.max(newest, c.stamp());
-        if (c.removes()) {
-            marks.add(c);
+        changes.put(change.key(), change);
+        changesByLeaf.get(change.leaf()).put(change.key(), change);
+        leafDigests[change.leaf()] ^= change.hash();
+        newestTimestampUs = Math.max(newestTimestampUs, change.timestampUs());
+        if (change.isRemoval()) {
+            tombstones.add(change);
         }
-        while (marks.size() > MOST_MARKS) {
-            forget(marks.first());
+        while (tombstones.size() > MAX_TOMBSTONES) {
+            dropTombstone(tombstones.first());
         }
-        return Merged.TAKEN;
+        return MergeResult.APPLIED;
     }
 
-    /** Drops the marks that are too old. */
-    void expire(long now) {
-        while (!marks.isEmpty() && marks.first().stamp() <= now - MARK_AGE) {
-            forget(marks.first());
+    /** Drops the tombstones that are older than {@link #TOMBSTONE_TTL_US}. */
+    void expireTombstones(long now) {
+        while (!tombstones.isEmpty() && tombstones.first().timestampUs() <= now - TOMBSTONE_TTL_US) {
+            dropTombstone(tombstones.first());
         }
     }
 
-    private void forget(SettingChange mark) {
-        drop(mark);
-        floor = Math.max(floor, mark.stamp());
+    private void dropTombstone(SettingChange tombstone) {
+        remove(tombstone);
+        newestDroppedTombstoneUs = Math.max(newestDroppedTombstoneUs, tombstone.timestampUs());
     }
 
-    private void drop(SettingChange c) {
-        held.remove(c.key());
-        byLeaf.get(c.leaf()).remove(c.key());
-        leaves[c.leaf()] ^= c.hash();
-        if (c.removes()) {
-            marks.remove(c);
+    private void remove(SettingChange change) {
+        changes.remove(change.key());
+        changesByLeaf.get(change.leaf()).remove(change.key());
+        leafDigests[change.leaf()] ^= change.hash();
+        if (change.isRemoval()) {
+            tombstones.remove(change);
         }
     }
 
     SettingChange get(SettingKey key) {
-        return held.get(key);
+        return changes.get(key);
     }
 
-    /** All changes held, marks of removals among them. */
+    /** All changes held, tombstones included. */
     public Iterable<SettingChange> changes() {
-        return held.values();
+        return changes.values();
     }
 
-    Iterable<SettingChange> in(int leaf) {
-        return byLeaf.get(leaf).values();
+    Iterable<SettingChange> changesInLeaf(int leaf) {
+        return changesByLeaf.get(leaf).values();
     }
 
-    int count(int leaf) {
-        return byLeaf.get(leaf).size();
+    int countInLeaf(int leaf) {
+        return changesByLeaf.get(leaf).size();
     }
 
     int size() {
-        return held.size();
+        return changes.size();
     }
 
-    int marks() {
-        return marks.size();
+    int tombstoneCount() {
+        return tombstones.size();
     }
 
-    long newest() {
-        return newest;
+    long newestTimestampUs() {
+        return newestTimestampUs;
     }
 
-    /** Equal, but for chance, where the same is held. */
+    /** Digest over all changes held; equal on maps that hold the same changes. */
     long digest() {
-        long all = 0;
+        long digest = 0;
         for (int i = 0; i < LEAVES; i++) {
-            all ^= leaves[i];
+            digest ^= leafDigests[i];
         }
-        return all;
+        return digest;
     }
 
-    /** One byte of a leaf's digest; with another salt, two that differ are not mistaken for equal again. */
+    /**
+     * An 8-bit digest of a leaf. Each datagram has another salt, so two leaves that collide once do not collide again.
+     */
     int leafDigest(int leaf, int salt) {
-        return cut(leaves[leaf], salt) >>> 8;
+        return truncate(leafDigests[leaf], salt) >>> 8;
     }
 
-    /** Two bytes of a range's. */
+    /** A 16-bit digest of a range of leaves, salted likewise. */
     int rangeDigest(int range, int salt) {
-        long all = 0;
-        for (int i = 0; i < RANGE; i++) {
-            all ^= leaves[range * RANGE + i];
+        long digest = 0;
+        for (int i = 0; i < LEAVES_PER_RANGE; i++) {
+            digest ^= leafDigests[range * LEAVES_PER_RANGE + i];
         }
-        return cut(all, salt);
+        return truncate(digest, salt);
     }
 
-    private static int cut(long digest, int salt) {
+    private static int truncate(long digest, int salt) {
         return (int) (SettingChange.mix(digest ^ (long) salt << 48) >>> 48);
     }
 }
--- a/src/main/java/saffronferry/agree/SettingChange.java
+++ b/src/main/java/saffronferry/agree/SettingChange.java
@@ -1,21 +1,22 @@
 package saffronferry.agree;
 
 /**
- * A setting's new value, null for its removal.
+ * One write to a replicated setting.
  *
- * @param stamp when it was made, in microseconds of the one clock
- * @param origin the number of the dispatcher at which it was made
- * @param incarnation which of that dispatcher's processes made it
+ * @param value the new value, or null for a removal
+ * @param timestampUs when the write was made, in microseconds of the shared clock
+ * @param origin index of the dispatcher that made the write
+ * @param incarnation identifies the process of that dispatcher that made the write
  */
-public record SettingChange(SettingKey key, String value, long stamp, int origin, int incarnation) {
+public record SettingChange(SettingKey key, String value, long timestampUs, int origin, int incarnation) {
     /**
-     * Whether it wins over another change of the same key: the higher stamp, then the higher origin. What
-     * is left decides between those that only a fault or a forger can make; the order must be total, or two
-     * dispatchers would hold different ones for good.
+     * Whether this change wins over another change of the same key: the later timestamp wins, then the higher origin.
+     * Changes that are equal in both can only come from a fault or a forgery. They are ordered too, because without
+     * a total order two dispatchers could keep different values for good.
      */
-    boolean beats(SettingChange other) {
-        if (stamp != other.stamp) {
-            return stamp > other.stamp;
+    boolean supersedes(SettingChange other) {
+        if (timestampUs != other.timestampUs) {
+            return timestampUs > other.timestampUs;
         }
         if (origin != other.origin) {
             return origin > other.origin;
@@ -26,34 +27,34 @@
         return value != null && (other.value == null || value.compareTo(other.value) > 0);
     }
 
-    boolean removes() {
+    boolean isRemoval() {
         return value == null;
     }
 
-    /** The leaf of the digests to which its key belongs. */
+    /** Index of the leaf of the digest tree that the key belongs to. */
     int leaf() {
-        return (int) (mix(text(key.name(), key.setting().number())) & LwwMap.LEAVES - 1);
+        return (int) (mix(hashText(key.name(), key.setting().number())) & LwwMap.LEAVES - 1);
     }
 
-    /** Differs, but for chance, from that of any other change. */
+    /** A 64-bit hash over all components. */
     long hash() {
-        long h = text(key.name(), key.setting().number());
-        h = mix(h ^ stamp);
+        long h = hashText(key.name(), key.setting().number());
+        h = mix(h ^ timestampUs);
         h = mix(h ^ (long) origin << 32 ^ incarnation);
-        return mix(value == null ? h : text(value, h));
+        return mix(value == null ? h : hashText(value, h));
     }
 
-    /** Two bytes of it; with another salt, two that differ are not mistaken for equal again. */
+    /** A 16-bit hash. Each datagram has another salt, so two changes that collide once do not collide again. */
     int shortHash(int salt) {
         return (int) (mix(hash() ^ (long) salt << 48) >>> 48);
     }
 
-    private static long text(String s, long seed) {
+    private static long hashText(String text, long seed) {
         long h = seed;
-        for (int i = 0; i < s.length(); i++) {
-            h = (h ^ s.charAt(i)) * 0x100000001b3L;
+        for (int i = 0; i < text.length(); i++) {
+            h = (h ^ text.charAt(i)) * 0x100000001b3L;
         }
-        return mix(h ^ s.length());
+        return mix(h ^ text.length());
     }
 
     /** The finalizer of MurmurHash3. */
--- a/src/main/java/saffronferry/agree/SettingKey.java
+++ b/src/main/java/saffronferry/agree/SettingKey.java
@@ -1,7 +1,13 @@
 package saffronferry.agree;
 
-/** One setting that may change: a row of the table, and whose it is. */
+/**
+ * Identifies one replicated value.
+ *
+ * @param setting the setting
+ * @param name the entry that the value belongs to, such as a tenant
+ */
 public record SettingKey(DynamicSetting setting, String name) {
+    /** Returns the full configuration key, as operators see it. */
     @Override
     public String toString() {
         return setting.keyPath(name);
