--- a/src/main/java/saffronferry/log/LibraryLog.java
+++ b/src/main/java/saffronferry/log/LibraryLogger.java
@@ -5,12 +5,12 @@
 import org.slf4j.helpers.LegacyAbstractLogger;
 import org.slf4j.helpers.MessageFormatter;
 
-/** What a library logs, from warnings on, as lines of the bounded log. */
-final class LibraryLog extends LegacyAbstractLogger {
+/** SLF4J logger that forwards warnings and errors of a library to the {@link BoundedLog}. */
+final class LibraryLogger extends LegacyAbstractLogger {
     private static final long serialVersionUID = 1;
     private final transient BoundedLog log;
 
-    LibraryLog(String name, BoundedLog log) {
+    LibraryLogger(String name, BoundedLog log) {
         this.name = name;
         this.log = log;
     }
--- a/src/main/java/saffronferry/log/LogProvider.java
+++ b/src/main/java/saffronferry/log/LogProvider.java
@@ -8,15 +8,15 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * The back end that SLF4J finds. The JVM's own logging formats each line with its time of day, for which it
- * opens a file of time zones: where descriptors have run out that fails with an Error on whichever thread
- * logs.
+ * SLF4J provider that sends the libraries' logging to the {@link BoundedLog}. It replaces {@code java.util.logging},
+ * which formats each line with the time of day and opens the time zone file for that: when the process has run out of
+ * descriptors, this throws an Error on the thread that logs.
  */
 public final class LogProvider implements SLF4JServiceProvider {
     private final BoundedLog log = new BoundedLog();
     private final IMarkerFactory markers = new BasicMarkerFactory();
 
-    /** Leads Vert.x and Netty here; to be called before either is loaded. */
+    /** Makes Vert.x and Netty log through this provider; to be called before either is loaded. */
     public static void install() {
         System.setProperty("slf4j.provider", LogProvider.class.getName());
         System.setProperty("vertx.logger-delegate-factory-class-name", "io.vertx.core.logging.SLF4JLogDelegateFactory");
@@ -24,7 +24,7 @@
 
     @Override
     public ILoggerFactory getLoggerFactory() {
-        return name -> new LibraryLog(name, log);
+        return name -> new LibraryLogger(name, log);
     }
 
     @Override
--- a/src/main/java/saffronferry/log/package-info.java
+++ b/src/main/java/saffronferry/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Lines for the operators: our own and, by SLF4J, those of the libraries. All are bounded in number and
- * length, and to write one takes no file, no descriptor and no time zone.
+ * Operator log lines on standard error: the dispatcher's own and, through SLF4J, those of the libraries. Their rate and
+ * length are limited, and writing one opens no file, takes no descriptor and reads no time zone data.
  */
 package saffronferry.log;
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -319,8 +319,8 @@
     /** What a client sent may stand in a line of the log: it is cut and made printable. */
     @Test
     public void linesOfTheLog() {
-        assertEquals("a?[31m?b?", BoundedLog.clean("a\u001b[31m\nb\u00ff"));
-        assertEquals(200, BoundedLog.clean("x".repeat(70_000)).length());
+        assertEquals("a?[31m?b?", BoundedLog.sanitize("a\u001b[31m\nb\u00ff"));
+        assertEquals(200, BoundedLog.sanitize("x".repeat(70_000)).length());
     }
 
     @Test
