--- a/src/main/java/saffronferry/adapter/Main.java
+++ b/src/main/java/saffronferry/adapter/AdapterMain.java
@@ -7,8 +7,8 @@
 import java.io.IOException;
 
 /** The command {@code adapter}: speaks the simulator's wire on standard input and output. */
-public final class Main {
-    private Main() {}
+public final class AdapterMain {
+    private AdapterMain() {}
 
     public static void run() {
         try {
--- a/src/main/java/saffronferry/cli/Main.java
+++ b/src/main/java/saffronferry/cli/Main.java
@@ -35,7 +35,7 @@
         String only = args.length == 1 ? args[0] : "";
         switch (only) {
             case "serve" -> Serve.run();
-            case "adapter" -> saffronferry.adapter.Main.run();
+            case "adapter" -> saffronferry.adapter.AdapterMain.run();
             default -> System.exit(execute(args));
         }
     }
@@ -63,7 +63,7 @@
     static final class AdapterCommand implements Runnable {
         @Override
         public void run() {
-            saffronferry.adapter.Main.run();
+            saffronferry.adapter.AdapterMain.run();
         }
     }
 }
