--- a/src/main/java/saffronferry/adapter/Instance.java
+++ b/src/main/java/saffronferry/adapter/DispatcherInstance.java
@@ -6,40 +6,40 @@
 import saffronferry.Dispatcher;
 import saffronferry.settings.SettingsReader;
 
-/** One dispatcher of the process: its module, the names in its settings, and its actions as reply lines. */
-final class Instance implements Contract.Actions {
+/** One dispatcher under the simulator; writes the dispatcher's actions as reply lines. */
+final class DispatcherInstance implements Contract.Actions {
     final int number;
-    final SettingsReader names;
+    final SettingsReader settingsReader;
     final byte[][] classes;
     final byte[][] tenants;
-    final Contract.Events module;
-    private final Wire wire;
+    final Contract.Events dispatcher;
+    private final SimulatorProtocol protocol;
 
-    Instance(int number, SettingsReader names, Wire wire) {
+    DispatcherInstance(int number, SettingsReader settingsReader, SimulatorProtocol protocol) {
         this.number = number;
-        this.names = names;
-        this.wire = wire;
-        classes = bytes(names.classes);
-        tenants = bytes(names.tenants);
-        module = new Dispatcher(names.settings, this);
+        this.settingsReader = settingsReader;
+        this.protocol = protocol;
+        classes = utf8(settingsReader.classes);
+        tenants = utf8(settingsReader.tenants);
+        dispatcher = new Dispatcher(settingsReader.settings, this);
     }
 
-    private static byte[][] bytes(List<String> texts) {
+    private static byte[][] utf8(List<String> texts) {
         return texts.stream().map(t -> t.getBytes(StandardCharsets.UTF_8)).toArray(byte[][]::new);
     }
 
     private LineWriter action(String name) {
-        return wire.replyOf(number).text(name).space();
+        return protocol.replyFrom(number).text(name).space();
     }
 
     @Override
     public void send(long id, String worker) {
-        action("send").number(id).space().text(worker).space().text("-").end();
+        action("send").number(id).space().text(worker).space().text("-").endLine();
     }
 
     @Override
     public void cancel(long id, int attempt) {
-        action("cancel").number(id).space().number(attempt).end();
+        action("cancel").number(id).space().number(attempt).endLine();
     }
 
     @Override
@@ -50,31 +50,31 @@
         } else {
             line.time(retryAfter);
         }
-        line.end();
+        line.endLine();
     }
 
     @Override
     public void fail(long id) {
-        action("end_failed").number(id).end();
+        action("end_failed").number(id).endLine();
     }
 
     @Override
     public void timer(long token, long delay) {
-        action("notify_me").number(token).space().time(delay).end();
+        action("notify_me").number(token).space().time(delay).endLine();
     }
 
     @Override
     public void probe(String worker) {
-        action("touch").text(worker).end();
+        action("touch").text(worker).endLine();
     }
 
     @Override
     public void tell(int peer, byte[] bytes) {
-        action("say").number(peer).space().base64(bytes).end();
+        action("say").number(peer).space().base64(bytes).endLine();
     }
 
     @Override
     public void subscribe() {
-        action("watch").number(1).end();
+        action("watch").number(1).endLine();
     }
 }
--- a/src/main/java/saffronferry/adapter/LineReader.java
+++ b/src/main/java/saffronferry/adapter/LineReader.java
@@ -5,125 +5,135 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Reads lines of space-separated fields from bytes, without making objects for numbers. */
+/** Reads lines of space-separated fields from a byte stream; parses numbers without allocating objects. */
 final class LineReader {
-    private static final long[] TEN = {1, 10, 100, 1_000, 10_000, 100_000, 1_000_000};
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    private static final long[] POWERS_OF_TEN = {1, 10, 100, 1_000, 10_000, 100_000, 1_000_000};
 
     private final InputStream in;
-    private byte[] buffer = new byte[1 << 16];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+
+    /** Number of bytes in the buffer. */
     private int filled;
-    private int next;
-    private int pos;
-    private int end;
-    private long line;
+
+    /** Where the next line starts. */
+    private int nextLineStart;
+
+    /** Where the next field of the current line starts. */
+    private int position;
+
+    /** Where the current line ends. */
+    private int lineEnd;
+
+    private long lineNumber;
 
     LineReader(InputStream in) {
         this.in = in;
     }
 
-    /** Moves to the next line; false at a clean end of input. */
+    /** Moves to the next line; returns false if the input has ended after a complete line. */
     boolean nextLine() throws IOException {
-        int scan = next;
+        int scan = nextLineStart;
         while (true) {
             for (; scan < filled; scan++) {
                 if (buffer[scan] == '\n') {
-                    pos = next;
-                    end = scan > pos && buffer[scan - 1] == '\r' ? scan - 1 : scan;
-                    next = scan + 1;
-                    line++;
+                    position = nextLineStart;
+                    lineEnd = scan > position && buffer[scan - 1] == '\r' ? scan - 1 : scan;
+                    nextLineStart = scan + 1;
+                    lineNumber++;
                     return true;
                 }
             }
-            if (next > 0) {
-                System.arraycopy(buffer, next, buffer, 0, filled - next);
-                scan -= next;
-                filled -= next;
-                next = 0;
+            if (nextLineStart > 0) {
+                System.arraycopy(buffer, nextLineStart, buffer, 0, filled - nextLineStart);
+                scan -= nextLineStart;
+                filled -= nextLineStart;
+                nextLineStart = 0;
             } else if (filled == buffer.length) {
                 buffer = java.util.Arrays.copyOf(buffer, filled * 2);
             }
-            int got = in.read(buffer, filled, buffer.length - filled);
-            if (got < 0) {
+            int bytesRead = in.read(buffer, filled, buffer.length - filled);
+            if (bytesRead < 0) {
                 if (filled > 0) {
-                    line++;
-                    throw new EOFException("line " + line + ": input ends inside a line");
+                    lineNumber++;
+                    throw new EOFException("line " + lineNumber + ": input ends inside a line");
                 }
                 return false;
             }
-            filled += got;
+            filled += bytesRead;
         }
     }
 
     boolean atEnd() {
-        return pos >= end;
+        return position >= lineEnd;
     }
 
-    WireException malformed(String what) {
-        return new WireException(line, what);
+    ProtocolException malformed(String problem) {
+        return new ProtocolException(lineNumber, problem);
     }
 
-    private int fieldEnd(String field) {
-        if (pos >= end) {
+    private int findFieldEnd(String field) {
+        if (position >= lineEnd) {
             throw malformed("field " + field + " is missing");
         }
-        int to = pos;
-        while (to < end && buffer[to] != ' ') {
-            to++;
+        int fieldEnd = position;
+        while (fieldEnd < lineEnd && buffer[fieldEnd] != ' ') {
+            fieldEnd++;
         }
-        return to;
+        return fieldEnd;
     }
 
-    /** Skips a field if there is one. */
-    void skip() {
-        while (pos < end && buffer[pos] != ' ') {
-            pos++;
+    /** Skips the next field if there is one. */
+    void skipField() {
+        while (position < lineEnd && buffer[position] != ' ') {
+            position++;
         }
-        pos++;
+        position++;
     }
 
-    /** True if the field is absent or '-'; then it is consumed. */
-    boolean absent() {
-        if (pos >= end) {
+    /** Returns true if the field is missing or '-', and skips it in this case. */
+    boolean skipIfAbsent() {
+        if (position >= lineEnd) {
             return true;
         }
-        if (buffer[pos] == '-' && (pos + 1 == end || buffer[pos + 1] == ' ')) {
-            pos += 2;
+        if (buffer[position] == '-' && (position + 1 == lineEnd || buffer[position + 1] == ' ')) {
+            position += 2;
             return true;
         }
         return false;
     }
 
-    String text(String field) {
-        int to = fieldEnd(field);
-        String value = new String(buffer, pos, to - pos, StandardCharsets.UTF_8);
-        pos = to + 1;
+    String readText(String field) {
+        int fieldEnd = findFieldEnd(field);
+        String value = new String(buffer, position, fieldEnd - position, StandardCharsets.UTF_8);
+        position = fieldEnd + 1;
         return value;
     }
 
-    String rest(String field) {
-        if (pos >= end) {
+    String readRest(String field) {
+        if (position >= lineEnd) {
             throw malformed("field " + field + " is missing");
         }
-        String value = new String(buffer, pos, end - pos, StandardCharsets.UTF_8);
-        pos = end;
+        String value = new String(buffer, position, lineEnd - position, StandardCharsets.UTF_8);
+        position = lineEnd;
         return value;
     }
 
-    /** Index of the field among the names, or -1. */
-    int oneOf(String field, byte[][] names) {
-        int to = fieldEnd(field);
-        int from = pos;
-        pos = to + 1;
+    /** Reads a field, and returns its index among the names, or -1. */
+    int readOneOf(String field, byte[][] names) {
+        int fieldEnd = findFieldEnd(field);
+        int from = position;
+        position = fieldEnd + 1;
         for (int i = 0; i < names.length; i++) {
-            if (matches(names[i], from, to)) {
+            if (equalsAt(names[i], from, fieldEnd)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private boolean matches(byte[] name, int from, int to) {
-        if (name.length != to - from) {
+    private boolean equalsAt(byte[] name, int from, int fieldEnd) {
+        if (name.length != fieldEnd - from) {
             return false;
         }
         for (int i = 0; i < name.length; i++) {
@@ -134,46 +144,46 @@
         return true;
     }
 
-    long whole(String field) {
-        int to = fieldEnd(field);
-        int at = pos;
-        boolean negative = buffer[at] == '-';
+    long readInteger(String field) {
+        int fieldEnd = findFieldEnd(field);
+        int index = position;
+        boolean negative = buffer[index] == '-';
         if (negative) {
-            at++;
+            index++;
         }
-        if (at == to || to - at > 19) {
-            throw notANumber(field, to);
+        if (index == fieldEnd || fieldEnd - index > 19) {
+            throw notANumber(field, fieldEnd);
         }
         long value = 0;
-        for (; at < to; at++) {
-            int digit = buffer[at] - '0';
+        for (; index < fieldEnd; index++) {
+            int digit = buffer[index] - '0';
             if (digit < 0 || digit > 9) {
-                throw notANumber(field, to);
+                throw notANumber(field, fieldEnd);
             }
             value = value * 10 + digit;
         }
-        pos = to + 1;
+        position = fieldEnd + 1;
         return negative ? -value : value;
     }
 
-    private WireException notANumber(String field, int to) {
+    private ProtocolException notANumber(String field, int fieldEnd) {
         return malformed("field " + field + " is not a number: "
-                + new String(buffer, pos, Math.min(to - pos, 40), StandardCharsets.UTF_8));
+                + new String(buffer, position, Math.min(fieldEnd - position, 40), StandardCharsets.UTF_8));
     }
 
-    /** Seconds, as microseconds. */
-    long time(String field) {
-        int to = fieldEnd(field);
-        int at = pos;
-        boolean negative = buffer[at] == '-';
+    /** Reads a time in seconds, and returns it in microseconds. */
+    long readTime(String field) {
+        int fieldEnd = findFieldEnd(field);
+        int index = position;
+        boolean negative = buffer[index] == '-';
         if (negative) {
-            at++;
+            index++;
         }
         long value = 0;
         int decimals = -1;
         int digits = 0;
-        for (; at < to; at++) {
-            int c = buffer[at];
+        for (; index < fieldEnd; index++) {
+            int c = buffer[index];
             if (c == '.' && decimals < 0) {
                 decimals = 0;
             } else if (c >= '0' && c <= '9' && digits < 18) {
@@ -185,37 +195,37 @@
                     }
                 }
             } else if (c == 'e' || c == 'E') {
-                return Math.round(number(field) * 1e6);
+                return Math.round(readNumber(field) * 1e6);
             } else {
-                throw notANumber(field, to);
+                throw notANumber(field, fieldEnd);
             }
         }
         if (digits == 0) {
-            throw notANumber(field, to);
+            throw notANumber(field, fieldEnd);
         }
-        pos = to + 1;
-        value *= TEN[6 - Math.max(0, decimals)];
+        position = fieldEnd + 1;
+        value *= POWERS_OF_TEN[6 - Math.max(0, decimals)];
         return negative ? -value : value;
     }
 
-    /** A decimal number up to the next space, or up to the next comma if {@code inList}. */
-    private double decimal(String field, boolean inList) {
-        int to = fieldEnd(field);
-        int stop = pos;
-        while (stop < to && !(inList && buffer[stop] == ',')) {
-            stop++;
+    /** Reads a decimal number up to the next space, or up to the next comma if {@code inList}. */
+    private double readDecimal(String field, boolean inList) {
+        int fieldEnd = findFieldEnd(field);
+        int numberEnd = position;
+        while (numberEnd < fieldEnd && !(inList && buffer[numberEnd] == ',')) {
+            numberEnd++;
         }
-        int at = pos;
-        boolean negative = at < stop && buffer[at] == '-';
+        int index = position;
+        boolean negative = index < numberEnd && buffer[index] == '-';
         if (negative) {
-            at++;
+            index++;
         }
         long mantissa = 0;
         int scale = 0;
         boolean point = false;
         int digits = 0;
-        for (; at < stop; at++) {
-            int c = buffer[at];
+        for (; index < numberEnd; index++) {
+            int c = buffer[index];
             if (c == '.' && !point) {
                 point = true;
             } else if (c >= '0' && c <= '9') {
@@ -227,66 +237,66 @@
                     scale += point ? 0 : 1;
                 }
             } else {
-                return slowDecimal(field, stop, to);
+                return parseDecimal(field, numberEnd, fieldEnd);
             }
         }
         if (digits == 0) {
-            throw notANumber(field, to);
+            throw notANumber(field, fieldEnd);
         }
-        pos = stop + 1;
+        position = numberEnd + 1;
         double value = scale == 0 ? mantissa : mantissa * Math.pow(10, scale);
         return negative ? -value : value;
     }
 
-    private double slowDecimal(String field, int stop, int to) {
+    private double parseDecimal(String field, int numberEnd, int fieldEnd) {
         try {
-            double value = Double.parseDouble(new String(buffer, pos, stop - pos, StandardCharsets.US_ASCII));
+            double value = Double.parseDouble(new String(buffer, position, numberEnd - position, StandardCharsets.US_ASCII));
             if (Double.isNaN(value) || Double.isInfinite(value)) {
-                throw notANumber(field, to);
+                throw notANumber(field, fieldEnd);
             }
-            pos = stop + 1;
+            position = numberEnd + 1;
             return value;
         } catch (NumberFormatException e) {
-            throw notANumber(field, to);
+            throw notANumber(field, fieldEnd);
         }
     }
 
-    double number(String field) {
-        return decimal(field, false);
+    double readNumber(String field) {
+        return readDecimal(field, false);
     }
 
-    /** A list of numbers set apart by commas into {@code into}; what is left out or '-' becomes NaN. */
-    void numbers(String field, double[] into) {
+    /** Reads comma-separated numbers into an array; missing ones and '-' become NaN, excess ones are ignored. */
+    void readNumbers(String field, double[] into) {
         java.util.Arrays.fill(into, Double.NaN);
-        if (absent()) {
+        if (skipIfAbsent()) {
             return;
         }
-        int to = fieldEnd(field);
-        for (int i = 0; pos < to; i++) {
-            boolean empty = buffer[pos] == ',' || buffer[pos] == '-' && (pos + 1 == to || buffer[pos + 1] == ',');
+        int fieldEnd = findFieldEnd(field);
+        for (int i = 0; position < fieldEnd; i++) {
+            boolean empty = buffer[position] == ',' || buffer[position] == '-' && (position + 1 == fieldEnd || buffer[position + 1] == ',');
             double value = Double.NaN;
             if (empty) {
-                pos += buffer[pos] == ',' ? 1 : 2;
+                position += buffer[position] == ',' ? 1 : 2;
             } else {
-                value = decimal(field, true);
+                value = readDecimal(field, true);
             }
             if (i < into.length) {
                 into[i] = value;
             }
         }
-        pos = to + 1;
+        position = fieldEnd + 1;
     }
 
-    byte[] base64(String field) {
-        int to = fieldEnd(field);
-        if (to - pos == 1 && buffer[pos] == '-') {
-            pos = to + 1;
+    byte[] readBase64(String field) {
+        int fieldEnd = findFieldEnd(field);
+        if (fieldEnd - position == 1 && buffer[position] == '-') {
+            position = fieldEnd + 1;
             return new byte[0];
         }
         try {
-            byte[] coded = java.util.Arrays.copyOfRange(buffer, pos, to);
+            byte[] coded = java.util.Arrays.copyOfRange(buffer, position, fieldEnd);
             byte[] value = java.util.Base64.getDecoder().decode(coded);
-            pos = to + 1;
+            position = fieldEnd + 1;
             return value;
         } catch (IllegalArgumentException e) {
             throw malformed("field " + field + " is not base64");
--- a/src/main/java/saffronferry/adapter/LineWriter.java
+++ b/src/main/java/saffronferry/adapter/LineWriter.java
@@ -6,42 +6,45 @@
 import java.util.Arrays;
 import java.util.Base64;
 
-/** Builds reply lines in one byte buffer. */
+/** Builds the reply lines of a batch in a byte buffer. */
 final class LineWriter {
-    private byte[] buffer = new byte[1 << 16];
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
 
-    private void room(int more) {
-        if (size + more > buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + more));
+    private void ensureRoom(int bytes) {
+        if (size + bytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + bytes));
         }
     }
 
-    /** ASCII text. */
+    /** Appends a text of ASCII characters. */
     @SuppressWarnings("deprecation")
-    LineWriter text(String s) {
-        room(s.length());
-        s.getBytes(0, s.length(), buffer, size);
-        size += s.length();
+    LineWriter text(String text) {
+        ensureRoom(text.length());
+        text.getBytes(0, text.length(), buffer, size);
+        size += text.length();
         return this;
     }
 
-    LineWriter free(String s) {
-        byte[] bytes = s.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
-        room(bytes.length);
+    /** Appends any text in UTF-8, its line breaks replaced by spaces. */
+    LineWriter utf8Text(String text) {
+        byte[] bytes = text.replace('\n', ' ').replace('\r', ' ').getBytes(StandardCharsets.UTF_8);
+        ensureRoom(bytes.length);
         System.arraycopy(bytes, 0, buffer, size, bytes.length);
         size += bytes.length;
         return this;
     }
 
     LineWriter space() {
-        room(1);
+        ensureRoom(1);
         buffer[size++] = ' ';
         return this;
     }
 
     LineWriter number(long value) {
-        room(20);
+        ensureRoom(20);
         if (value < 0) {
             buffer[size++] = '-';
             value = -value;
@@ -58,17 +61,17 @@
         return this;
     }
 
-    /** Microseconds, as seconds. */
+    /** Appends a time, given in microseconds, in seconds without trailing zeros. */
     LineWriter time(long micros) {
         if (micros < 0) {
-            room(1);
+            ensureRoom(1);
             buffer[size++] = '-';
             micros = -micros;
         }
         number(micros / 1_000_000);
         long rest = micros % 1_000_000;
         if (rest != 0) {
-            room(7);
+            ensureRoom(7);
             buffer[size++] = '.';
             for (long unit = 100_000; rest > 0; unit /= 10) {
                 buffer[size++] = (byte) ('0' + rest / unit);
@@ -78,19 +81,20 @@
         return this;
     }
 
+    /** Appends bytes in base64, or '-' if there are none. */
     LineWriter base64(byte[] bytes) {
         if (bytes.length == 0) {
             return text("-");
         }
         byte[] encoded = Base64.getEncoder().encode(bytes);
-        room(encoded.length);
+        ensureRoom(encoded.length);
         System.arraycopy(encoded, 0, buffer, size, encoded.length);
         size += encoded.length;
         return this;
     }
 
-    void end() {
-        room(1);
+    void endLine() {
+        ensureRoom(1);
         buffer[size++] = '\n';
     }
 
