--- a/src/main/java/saffronferry/cli/ConfigCommand.java
+++ b/src/main/java/saffronferry/cli/ConfigCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Spec;
 import saffronferry.lifecycle.Config;
 
-/** What concerns a dispatcher's configuration. */
+/** The command {@code config}: checks a dispatcher's configuration. */
 @Command(name = "config", description = "Checks a dispatcher's configuration.")
 final class ConfigCommand implements Runnable {
     @Spec
@@ -18,8 +18,8 @@
         spec.commandLine().usage(spec.commandLine().getOut());
     }
 
-    @Command(name = "check", description = "Reads a configuration as serve does and says what is wrong with it.")
-    int check(@Parameters(paramLabel = "FILE", description = "a JSON file as BALANCER_CONFIG names it") Path file) {
+    @Command(name = "check", description = "Reads a configuration as serve does and reports what is wrong with it.")
+    int check(@Parameters(paramLabel = "FILE", description = "the JSON file that BALANCER_CONFIG would name") Path file) {
         Config.check(file);
         spec.commandLine().getOut().println(file + ": fine");
         return 0;
--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -29,8 +29,8 @@
 import saffronferry.lab.scenario.ScenarioReader;
 import saffronferry.lab.world.World.Day;
 
-/** The laboratory: emulated days in virtual time. */
-@Command(name = "lab", description = "Plays emulated days in virtual time and compares policies.")
+/** The command {@code lab}: simulates scenarios in virtual time. */
+@Command(name = "lab", description = "Simulates scenarios in virtual time and compares policies.")
 final class LabCommand implements Runnable {
     @Spec
     private CommandSpec spec;
@@ -44,142 +44,142 @@
         return spec.commandLine().getOut();
     }
 
-    @Command(name = "run", description = "Plays a scenario's days, one for each seed.")
+    @Command(name = "run", description = "Simulates a scenario, once for each seed.")
     int play(
             @Parameters(paramLabel = "SCENARIO.toml") Path file,
             @Option(names = "--seeds", defaultValue = "1-4", description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
                     String seeds,
             @Option(names = "--policy", defaultValue = "networked-queues", description = "${DEFAULT-VALUE} by default")
                     String policy,
-            @Option(names = "--set", paramLabel = "KEY=VALUE", description = SET) List<String> set,
-            @Option(names = "--out", paramLabel = "DIR", description = "where result.json goes") Path dir,
-            @Option(names = "--threads", description = "days at once; as many as there are cores by default")
+            @Option(names = "--set", paramLabel = "KEY=VALUE", description = SET_DESCRIPTION) List<String> set,
+            @Option(names = "--out", paramLabel = "DIR", description = "directory to write result.json to") Path dir,
+            @Option(names = "--threads", description = "simulations to run in parallel; the number of cores by default")
                     Integer threads)
             throws Exception {
-        Scenario scenario = read(file, set);
+        Scenario scenario = readScenario(file, set);
         Policy chosen = Policy.of(policy);
-        List<Day> days = Lab.run(scenario, chosen, seeds(seeds), threads(threads));
-        table(Map.of(chosen.label(), days));
-        save(dir, Lab.json(scenario, chosen, days).toString(1));
-        return broken(days);
+        List<Day> days = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
+        printTable(Map.of(chosen.label(), days));
+        writeResult(dir, Lab.json(scenario, chosen, days).toString(1));
+        return reportViolations(days);
     }
 
     @Command(
             name = "compare",
-            description = "Plays the same days with several policies and compares them pair by pair.")
+            description = "Simulates the same scenario with several policies and compares them pair by pair.")
     int compare(
             @Parameters(paramLabel = "SCENARIO.toml") Path file,
-            @Option(names = "--policy", description = "give it once for each; all by default") List<String> policies,
+            @Option(names = "--policy", description = "may be repeated; all policies by default") List<String> policies,
             @Option(names = "--seeds", defaultValue = "1-8", description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
                     String seeds,
-            @Option(names = "--set", paramLabel = "KEY=VALUE", description = SET) List<String> set,
-            @Option(names = "--threads", description = "days at once; as many as there are cores by default")
+            @Option(names = "--set", paramLabel = "KEY=VALUE", description = SET_DESCRIPTION) List<String> set,
+            @Option(names = "--threads", description = "simulations to run in parallel; the number of cores by default")
                     Integer threads)
             throws Exception {
-        Scenario scenario = read(file, set);
+        Scenario scenario = readScenario(file, set);
         Map<Policy, List<Day>> all = new LinkedHashMap<>();
         for (String label : policies == null ? Policy.labels() : policies) {
-            Policy p = Policy.of(label);
-            all.put(p, Lab.run(scenario, p, seeds(seeds), threads(threads)));
+            Policy policyToRun = Policy.of(label);
+            all.put(policyToRun, Lab.run(scenario, policyToRun, parseSeeds(seeds), threadCount(threads)));
         }
         Map<String, List<Day>> byLabel = new LinkedHashMap<>();
-        all.forEach((p, days) -> byLabel.put(p.label(), days));
-        table(byLabel);
-        List<Policy> order = List.copyOf(all.keySet());
+        all.forEach((policyToRun, days) -> byLabel.put(policyToRun.label(), days));
+        printTable(byLabel);
+        List<Policy> compared = List.copyOf(all.keySet());
         out().println();
-        for (Policy other : order.subList(1, order.size())) {
-            out().println(order.get(0).label() + " against " + other.label() + ": "
-                    + PairedDifference.of(all.get(order.get(0)), all.get(other)));
+        for (Policy other : compared.subList(1, compared.size())) {
+            out().println(compared.get(0).label() + " against " + other.label() + ": "
+                    + PairedDifference.of(all.get(compared.get(0)), all.get(other)));
         }
-        return broken(all.values().stream().flatMap(List::stream).toList());
+        return reportViolations(all.values().stream().flatMap(List::stream).toList());
     }
 
     @Command(
             name = "sweep",
             description =
-                    "Plays the same days with several values of one key, or of " + "several keys that change together.")
+                    "Simulates the same scenario with several values of one key, or of several keys that change together.")
     int sweep(
             @Parameters(paramLabel = "SCENARIO.toml") Path file,
             @Option(
                             names = "--set",
                             required = true,
                             paramLabel = "KEY=V1,V2,...",
-                            description = "a key as lab explain prints it, and its values; given again, the first "
-                                    + "value of each key goes with the first of the others")
+                            description = "a key as lab explain prints it, and its values; if repeated, the first "
+                                    + "values of all keys are combined, then the second ones, and so on")
                     List<String> set,
             @Option(names = "--policy", defaultValue = "networked-queues", description = "${DEFAULT-VALUE} by default")
                     String policy,
             @Option(names = "--seeds", defaultValue = "1-4", description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
                     String seeds,
-            @Option(names = "--threads", description = "days at once; as many as there are cores by default")
+            @Option(names = "--threads", description = "simulations to run in parallel; the number of cores by default")
                     Integer threads,
             @Option(
                             names = "--out",
                             paramLabel = "RESULT.json",
-                            description = "where each play's sizes and figures go, for scale-fit")
+                            description = "result file for scale-fit: sizes and figures of each simulation")
                     Path result)
             throws Exception {
         Policy chosen = Policy.of(policy);
         Map<String, List<Day>> all = new LinkedHashMap<>();
         JSONArray plays = new JSONArray();
-        List<List<String>> steps = Sweep.together(set);
+        List<List<String>> combinations = Sweep.together(set);
         if (result != null) {
-            // guards against the first size's decisions being timed before they are compiled
-            Lab.run(read(file, steps.get(0)), chosen, seeds(seeds).subList(0, 1), 1);
+            // Warm up the JIT compiler: otherwise the decisions of the first size would be timed before compilation.
+            Lab.run(readScenario(file, combinations.get(0)), chosen, parseSeeds(seeds).subList(0, 1), 1);
         }
-        for (List<String> values : steps) {
-            Scenario scenario = read(file, values);
-            List<Day> days = Lab.run(scenario, chosen, seeds(seeds), threads(threads));
+        for (List<String> values : combinations) {
+            Scenario scenario = readScenario(file, values);
+            List<Day> days = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
             all.put(String.join(" ", values), days);
             days.forEach(day -> plays.put(Sweep.play(scenario, day)));
         }
-        table(all);
+        printTable(all);
         if (result != null) {
             Files.writeString(
-                    result, Sweep.json(read(file, List.of()).name(), plays).toString(1) + "\n");
+                    result, Sweep.json(readScenario(file, List.of()).name(), plays).toString(1) + "\n");
             out().println("wrote " + result);
         }
-        return broken(all.values().stream().flatMap(List::stream).toList());
+        return reportViolations(all.values().stream().flatMap(List::stream).toList());
     }
 
     @Command(
             name = "explore",
-            description = "Drives three dispatchers' shares through every order of "
-                    + "faults to a depth, as built and in wrong ways; 3 where a bound broke as built, or held in "
-                    + "a wrong way.")
+            description = "Explores every order of faults up to a depth for the shares of three dispatchers, as built "
+                    + "and with deliberate errors; exits with 3 if a bound is violated as built, or holds in spite of "
+                    + "an error.")
     int explore(
             @Option(names = "--depth", defaultValue = "8", description = "steps (${DEFAULT-VALUE})") int depth,
-            @Option(names = "--faults", defaultValue = "2", description = "in one story (${DEFAULT-VALUE})") int faults,
+            @Option(names = "--faults", defaultValue = "2", description = "at most, in one execution (${DEFAULT-VALUE})") int faults,
             @Option(names = "--states", defaultValue = "3000000", description = "at most (${DEFAULT-VALUE})")
                     int states) {
-        boolean right = true;
-        for (SharesModel.Variant v : SharesModel.Variant.values()) {
-            right &= explored(new SharesModel(v, faults), depth, states, v == SharesModel.Variant.AS_BUILT);
+        boolean allAsExpected = true;
+        for (SharesModel.Variant variant : SharesModel.Variant.values()) {
+            allAsExpected &= exploreModel(new SharesModel(variant, faults), depth, states, variant == SharesModel.Variant.AS_BUILT);
         }
-        for (EscrowModel.Variant v : EscrowModel.Variant.values()) {
-            right &= explored(new EscrowModel(v), depth, states, v == EscrowModel.Variant.AS_BUILT);
+        for (EscrowModel.Variant variant : EscrowModel.Variant.values()) {
+            allAsExpected &= exploreModel(new EscrowModel(variant), depth, states, variant == EscrowModel.Variant.AS_BUILT);
         }
-        return right ? 0 : Main.BROKEN;
+        return allAsExpected ? 0 : Main.EXIT_CHECK_FAILED;
     }
 
-    private <S> boolean explored(Model<S> model, int depth, int states, boolean asBuilt) {
-        long begun = System.nanoTime();
-        Explorer.Result seen = Explorer.explore(model, depth, states);
+    private <S> boolean exploreModel(Model<S> model, int depth, int states, boolean asBuilt) {
+        long startNs = System.nanoTime();
+        Explorer.Result result = Explorer.explore(model, depth, states);
         out().printf(
                         Locale.ROOT,
                         "%s: %d states, depth %d%s, %.1f s: %s%n",
                         model,
-                        seen.states(),
-                        seen.depth(),
-                        seen.whole() ? "" : " not whole",
-                        (System.nanoTime() - begun) / 1e9,
-                        seen.broken() == null ? "held" : seen.broken());
-        seen.story().forEach(step -> out().println("  " + step));
+                        result.states(),
+                        result.depth(),
+                        result.whole() ? "" : " not whole",
+                        (System.nanoTime() - startNs) / 1e9,
+                        result.broken() == null ? "held" : result.broken());
+        result.story().forEach(step -> out().println("  " + step));
         out().flush();
-        return asBuilt == (seen.broken() == null);
+        return asBuilt == (result.broken() == null);
     }
 
-    @Command(name = "explain", description = "Prints every value of a scenario with its unit, defaults too.")
+    @Command(name = "explain", description = "Prints every value of a scenario with its unit, defaults included.")
     int explain(@Parameters(paramLabel = "SCENARIO.toml") Path file) throws IOException {
         try {
             ScenarioReader.explain(file).forEach(out()::println);
@@ -189,18 +189,19 @@
         }
     }
 
-    private static final String SET = "a key as lab explain prints it, with another value";
+    private static final String SET_DESCRIPTION = "a key as lab explain prints it, with another value";
 
-    /** Reads a scenario, some values of it replaced. */
-    static Scenario read(Path file, List<String> set) throws IOException {
+    /** Reads a scenario, with the given values replaced. */
+    static Scenario readScenario(Path file, List<String> set) throws IOException {
         try {
             return ScenarioReader.read(file, set == null ? List.of() : set);
         } catch (ScenarioException e) {
-            throw new IllegalArgumentException("this scenario cannot be played:\n" + e.getMessage());
+            throw new IllegalArgumentException("invalid scenario:\n" + e.getMessage());
         }
     }
 
-    static List<Long> seeds(String text) {
+    /** Parses a list of seeds and ranges of seeds. */
+    static List<Long> parseSeeds(String text) {
         List<Long> result = new ArrayList<>();
         try {
             for (String part : text.split(",")) {
@@ -219,11 +220,11 @@
         return result;
     }
 
-    private static int threads(Integer given) {
+    private static int threadCount(Integer given) {
         return given == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, given);
     }
 
-    private void table(Map<String, List<Day>> all) {
+    private void printTable(Map<String, List<Day>> all) {
         out().printf(
                         Locale.ROOT,
                         "%-24s %5s %6s %6s %6s %6s %9s %8s %8s %9s %10s %6s %6s %7s%n",
@@ -278,7 +279,7 @@
         return days.stream().mapToDouble(d -> d.json().getDouble(key)).sum();
     }
 
-    private void save(Path dir, String json) throws IOException {
+    private void writeResult(Path dir, String json) throws IOException {
         if (dir != null) {
             Files.createDirectories(dir);
             Path file = Files.writeString(dir.resolve("result.json"), json + "\n");
@@ -286,10 +287,11 @@
         }
     }
 
-    private int broken(List<Day> days) {
+    /** Prints the first violated rules, and returns the exit code. */
+    private int reportViolations(List<Day> days) {
         List<RuleChecker.Broken> all =
                 days.stream().flatMap(d -> d.broken().stream()).toList();
-        all.stream().limit(3).forEach(b -> spec.commandLine().getErr().println(b));
-        return all.isEmpty() ? 0 : Main.BROKEN;
+        all.stream().limit(3).forEach(violation -> spec.commandLine().getErr().println(violation));
+        return all.isEmpty() ? 0 : Main.EXIT_CHECK_FAILED;
     }
 }
--- a/src/main/java/saffronferry/cli/Main.java
+++ b/src/main/java/saffronferry/cli/Main.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.ScopeType;
 import saffronferry.lifecycle.Serve;
 
-/** The command line. {@code serve} and {@code adapter} go their way before any of it is loaded. */
+/** The command line. {@code serve} and {@code adapter} start without loading the command line parser. */
 @Command(
         name = "saffronferry",
         mixinStandardHelpOptions = true,
@@ -22,18 +22,18 @@
             ScaleFitCommand.class,
             GenerateCompletion.class
         },
-        description = "A dispatcher that pushes jobs to workers, its laboratory and its fault rig.",
+        description = "A dispatcher between clients and workers, with its simulation laboratory and its fault rig.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:done", "1:cannot run", "2:bad usage or configuration", "3:a rule or a bound was broken"})
+        exitCodeList = {"0:done", "1:cannot run", "2:bad usage or configuration", "3:a rule, a bound or a limit was violated"})
 public final class Main {
-    /** A rule was broken. */
-    static final int BROKEN = 3;
+    /** Exit code: a rule, a bound or a limit was violated. */
+    static final int EXIT_CHECK_FAILED = 3;
 
     private Main() {}
 
     public static void main(String[] args) {
-        String only = args.length == 1 ? args[0] : "";
-        switch (only) {
+        String onlyArgument = args.length == 1 ? args[0] : "";
+        switch (onlyArgument) {
             case "serve" -> Serve.run();
             case "adapter" -> saffronferry.adapter.AdapterMain.run();
             default -> System.exit(execute(args));
@@ -51,7 +51,7 @@
                 .execute(args);
     }
 
-    @Command(name = "serve", description = "A real dispatcher; BALANCER_CONFIG names its configuration.")
+    @Command(name = "serve", description = "Runs a dispatcher; BALANCER_CONFIG names its configuration file.")
     static final class ServeCommand implements Runnable {
         @Override
         public void run() {
@@ -59,7 +59,7 @@
         }
     }
 
-    @Command(name = "adapter", description = "The same decisions in the simulator, on standard input and output.")
+    @Command(name = "adapter", description = "Runs dispatchers under a simulator, over standard input and output.")
     static final class AdapterCommand implements Runnable {
         @Override
         public void run() {
--- a/src/main/java/saffronferry/cli/RigCommand.java
+++ b/src/main/java/saffronferry/cli/RigCommand.java
@@ -21,8 +21,8 @@
 import saffronferry.rig.IdleDispatcher;
 import saffronferry.rig.Rig;
 
-/** The fault rig: real processes in real time. */
-@Command(name = "rig", description = "Plays scenarios with several real dispatchers and faults between them.")
+/** The command {@code rig}: runs real dispatcher processes and injects faults. */
+@Command(name = "rig", description = "Runs scenarios with several real dispatchers and faults between them.")
 final class RigCommand implements Runnable {
     @Spec
     private CommandSpec spec;
@@ -34,8 +34,8 @@
 
     @Command(
             name = "fleet",
-            description = "Plays a scenario on loopback, in real time, once for each seed; "
-                    + "3 where a rule or a bound did not hold.")
+            description = "Runs a scenario on loopback, in real time, once for each seed; "
+                    + "exits with 3 if a rule or a bound was violated.")
     int fleet(
             @Parameters(paramLabel = "SCENARIO.toml") Path file,
             @Option(names = "--seeds", defaultValue = "1", description = "as 1-8 or 1,5,9 (${DEFAULT-VALUE})")
@@ -45,52 +45,52 @@
                             paramLabel = "KEY=VALUE",
                             description = "a key as lab explain prints it, with another value")
                     List<String> set,
-            @Option(names = "--out", paramLabel = "FILE", description = "where the JSON result goes") Path out,
-            @Option(names = "--logs", paramLabel = "DIR", description = "where the dispatchers' logs go") Path logs)
+            @Option(names = "--out", paramLabel = "FILE", description = "file to write the JSON result to") Path out,
+            @Option(names = "--logs", paramLabel = "DIR", description = "directory for the dispatchers' logs") Path logs)
             throws IOException, InterruptedException {
-        Scenario scenario = LabCommand.read(file, set);
+        Scenario scenario = LabCommand.readScenario(file, set);
         List<JSONObject> all = new ArrayList<>();
-        head();
-        for (long seed : LabCommand.seeds(seeds)) {
-            JSONObject seen = Rig.play(scenario, seed, logs == null ? null : logs.resolve("seed-" + seed));
-            all.add(seen);
-            row(seen);
+        printHeader();
+        for (long seed : LabCommand.parseSeeds(seeds)) {
+            JSONObject result = Rig.play(scenario, seed, logs == null ? null : logs.resolve("seed-" + seed));
+            all.add(result);
+            printRow(result);
         }
         if (out != null) {
             Files.writeString(out, new JSONArray(all).toString(1) + "\n");
         }
-        all.forEach(this::breach);
-        return all.stream().allMatch(seen -> seen.getBoolean("held")) ? 0 : Main.BROKEN;
+        all.forEach(this::printViolations);
+        return all.stream().allMatch(result -> result.getBoolean("held")) ? 0 : Main.EXIT_CHECK_FAILED;
     }
 
     @Command(
             name = "idle",
-            description = "Measures one dispatcher that nobody asks anything, beside "
-                    + "lists of several lengths, for the scenario's length each; 3 where a stated limit was broken.")
+            description = "Measures one dispatcher without requests, with worker lists of "
+                    + "several lengths, for the scenario's length each; exits with 3 if a given limit was exceeded.")
     int idle(
             @Parameters(paramLabel = "SCENARIO.toml") Path file,
             @Option(
                             names = "--workers",
                             split = ",",
                             paramLabel = "N",
-                            description = "lengths of the list; the scenario's by default")
+                            description = "lengths of the worker list; the scenario's by default")
                     List<Integer> workers,
             @Option(
                             names = "--changes",
                             defaultValue = "0.67",
-                            description = "of the list, a second (${DEFAULT-VALUE})")
+                            description = "changes of the worker list per second (${DEFAULT-VALUE})")
                     double changes,
             @Option(
                             names = "--settle",
                             defaultValue = "20",
-                            description = "seconds before the first look (${DEFAULT-VALUE})")
+                            description = "seconds before the measurement starts (${DEFAULT-VALUE})")
                     double settle,
             @Option(names = "--seed", defaultValue = "1", description = "(${DEFAULT-VALUE})") long seed,
             @Option(
                             names = "--deploy",
                             defaultValue = "deploy/balancer.toml",
                             paramLabel = "FILE",
-                            description = "whose key run starts the dispatcher (${DEFAULT-VALUE})")
+                            description = "file whose key run starts the dispatcher (${DEFAULT-VALUE})")
                     Path deploy,
             @Option(names = "--most-core-percent", description = "a limit") Double mostCore,
             @Option(names = "--most-resident-mb", description = "a limit") Double mostResident,
@@ -99,10 +99,10 @@
                             paramLabel = "KEY=VALUE",
                             description = "a key as lab explain prints it, with another value")
                     List<String> set,
-            @Option(names = "--out", paramLabel = "FILE", description = "where the JSON result goes") Path out)
+            @Option(names = "--out", paramLabel = "FILE", description = "file to write the JSON result to") Path out)
             throws IOException, InterruptedException {
-        IdleDispatcher.Options options = new IdleDispatcher.Options(run(deploy), changes, settle);
-        Scenario scenario = LabCommand.read(file, set);
+        IdleDispatcher.Options options = new IdleDispatcher.Options(readStartCommand(deploy), changes, settle);
+        Scenario scenario = LabCommand.readScenario(file, set);
         JSONArray plays = new JSONArray();
         boolean held = true;
         out().printf(
@@ -116,25 +116,25 @@
                         "wake-ups",
                         "bytes/s",
                         "list bytes");
-        for (int n : workers == null ? List.of(scenario.workers()) : workers) {
+        for (int workerCount : workers == null ? List.of(scenario.workers()) : workers) {
             List<String> values = new ArrayList<>(set == null ? List.of() : set);
-            values.add("fleet.workers=" + n);
-            JSONObject play = IdleDispatcher.play(LabCommand.read(file, values), seed, options);
+            values.add("fleet.workers=" + workerCount);
+            JSONObject play = IdleDispatcher.play(LabCommand.readScenario(file, values), seed, options);
             plays.put(play);
-            JSONObject f = play.getJSONObject("figures");
+            JSONObject figures = play.getJSONObject("figures");
             out().printf(
                             Locale.ROOT,
                             "%8d %6d %8.2f %9.1f %9.1f %9.1f %9.1f %11d%n",
-                            n,
+                            workerCount,
                             play.getInt("zones"),
-                            f.getDouble("core_percent"),
-                            f.getDouble("resident_mb"),
-                            f.getDouble("resident_peak_mb"),
-                            f.getDouble("wake_ups_per_s"),
-                            f.getDouble("list_bytes_in_per_s"),
-                            f.getLong("list_whole_bytes"));
+                            figures.getDouble("core_percent"),
+                            figures.getDouble("resident_mb"),
+                            figures.getDouble("resident_peak_mb"),
+                            figures.getDouble("wake_ups_per_s"),
+                            figures.getDouble("list_bytes_in_per_s"),
+                            figures.getLong("list_whole_bytes"));
             out().flush();
-            held &= within(n, f, "core_percent", mostCore) & within(n, f, "resident_mb", mostResident);
+            held &= checkLimit(workerCount, figures, "core_percent", mostCore) & checkLimit(workerCount, figures, "resident_mb", mostResident);
         }
         if (out != null) {
             Files.writeString(
@@ -145,26 +145,26 @@
                                     .put("plays", plays)
                                     .toString(1) + "\n");
         }
-        return held ? 0 : Main.BROKEN;
+        return held ? 0 : Main.EXIT_CHECK_FAILED;
     }
 
     @Command(
             name = "processes",
-            description = "Plays a scenario with dispatchers started as a "
-                    + "deployment does, and measures each; 3 where a rule, a bound or a stated limit was broken.")
+            description = "Runs a scenario with dispatchers started as a deployment does, and measures each; "
+                    + "exits with 3 if a rule, a bound or a given limit was violated.")
     int processes(
             @Parameters(paramLabel = "SCENARIO.toml") Path file,
             @Option(
                             names = "--settle",
                             defaultValue = "20",
-                            description = "seconds of the day before the first look (${DEFAULT-VALUE})")
+                            description = "seconds of the scenario before the measurement starts (${DEFAULT-VALUE})")
                     double settle,
             @Option(names = "--seed", defaultValue = "1", description = "(${DEFAULT-VALUE})") long seed,
             @Option(
                             names = "--deploy",
                             defaultValue = "deploy/balancer.toml",
                             paramLabel = "FILE",
-                            description = "whose key run starts the dispatchers (${DEFAULT-VALUE})")
+                            description = "file whose key run starts the dispatchers (${DEFAULT-VALUE})")
                     Path deploy,
             @Option(names = "--most-core-percent", description = "a limit for each") Double mostCore,
             @Option(names = "--most-resident-mb", description = "a limit for each") Double mostResident,
@@ -173,18 +173,18 @@
                             paramLabel = "KEY=VALUE",
                             description = "a key as lab explain prints it, with another value")
                     List<String> set,
-            @Option(names = "--out", paramLabel = "FILE", description = "where the JSON result goes") Path out,
-            @Option(names = "--logs", paramLabel = "DIR", description = "where the dispatchers' logs go") Path logs)
+            @Option(names = "--out", paramLabel = "FILE", description = "file to write the JSON result to") Path out,
+            @Option(names = "--logs", paramLabel = "DIR", description = "directory for the dispatchers' logs") Path logs)
             throws IOException, InterruptedException {
-        Scenario scenario = LabCommand.read(file, set);
+        Scenario scenario = LabCommand.readScenario(file, set);
         if (settle * 1e6 >= scenario.length()) {
             throw new IllegalArgumentException(
                     "--settle: is not before the end of the day, " + scenario.length() / 1e6 + " s: " + settle);
         }
-        JSONObject seen = Rig.play(scenario, seed, logs, new Rig.Measured(run(deploy), settle));
-        JSONObject figures = FleetUse.summary(seen.getJSONArray("processes"));
+        JSONObject result = Rig.play(scenario, seed, logs, new Rig.Measured(readStartCommand(deploy), settle));
+        JSONObject figures = FleetUse.summary(result.getJSONArray("processes"));
         for (String name : List.of("requests", "served", "refused", "failed", "datagrams", "rules_broken")) {
-            figures.put(name, seen.getInt(name));
+            figures.put(name, result.getInt(name));
         }
         if (out != null) {
             JSONObject play = new JSONObject()
@@ -194,7 +194,7 @@
                     .put("settled_s", settle)
                     .put("seconds", scenario.length() / 1e6 - settle)
                     .put("figures", figures)
-                    .put("processes", seen.getJSONArray("processes"));
+                    .put("processes", result.getJSONArray("processes"));
             Files.writeString(
                     out,
                     new JSONObject()
@@ -207,26 +207,27 @@
         figures.keySet().stream()
                 .sorted()
                 .forEach(name -> out().printf(Locale.ROOT, "%-40s %12.3f%n", name, figures.getDouble(name)));
-        breach(seen);
-        return seen.getBoolean("held")
-                        & within(scenario.workers(), figures, "core_percent_most", mostCore)
-                        & within(scenario.workers(), figures, "resident_mb_most", mostResident)
+        printViolations(result);
+        return result.getBoolean("held")
+                        & checkLimit(scenario.workers(), figures, "core_percent_most", mostCore)
+                        & checkLimit(scenario.workers(), figures, "resident_mb_most", mostResident)
                 ? 0
-                : Main.BROKEN;
+                : Main.EXIT_CHECK_FAILED;
     }
 
-    private boolean within(int workers, JSONObject figures, String figure, Double most) {
-        boolean held = most == null || figures.getDouble(figure) <= most;
+    /** Returns whether a figure is within its limit, if there is one; prints it otherwise. */
+    private boolean checkLimit(int workers, JSONObject figures, String figure, Double limit) {
+        boolean held = limit == null || figures.getDouble(figure) <= limit;
         if (!held) {
             spec.commandLine()
                     .getErr()
-                    .println(workers + " workers: " + figure + " " + figures.getDouble(figure) + ", limit " + most);
+                    .println(workers + " workers: " + figure + " " + figures.getDouble(figure) + ", limit " + limit);
         }
         return held;
     }
 
-    /** A deployment's line that starts a dispatcher. */
-    private static String run(Path deploy) throws IOException {
+    /** Reads the command line that starts a dispatcher from a deployment file. */
+    private static String readStartCommand(Path deploy) throws IOException {
         TomlParseResult toml = Toml.parse(Files.readString(deploy));
         if (toml.hasErrors()) {
             throw new IllegalArgumentException(
@@ -234,7 +235,7 @@
                             + toml.errors().get(0).getMessage());
         }
         if (!toml.isString("run")) {
-            throw new IllegalArgumentException(deploy + ": run: expected the line that starts a dispatcher");
+            throw new IllegalArgumentException(deploy + ": run: expected the command line that starts a dispatcher");
         }
         return toml.getString("run");
     }
@@ -243,7 +244,7 @@
         return spec.commandLine().getOut();
     }
 
-    private void head() {
+    private void printHeader() {
         out().printf(
                         Locale.ROOT,
                         "%5s %8s %7s %7s %7s %6s %5s %6s %8s %6s %8s %9s %7s%n",
@@ -263,50 +264,50 @@
         out().flush();
     }
 
-    private void row(JSONObject r) {
-        double requests = Math.max(1, r.getInt("requests"));
+    private void printRow(JSONObject result) {
+        double requests = Math.max(1, result.getInt("requests"));
         out().printf(
                         Locale.ROOT,
                         "%5d %8d %7d %7d %7d %6d %5d %6.3f %8.2f %6.2f %8.2f %9.2f %7d%n",
-                        r.getLong("seed"),
-                        r.getInt("requests"),
-                        r.getInt("served"),
-                        r.getInt("in_time"),
-                        r.getInt("refused"),
-                        r.getInt("failed"),
-                        r.getInt("unreachable") + r.getInt("died_with_it") + r.getInt("no_answer"),
-                        r.getDouble("worth_served"),
-                        r.getInt("attempts") / requests,
-                        r.getDouble("cold_multiple"),
-                        r.getDouble("cold_used_mean"),
-                        r.getLong("datagrams") / requests,
-                        r.getInt("rules_broken"));
+                        result.getLong("seed"),
+                        result.getInt("requests"),
+                        result.getInt("served"),
+                        result.getInt("in_time"),
+                        result.getInt("refused"),
+                        result.getInt("failed"),
+                        result.getInt("unreachable") + result.getInt("died_with_it") + result.getInt("no_answer"),
+                        result.getDouble("worth_served"),
+                        result.getInt("attempts") / requests,
+                        result.getDouble("cold_multiple"),
+                        result.getDouble("cold_used_mean"),
+                        result.getLong("datagrams") / requests,
+                        result.getInt("rules_broken"));
         out().flush();
     }
 
-    /** What did not hold, and the story of the first rule that was broken. */
-    private void breach(JSONObject seen) {
+    /** Prints the violated bounds and the first violated rules, each rule with the events that led to it. */
+    private void printViolations(JSONObject result) {
         PrintWriter err = spec.commandLine().getErr();
-        long seed = seen.getLong("seed");
-        for (Object o : seen.getJSONArray("bounds")) {
-            JSONObject bound = (JSONObject) o;
+        long seed = result.getLong("seed");
+        for (Object entry : result.getJSONArray("bounds")) {
+            JSONObject bound = (JSONObject) entry;
             if (!bound.getBoolean("held")) {
                 err.println("seed " + seed + ": " + bound.getString("bound") + " " + bound.getDouble("seen")
                         + ", bound " + bound.getDouble("limit"));
             }
         }
-        JSONArray broken = seen.getJSONArray("broken");
+        JSONArray broken = result.getJSONArray("broken");
         for (int i = 0; i < Math.min(3, broken.length()); i++) {
-            JSONObject b = broken.getJSONObject(i);
+            JSONObject violation = broken.getJSONObject(i);
             err.printf(
                     Locale.ROOT,
                     "seed %d: rule %s at %.3f s by dispatcher %d: %s%n",
                     seed,
-                    b.getString("rule"),
-                    b.getDouble("at_s"),
-                    b.getInt("dispatcher"),
-                    b.getString("what"));
-            b.getJSONArray("story").forEach(line -> err.println("  " + line));
+                    violation.getString("rule"),
+                    violation.getDouble("at_s"),
+                    violation.getInt("dispatcher"),
+                    violation.getString("what"));
+            violation.getJSONArray("story").forEach(line -> err.println("  " + line));
         }
     }
 }
--- a/src/main/java/saffronferry/cli/ScaleCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleCommand.java
@@ -21,16 +21,17 @@
 import saffronferry.scale.Scale;
 import saffronferry.scale.Scale.Play;
 
-/** Hollow dispatchers: what each of a large fleet costs. */
+/** The command {@code scale}: measures what each dispatcher of a large simulated fleet costs. */
 @Command(
         name = "scale",
-        description = "Plays a scenario with hollow dispatchers in virtual time and "
-                + "measures what each costs; 3 where a limit of [limits], or a rule, was broken.")
+        description = "Runs a scenario with hollow dispatchers (without sockets) in virtual time and "
+                + "measures what each costs; exits with 3 if a limit of [limits] or a rule was violated.")
 final class ScaleCommand implements Callable<Integer> {
-    /** What a play's line says by itself. */
-    private static final Set<String> TOLD = Set.of("fleet.dispatchers", "fleet.workers");
+    /** Keys that have their own columns in the table. */
+    private static final Set<String> KEYS_IN_ROW = Set.of("fleet.dispatchers", "fleet.workers");
 
-    private static final String CLEAR = "\r\033[K";
+    /** Terminal control sequence that clears the current line. */
+    private static final String CLEAR_LINE = "\r\033[K";
 
     @Spec
     private CommandSpec spec;
@@ -42,35 +43,37 @@
             names = "--set",
             paramLabel = "KEY=V1,V2,...",
             description = "a key as lab explain prints it, "
-                    + "and its values, each played; with several of these every pairing is")
+                    + "and its values; if repeated, every combination of values is run")
     private List<String> set;
 
     @Option(names = "--seed", defaultValue = "1", description = "${DEFAULT-VALUE} by default")
     private long seed;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "where the JSON result goes")
+    @Option(names = "--out", paramLabel = "FILE", description = "file to write the JSON result to")
     private Path out;
 
     @Override
     public Integer call() throws IOException {
-        List<Map<String, String>> settings = settings(set == null ? List.of() : set);
+        List<Map<String, String>> combinations = combinations(set == null ? List.of() : set);
         List<Scenario> scenarios = new ArrayList<>();
-        for (Map<String, String> each : settings) { // all before the first play: a late word would cost it
-            scenarios.add(LabCommand.read(
+        // Read all scenarios before running the first: an error must not show up only after a long run.
+        for (Map<String, String> each : combinations) {
+            scenarios.add(LabCommand.readScenario(
                     file,
                     each.entrySet().stream()
                             .map(e -> e.getKey() + "=" + e.getValue())
                             .toList()));
         }
-        head();
+        printHeader();
         List<Play> plays = new ArrayList<>();
         for (int i = 0; i < scenarios.size(); i++) {
-            Map<String, String> other = new LinkedHashMap<>(settings.get(i));
-            other.keySet().removeAll(TOLD);
+            Map<String, String> other = new LinkedHashMap<>(combinations.get(i));
+            other.keySet().removeAll(KEYS_IN_ROW);
             String play = "play " + (i + 1) + " of " + scenarios.size();
-            plays.add(Scale.play(scenarios.get(i), other, seed, progress(play, scenarios.get(i))));
-            row(plays.get(i));
-            if (out != null) { // after each: a long sweep that is ended keeps what it has
+            plays.add(Scale.play(scenarios.get(i), other, seed, progressPrinter(play, scenarios.get(i))));
+            printRow(plays.get(i));
+            // Write the file after each run, so that an interrupted sweep keeps its results.
+            if (out != null) {
                 Files.writeString(out, Scale.json(file.toString(), seed, plays).toString(1) + "\n");
             }
         }
@@ -79,11 +82,11 @@
                         .getErr()
                         .println(play.scenario().dispatchers() + " dispatchers, "
                                 + play.scenario().workers() + " workers: " + line)));
-        return plays.stream().allMatch(play -> play.broken().isEmpty()) ? 0 : Main.BROKEN;
+        return plays.stream().allMatch(play -> play.broken().isEmpty()) ? 0 : Main.EXIT_CHECK_FAILED;
     }
 
-    /** Every pairing of the keys' values, the last key's changing fastest. */
-    static List<Map<String, String>> settings(List<String> set) {
+    /** Every combination of the keys' values, with the last key's changing fastest. */
+    static List<Map<String, String>> combinations(List<String> set) {
         List<Map<String, String>> all = new ArrayList<>(List.of(Map.of()));
         for (String each : set) {
             int equals = each.indexOf('=');
@@ -103,8 +106,8 @@
         return all;
     }
 
-    /** A line that is written over; none where nobody looks. */
-    private LongConsumer progress(String play, Scenario scenario) {
+    /** Returns a printer of a progress line that is overwritten; it prints nothing if there is no terminal. */
+    private LongConsumer progressPrinter(String play, Scenario scenario) {
         if (System.console() == null) {
             return second -> {};
         }
@@ -116,7 +119,7 @@
                 long day = scenario.length() / 1_000_000;
                 err.printf(
                         Locale.ROOT,
-                        CLEAR + "%s: %d dispatchers, %d workers, %d s of %d s%s",
+                        CLEAR_LINE + "%s: %d dispatchers, %d workers, %d s of %d s%s",
                         play,
                         scenario.dispatchers(),
                         scenario.workers(),
@@ -132,7 +135,7 @@
         return spec.commandLine().getOut();
     }
 
-    private void head() {
+    private void printHeader() {
         out().printf(
                         Locale.ROOT,
                         "%11s %7s %5s %6s %6s %6s %8s %8s %8s %9s %9s %6s %8s %8s %8s %6s %7s%n",
@@ -156,10 +159,10 @@
         out().flush();
     }
 
-    private void row(Play play) {
-        Map<String, Double> f = play.figures();
+    private void printRow(Play play) {
+        Map<String, Double> figures = play.figures();
         if (System.console() != null) {
-            spec.commandLine().getErr().print(CLEAR);
+            spec.commandLine().getErr().print(CLEAR_LINE);
             spec.commandLine().getErr().flush();
         }
         out().printf(
@@ -169,19 +172,19 @@
                         play.scenario().dispatchers(),
                         play.scenario().workers(),
                         play.scenario().zones().size(),
-                        f.get("goal_share"),
-                        f.get("cold_used_share"),
-                        f.get("cold_multiple"),
-                        f.get("pick_us"),
-                        f.get("tick_us"),
-                        f.get("datagram_us"),
-                        f.get("decision_us_per_request"),
-                        f.get("messages_per_request"),
-                        f.get("decision_core_percent"),
-                        f.get("control_bytes_per_s"),
-                        f.get("control_bytes_worst_per_s"),
-                        f.get("start_control_bytes") / 1e3,
-                        f.get("heap_mb_per_dispatcher"),
+                        figures.get("goal_share"),
+                        figures.get("cold_used_share"),
+                        figures.get("cold_multiple"),
+                        figures.get("pick_us"),
+                        figures.get("tick_us"),
+                        figures.get("datagram_us"),
+                        figures.get("decision_us_per_request"),
+                        figures.get("messages_per_request"),
+                        figures.get("decision_core_percent"),
+                        figures.get("control_bytes_per_s"),
+                        figures.get("control_bytes_worst_per_s"),
+                        figures.get("start_control_bytes") / 1e3,
+                        figures.get("heap_mb_per_dispatcher"),
                         play.broken().size());
         out().flush();
     }
--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -21,19 +21,19 @@
 import saffronferry.scale.fit.ResultFile;
 import saffronferry.scale.fit.Source;
 
-/** A straight line through what was measured, its spread, a forecast, and whether a line is the form. */
+/** The command {@code scale-fit}: fits growth forms to measured figures, forecasts, and compares the forms. */
 @Command(
         name = "scale-fit",
         description = "Fits a figure of a result file over a size and forecasts it; "
-                + "says whether a straight line is the right form.")
+                + "reports whether a straight line is the best form.")
 final class ScaleFitCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "RESULT.json", description = "as lab sweep --out leaves it")
+    @Parameters(paramLabel = "RESULT.json", description = "a result file as written by lab sweep --out")
     private Path file;
 
-    @Option(names = "--figure", required = true, description = "a key of the plays' figures")
+    @Option(names = "--figure", required = true, description = "a key of the figures in the result file")
     private String figure;
 
     @Option(names = "--over", required = true, description = "dispatchers, workers, or another size")
@@ -42,10 +42,10 @@
     @Option(names = "--at", required = true, paramLabel = "SIZE", description = "the size to forecast for")
     private double at;
 
-    @Option(names = "--where", paramLabel = "KEY=VALUE,...", description = "only plays with these values")
+    @Option(names = "--where", paramLabel = "KEY=VALUE,...", description = "only results with these values")
     private String where;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "where the JSON goes")
+    @Option(names = "--out", paramLabel = "FILE", description = "file to write the JSON to")
     private Path out;
 
     @Override
@@ -58,72 +58,73 @@
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(file + ": " + figure + " over " + over + ": " + e.getMessage());
         }
-        table(comparison);
+        printTable(comparison);
         if (out != null) {
             Files.writeString(out, json(comparison).toString(1) + "\n");
         }
         return 0;
     }
 
-    private void table(Comparison comparison) {
-        PrintWriter to = spec.commandLine().getOut();
+    private void printTable(Comparison comparison) {
+        PrintWriter writer = spec.commandLine().getOut();
         Fit line = comparison.of(Form.LINE);
-        to.printf(
+        writer.printf(
                 Locale.ROOT,
                 "%s over %s, %d plays from %s to %s; forecast at %s%s%n",
                 figure,
                 over,
                 line.plays(),
-                plain(line.least()),
-                plain(line.most()),
-                plain(at),
-                stretch(line));
-        to.printf(
+                formatSize(line.least()),
+                formatSize(line.most()),
+                formatSize(at),
+                extrapolation(line));
+        writer.printf(
                 "%-10s %12s %12s %12s %12s %12s %10s %12s %12s%n",
                 "", "at 0", "slope", "its s.e.", "residual", "left out", "AIC", "forecast", "+- 95 %");
-        for (Fit f : comparison.fits()) {
-            to.printf(
+        for (Fit fit : comparison.fits()) {
+            writer.printf(
                     Locale.ROOT,
                     "%-10s %12.5g %12.5g %12.5g %12.5g %12.5g %10.2f %12.5g %12.5g%s%n",
-                    f.form().label(),
-                    f.intercept(),
-                    f.slope(),
-                    f.slopeStandardError(),
-                    f.residualError(),
-                    f.errorLeftOut(),
-                    f.aic(),
-                    f.at(at),
-                    f.halfWidth(at),
-                    f == comparison.best() ? "  best" : "");
+                    fit.form().label(),
+                    fit.intercept(),
+                    fit.slope(),
+                    fit.slopeStandardError(),
+                    fit.residualError(),
+                    fit.errorLeftOut(),
+                    fit.aic(),
+                    fit.at(at),
+                    fit.halfWidth(at),
+                    fit == comparison.best() ? "  best" : "");
         }
-        to.println(
+        writer.println(
                 comparison.best() == line
                         ? "a straight line is the best of these forms"
                         : comparison.best().form().label() + " fits better than a straight line");
-        to.flush();
+        writer.flush();
     }
 
-    private String stretch(Fit line) {
+    /** How far the forecast lies beyond the measured sizes; empty if it does not. */
+    private String extrapolation(Fit line) {
         return at <= line.most() ? "" : String.format(Locale.ROOT, ", %.1f times the largest", at / line.most());
     }
 
-    private static String plain(double size) {
+    private static String formatSize(double size) {
         return size == Math.rint(size) ? Long.toString((long) size) : Double.toString(size);
     }
 
     private JSONObject json(Comparison comparison) {
         JSONArray forms = new JSONArray();
-        for (Fit f : comparison.fits()) {
+        for (Fit fit : comparison.fits()) {
             forms.put(new JSONObject()
-                    .put("form", f.form().label())
-                    .put("intercept", f.intercept())
-                    .put("slope", f.slope())
-                    .put("slope_standard_error", f.slopeStandardError())
-                    .put("residual_error", f.residualError())
-                    .put("error_left_out", f.errorLeftOut())
-                    .put("aic", f.aic())
-                    .put("forecast", f.at(at))
-                    .put("half_width_95", f.halfWidth(at)));
+                    .put("form", fit.form().label())
+                    .put("intercept", fit.intercept())
+                    .put("slope", fit.slope())
+                    .put("slope_standard_error", fit.slopeStandardError())
+                    .put("residual_error", fit.residualError())
+                    .put("error_left_out", fit.errorLeftOut())
+                    .put("aic", fit.aic())
+                    .put("forecast", fit.at(at))
+                    .put("half_width_95", fit.halfWidth(at)));
         }
         Fit line = comparison.of(Form.LINE);
         return new JSONObject()
--- a/src/test/java/saffronferry/cli/MainTest.java
+++ b/src/test/java/saffronferry/cli/MainTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line's exit codes, and what it leaves. */
+/** Exit codes of the command line, and the files that it writes. */
 class MainTest {
-    private static final String SMALL = "examples/scale/deploy.toml";
-    private static final String CHEAP = " --set length_s=2 --set trouble[0].at_s=1";
+    private static final String SMALL_SCENARIO = "examples/scale/deploy.toml";
+    private static final String SHORT_RUN = " --set length_s=2 --set trouble[0].at_s=1";
 
     @TempDir
     private Path dir;
 
     @Test
-    void exitCodesSayHowItWent() throws Exception {
+    void exitCodesTellSuccessUsageErrorsAndViolations() throws Exception {
         Path bad = Files.writeString(dir.resolve("bad.toml"), "worker = 3\n");
         Object[][] cases = {
             {0, "--help"},
@@ -49,19 +49,19 @@
             {2, "scale"},
             {2, "scale " + bad},
             {1, "scale " + dir.resolve("none.toml")},
-            {2, "scale " + SMALL + " --set fleet.dispatcher=4"},
-            {2, "scale " + SMALL + " --set fleet.dispatchers"},
-            {2, "scale " + SMALL + " --set fleet.dispatchers=4,many"},
-            {0, "scale " + SMALL + CHEAP},
-            {3, "scale " + SMALL + CHEAP + " --set limits.control_bytes_per_s=1"},
+            {2, "scale " + SMALL_SCENARIO + " --set fleet.dispatcher=4"},
+            {2, "scale " + SMALL_SCENARIO + " --set fleet.dispatchers"},
+            {2, "scale " + SMALL_SCENARIO + " --set fleet.dispatchers=4,many"},
+            {0, "scale " + SMALL_SCENARIO + SHORT_RUN},
+            {3, "scale " + SMALL_SCENARIO + SHORT_RUN + " --set limits.control_bytes_per_s=1"},
         };
-        for (Object[] c : cases) {
-            assertEquals(c[0], Main.execute(((String) c[1]).split(" ")), (String) c[1]);
+        for (Object[] testCase : cases) {
+            assertEquals(testCase[0], Main.execute(((String) testCase[1]).split(" ")), (String) testCase[1]);
         }
     }
 
     @Test
-    void aRunLeavesItsResult() throws Exception {
+    void labRunWritesItsResultFile() throws Exception {
         assertEquals(
                 0,
                 Main.execute(
@@ -80,15 +80,15 @@
         assertTrue(json.contains("\"policy\": \"two-choices\"") && json.contains("\"schema\": 1"), json);
     }
 
-    /** One file for all plays of a sweep, every pairing in it, and what is wrong with a scenario by its place. */
+    /** Every combination of the values is in one file; errors in a scenario are reported with line and column. */
     @Test
-    void aSweepOfScaleLeavesOneFile() throws Exception {
+    void aScaleSweepWritesOneResultFile() throws Exception {
         Path out = dir.resolve("scale.json");
         assertEquals(
                 0,
                 Main.execute(
                         "scale",
-                        SMALL,
+                        SMALL_SCENARIO,
                         "--set",
                         "fleet.dispatchers=2,4",
                         "--set",
@@ -102,7 +102,7 @@
                         "--out",
                         out.toString()));
         JSONObject json = new JSONObject(Files.readString(out));
-        assertEquals(SMALL, json.getString("scenario"));
+        assertEquals(SMALL_SCENARIO, json.getString("scenario"));
         assertEquals(7, json.getInt("seed"));
         JSONArray plays = json.getJSONArray("plays");
         assertEquals(4, plays.length());
@@ -112,7 +112,7 @@
 
         Path bad = Files.writeString(dir.resolve("limits.toml"), "[limits]\npick_us = 3\ncontrol_byte_per_s = 3\n");
         IllegalArgumentException wrong =
-                assertThrows(IllegalArgumentException.class, () -> LabCommand.read(bad, List.of()));
+                assertThrows(IllegalArgumentException.class, () -> LabCommand.readScenario(bad, List.of()));
         assertTrue(
                 wrong.getMessage().contains("limits.toml:3:1: limits.control_byte_per_s: is no key"),
                 wrong.getMessage());
--- a/src/test/java/saffronferry/cli/ScaleFitCommandTest.java
+++ b/src/test/java/saffronferry/cli/ScaleFitCommandTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** From a sweep's result file to a forecast: exit codes, table and JSON. */
+/** Forecasts from the result file of a sweep: exit codes, table and JSON. */
 class ScaleFitCommandTest {
     @TempDir
     private Path dir;
 
     @Test
-    void aSweepIsForecastAndTooFewSizesAreRefused() throws Exception {
+    void aSweepIsForecastAndTooFewSizesAreAnError() throws Exception {
         Path result = dir.resolve("sweep.json");
         String sweep = "lab sweep examples/lab/alumni-hosting.toml --set fleet.dispatchers=2,4,6 --set "
                 + "fleet.workers=4,8,12 --set length_s=5,5,5 --seeds 1 --threads 1 --out " + result;
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void theTableNamesTheBestFormAndHowFarItStretches() throws Exception {
+    void theTableShowsTheBestFormAndTheExtrapolation() throws Exception {
         Path file = Files.writeString(dir.resolve("r.json"), """
                 {"plays": [{"n": 1, "figures": {"f": 4}}, {"n": 2, "figures": {"f": 7}},
                 {"n": 3, "figures": {"f": 12}}, {"n": 4, "figures": {"f": 19}}]}
