--- a/src/main/java/saffronferry/lifecycle/AgreementOptions.java
+++ b/src/main/java/saffronferry/lifecycle/AgreementOptions.java
@@ -25,9 +25,9 @@
             throw new IllegalArgumentException("secret must have at least " + MIN_SECRET_BYTES + " bytes");
         }
         int bytesPerS = json.isNull("bytes_per_s") ? DEFAULT_BYTES_PER_S : json.getInt("bytes_per_s");
-        if (bytesPerS < Gossip.LEAST_BYTES_PER_S) {
+        if (bytesPerS < Gossip.MIN_BYTES_PER_SECOND) {
             throw new IllegalArgumentException(
-                    "bytes_per_s must be at least " + Gossip.LEAST_BYTES_PER_S + ": " + bytesPerS);
+                    "bytes_per_s must be at least " + Gossip.MIN_BYTES_PER_SECOND + ": " + bytesPerS);
         }
         return new AgreementOptions(secret, bytesPerS);
     }
--- a/src/main/java/saffronferry/lifecycle/ConfigDiff.java
+++ b/src/main/java/saffronferry/lifecycle/ConfigDiff.java
@@ -9,8 +9,8 @@
 import org.json.JSONArray;
 import org.json.JSONException;
 import org.json.JSONObject;
-import saffronferry.agree.Changeable;
-import saffronferry.agree.Key;
+import saffronferry.agree.DynamicSetting;
+import saffronferry.agree.SettingKey;
 
 /**
  * The difference between two configurations of a dispatcher.
@@ -18,7 +18,7 @@
  * @param changes new values of settings that may change at run time; null for a removal
  * @param refused other keys that differ; they are read at a start only
  */
-record ConfigDiff(Map<Key, String> changes, List<String> refused) {
+record ConfigDiff(Map<SettingKey, String> changes, List<String> refused) {
     /** Keys that each dispatcher applies for itself, or that may differ at each start. */
     private static final Set<String> LOCAL_KEYS = Set.of("discovery", "known", "seed");
 
@@ -28,9 +28,9 @@
      * @throws IllegalArgumentException naming a faulty key of the new one
      */
     static ConfigDiff between(JSONObject before, JSONObject after) {
-        Map<Key, String> oldValues = changeableValues(before);
-        Map<Key, String> newValues = changeableValues(after);
-        Map<Key, String> changes = new LinkedHashMap<>();
+        Map<SettingKey, String> oldValues = changeableValues(before);
+        Map<SettingKey, String> newValues = changeableValues(after);
+        Map<SettingKey, String> changes = new LinkedHashMap<>();
         newValues.forEach((key, value) -> {
             if (!value.equals(oldValues.get(key))) {
                 changes.put(key, value);
@@ -43,32 +43,32 @@
     }
 
     /** The values of all settings that may change at run time. */
-    static Map<Key, String> changeableValues(JSONObject json) {
-        Map<Key, String> values = new LinkedHashMap<>();
-        for (Changeable setting : Changeable.values()) {
+    static Map<SettingKey, String> changeableValues(JSONObject json) {
+        Map<SettingKey, String> values = new LinkedHashMap<>();
+        for (DynamicSetting setting : DynamicSetting.values()) {
             entriesByName(json, setting).forEach((name, entry) -> {
-                Key key = new Key(setting, name);
+                SettingKey key = new SettingKey(setting, name);
                 values.put(key, value(key, entry));
             });
         }
         return values;
     }
 
-    private static String value(Key key, JSONObject entry) {
+    private static String value(SettingKey key, JSONObject entry) {
         String value;
         try {
-            value = Changeable.text(entry.isNull(key.what().field) ? 0 : entry.getDouble(key.what().field));
+            value = DynamicSetting.formatNumber(entry.isNull(key.setting().field) ? 0 : entry.getDouble(key.setting().field));
         } catch (JSONException e) {
             throw new IllegalArgumentException("configuration key " + key + ": must be a number");
         }
-        String fault = Changeable.fault(key.name(), value);
+        String fault = DynamicSetting.validationError(key.name(), value);
         if (fault != null) {
             throw new IllegalArgumentException("configuration key " + key + ": " + fault);
         }
         return value;
     }
 
-    private static Map<String, JSONObject> entriesByName(JSONObject json, Changeable setting) {
+    private static Map<String, JSONObject> entriesByName(JSONObject json, DynamicSetting setting) {
         Object node = json;
         for (String part : setting.path.split("\\.")) {
             node = node instanceof JSONObject o ? o.opt(part) : null;
@@ -108,7 +108,7 @@
 
     /** Whether a key is a table with changeable fields; if so, adds differences in its other fields to the refused. */
     private static boolean compareTable(String path, JSONObject before, JSONObject after, List<String> refused) {
-        for (Changeable setting : Changeable.values()) {
+        for (DynamicSetting setting : DynamicSetting.values()) {
             if (setting.path.equals(path)) {
                 String last = path.substring(path.lastIndexOf('.') + 1);
                 Map<String, JSONObject> oldEntries = entriesByName(before.optJSONArray(last));
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -280,7 +280,7 @@
     /**
      * Reloads the configuration. SIGHUP runs this on its own thread, since reading a file would block the event loop;
      * one reload at a time, so that the last of several prevails. Only {@code discovery} is applied, and with the
-     * key {@code agree} also the settings that {@link saffronferry.agree.Changeable} names.
+     * key {@code agree} also the settings that {@link saffronferry.agree.DynamicSetting} names.
      */
     synchronized void reload(Supplier<Config> read) {
         try {
--- a/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
+++ b/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
@@ -12,11 +12,11 @@
 import org.json.JSONObject;
 import saffronferry.Contract.Tenant;
 import saffronferry.BalancerEvent;
-import saffronferry.agree.Agreement;
-import saffronferry.agree.Change;
-import saffronferry.agree.Changeable;
+import saffronferry.agree.GossipStatus;
+import saffronferry.agree.SettingChange;
+import saffronferry.agree.DynamicSetting;
 import saffronferry.agree.Gossip;
-import saffronferry.agree.Key;
+import saffronferry.agree.SettingKey;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Metrics;
 import saffronferry.ops.Metrics.Metric;
@@ -35,12 +35,12 @@
     private final Clock clock = new Clock();
     private final Gossip gossip;
     private JSONObject file;
-    private Map<Key, String> fileValues;
+    private Map<SettingKey, String> fileValues;
     private final List<String> tenantNames = new ArrayList<>();
     private final Set<String> knownTenants = new HashSet<>();
     private List<Tenant> tenants;
     private DispatcherNetwork wire;
-    private Agreement.State state;
+    private GossipStatus.State state;
 
     EffectiveSettings(Config config, BoundedLog log) {
         this.log = log;
@@ -50,26 +50,26 @@
         knownTenants.addAll(tenantNames);
         tenants = config.settings.settings.tenants();
         gossip = new Gossip(
-                new Gossip.Setup(
+                new Gossip.Options(
                         config.settings.settings.self(),
                         config.peers.size(),
                         config.agreement.bytesPerS(),
                         config.agreement.secret(),
                         config.settings.settings.seed()),
-                new Gossip.Out() {
+                new Gossip.Callbacks() {
                     @Override
-                    public void tell(int peer, byte[] bytes) {
+                    public void send(int peer, byte[] bytes) {
                         wire.sendToPeer(peer, bytes);
                     }
 
                     @Override
-                    public void taken(List<Change> changes) {
+                    public void changesApplied(List<SettingChange> changes) {
                         logChanges("setting in force", changes);
                         apply();
                     }
                 },
                 clock.now());
-        state = gossip.agreement(clock.now()).state();
+        state = gossip.status(clock.now()).state();
     }
 
     /** A view of the tenants' names by index. The list only grows; an index always stands for the same tenant. */
@@ -80,24 +80,24 @@
     void start(Vertx vertx, DispatcherNetwork wire, Metrics metrics) {
         this.wire = wire;
         metrics.setAdditionalMetrics(this::metrics);
-        wire.onSettingsDatagram((peer, bytes) -> gossip.hear(clock.now(), peer, bytes));
+        wire.onSettingsDatagram((peer, bytes) -> gossip.receive(clock.now(), peer, bytes));
         tick(vertx);
     }
 
     /** Re-arms a one-shot timer: after a pause of half a minute, a periodic one would fire for all missed ticks. */
     private void tick(Vertx vertx) {
-        vertx.setTimer(Gossip.TICK / 1000, t -> tick(vertx));
+        vertx.setTimer(Gossip.TICK_INTERVAL_US / 1000, t -> tick(vertx));
         long now = clock.now();
         gossip.tick(now);
-        Agreement agreement = gossip.agreement(now);
-        if (agreement.state() != state) {
-            state = agreement.state();
+        GossipStatus status = gossip.status(now);
+        if (status.state() != state) {
+            state = status.state();
             log.line(
                     "settings",
                     switch (state) {
-                        case IN_TOUCH -> "agreed upon with another dispatcher, " + agreement.held() + " changes held";
+                        case CONNECTED -> "agreed upon with another dispatcher, " + status.heldChanges() + " changes held";
                         case CATCHING_UP -> "catching up";
-                        case ALONE -> "no contact to other dispatchers; where two quotas are known, the smaller applies";
+                        case ISOLATED -> "no contact to other dispatchers; where two quotas are known, the smaller applies";
                     });
             apply();
         }
@@ -115,7 +115,7 @@
         ConfigDiff diff = ConfigDiff.between(file, next.json);
         diff.refused().forEach(key -> log.line("read at a start only", "configuration key " + key));
         if (!diff.changes().isEmpty()) {
-            gossip.change(clock.now(), diff.changes()).forEach(fault -> log.line("setting not changed", fault));
+            gossip.applyLocalChanges(clock.now(), diff.changes()).forEach(fault -> log.line("setting not changed", fault));
             log.line("settings changed", diff.changes().size() + " by the new file");
         }
         file = next.json;
@@ -123,7 +123,7 @@
         apply();
     }
 
-    private void logChanges(String title, List<Change> changes) {
+    private void logChanges(String title, List<SettingChange> changes) {
         // in one line, because the log writes only the first of many lines with the same title in a second
         String text = changes.stream()
                 .limit(MAX_LOGGED_CHANGES)
@@ -138,20 +138,20 @@
     }
 
     private void apply() {
-        Map<Key, String> values = new HashMap<>(fileValues);
-        for (Change c : gossip.held()) {
+        Map<SettingKey, String> values = new HashMap<>(fileValues);
+        for (SettingChange c : gossip.heldChanges()) {
             String fileValue = values.get(c.key());
-            values.put(c.key(), state == Agreement.State.ALONE ? smallerQuota(fileValue, c.value()) : c.value());
+            values.put(c.key(), state == GossipStatus.State.ISOLATED ? smallerQuota(fileValue, c.value()) : c.value());
         }
-        for (Map.Entry<Key, String> e : values.entrySet()) {
+        for (Map.Entry<SettingKey, String> e : values.entrySet()) {
             String name = e.getKey().name();
-            if (e.getKey().what() == Changeable.ALLOWANCE && e.getValue() != null && knownTenants.add(name)) {
+            if (e.getKey().setting() == DynamicSetting.ALLOWANCE && e.getValue() != null && knownTenants.add(name)) {
                 tenantNames.add(name);
             }
         }
         List<Tenant> next = tenantNames.stream()
                 .map(name -> {
-                    String value = values.get(new Key(Changeable.ALLOWANCE, name));
+                    String value = values.get(new SettingKey(DynamicSetting.ALLOWANCE, name));
                     return new Tenant(name, value == null ? 0 : Double.parseDouble(value));
                 })
                 .toList();
@@ -174,30 +174,30 @@
     }
 
     private List<Metric> metrics() {
-        Agreement a = gossip.agreement(clock.now());
+        GossipStatus a = gossip.status(clock.now());
         return List.of(
                 gauge(
                         "app_settings_state",
                         "0 in touch, 1 catching up, 2 no other is heard.",
                         a.state().ordinal()),
-                gauge("app_settings_held", "Changes of settings held, marks of removals among them.", a.held()),
-                gauge("app_settings_marks", "Of these, marks of removals.", a.marks()),
+                gauge("app_settings_held", "Changes of settings held, marks of removals among them.", a.heldChanges()),
+                gauge("app_settings_marks", "Of these, marks of removals.", a.tombstones()),
                 gauge("app_settings_digest", "Equal where the same changes are held.", a.digest() >>> 32),
                 gauge(
                         "app_settings_newest_seconds",
                         "The newest stamp held, in Unix time; 0 for none.",
-                        a.newest() / 1e6),
+                        a.newestTimestampUs() / 1e6),
                 gauge(
                         "app_settings_behind_seconds",
                         "For how long another is known to hold something else.",
-                        a.behind() / 1e6),
-                counter("app_settings_said_bytes", "Bytes of datagrams said of settings.", a.bytesOut()),
-                counter("app_settings_heard_bytes", "Bytes of such datagrams heard.", a.bytesIn()),
+                        a.divergedUs() / 1e6),
+                counter("app_settings_said_bytes", "Bytes of datagrams said of settings.", a.bytesSent()),
+                counter("app_settings_heard_bytes", "Bytes of such datagrams heard.", a.bytesReceived()),
                 counter(
                         "app_settings_refused",
                         "Changes not taken: faulty, ahead of the clock, too old or too many.",
-                        a.refused()),
-                counter("app_settings_dropped", "Datagrams forged, garbled, late or of another version.", a.dropped()));
+                        a.rejectedChanges()),
+                counter("app_settings_dropped", "Datagrams forged, garbled, late or of another version.", a.droppedDatagrams()));
     }
 
     private static Metric gauge(String name, String help, double value) {
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -162,7 +162,7 @@
     }
 
     private void onDatagram(int peer, byte[] bytes) {
-        if (settingsListener != null && Gossip.speaksOfSettings(bytes)) {
+        if (settingsListener != null && Gossip.isGossipDatagram(bytes)) {
             settingsListener.accept(peer, bytes);
         } else {
             coordinator.report(new BalancerEvent.PeerSaid(peer, bytes));
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -320,8 +320,8 @@
     /** Text sent by clients may appear in a log line: it is truncated and made printable. */
     @Test
     public void logLinesAreTruncatedAndPrintable() {
-        assertEquals("a?[31m?b?", BoundedLog.clean("a\u001b[31m\nb\u00ff"));
-        assertEquals(200, BoundedLog.clean("x".repeat(70_000)).length());
+        assertEquals("a?[31m?b?", BoundedLog.sanitize("a\u001b[31m\nb\u00ff"));
+        assertEquals(200, BoundedLog.sanitize("x".repeat(70_000)).length());
     }
 
     @Test
