--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/Stage.java
@@ -18,7 +18,7 @@
 import saffronferry.BalancerEvent;
 import saffronferry.fleet.WatchEnd;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Channel;
 import saffronferry.state.Clock;
@@ -268,7 +268,7 @@
                         }
                     },
                     this,
-                    new Figures(classes.stream().map(JobClass::name).toList()));
+                    new Metrics(classes.stream().map(JobClass::name).toList()));
         }
 
         void ban(String worker, boolean out) {
