--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -27,7 +27,7 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioException;
 import saffronferry.lab.scenario.ScenarioReader;
-import saffronferry.lab.world.World.Day;
+import saffronferry.lab.world.ClusterSimulation.Day;
 
 /** The laboratory: emulated days in virtual time. */
 @Command(name = "lab", description = "Plays emulated days in virtual time and compares policies.")
--- a/src/main/java/saffronferry/lab/Lab.java
+++ b/src/main/java/saffronferry/lab/Lab.java
@@ -10,8 +10,8 @@
 import org.json.JSONObject;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.world.World;
-import saffronferry.lab.world.World.Day;
+import saffronferry.lab.world.ClusterSimulation;
+import saffronferry.lab.world.ClusterSimulation.Day;
 
 /**
  * Plays a scenario over many seeds, side by side; the result does not depend on how many threads there are.
@@ -29,7 +29,7 @@
         try {
             List<Future<Day>> days = new ArrayList<>();
             for (long seed : seeds) {
-                days.add(pool.submit(() -> World.play(scenario, policy, seed)));
+                days.add(pool.submit(() -> ClusterSimulation.run(scenario, policy, seed)));
             }
             List<Day> result = new ArrayList<>();
             for (Future<Day> day : days) {
--- a/src/main/java/saffronferry/lab/PairedDifference.java
+++ b/src/main/java/saffronferry/lab/PairedDifference.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 import org.apache.commons.statistics.distribution.TDistribution;
-import saffronferry.lab.world.World.Day;
+import saffronferry.lab.world.ClusterSimulation.Day;
 
 /**
  * How the goal differs between two policies on the same days: mean of the differences and the half width of
--- a/src/main/java/saffronferry/lab/Sweep.java
+++ b/src/main/java/saffronferry/lab/Sweep.java
@@ -5,7 +5,7 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.world.World.Day;
+import saffronferry.lab.world.ClusterSimulation.Day;
 
 /** Days at several sizes: which keys change together, and each play as an entry of a result file. */
 public final class Sweep {
--- a/src/main/java/saffronferry/lab/world/Clients.java
+++ b/src/main/java/saffronferry/lab/world/Clients.java
@@ -10,7 +10,7 @@
  * Emulated clients and the front: open-loop arrivals, tries until the deadline, and what becomes of it all.
  */
 final class Clients {
-    private final World world;
+    private final ClusterSimulation world;
     private final Scenario scenario;
     private final Simulation sim;
     private final UniformRandomProvider tries;
@@ -19,7 +19,7 @@
     private long filledAt;
     private long made;
 
-    Clients(World world, double capacity) {
+    Clients(ClusterSimulation world, double capacity) {
         this.world = world;
         scenario = world.scenario;
         sim = world.sim;
--- a/src/main/java/saffronferry/lab/world/World.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -23,7 +23,7 @@
 /**
  * One emulated day. Deterministic: the same scenario, policy and seed give the same day, to the last byte.
  */
-public final class World {
+public final class ClusterSimulation {
     /**
      * What a day came to; {@code json} holds nothing that depends on the machine. {@code decisionMicros} is
      * processor time a request, {@code startMicros} that of all dispatchers before the first request.
@@ -45,7 +45,7 @@
 
     private static final long SETTLE = 2_000_000;
     /** When clients begin to ask, by the clock that brains are handed. */
-    public static final long DAY_STARTS = START + SETTLE;
+    public static final long LOAD_START_US = START + SETTLE;
 
     private static final long FALLEN = 5_000_000;
 
@@ -67,7 +67,7 @@
     private int successors;
     private long busyAtStart;
 
-    private World(Scenario scenario, Policy policy, long seed, Wrap wrap) {
+    private ClusterSimulation(Scenario scenario, Policy policy, long seed, Wrap wrap) {
         this.scenario = scenario;
         this.seed = seed;
         this.wrap = wrap;
@@ -86,13 +86,13 @@
     }
 
     /** Plays a day. */
-    public static Day play(Scenario scenario, Policy policy, long seed) {
-        return play(scenario, policy, seed, (brain, dispatcher) -> brain);
+    public static Day run(Scenario scenario, Policy policy, long seed) {
+        return run(scenario, policy, seed, (brain, dispatcher) -> brain);
     }
 
     /** Plays a day with each brain wrapped, so that tests can sabotage it. */
-    public static Day play(Scenario scenario, Policy policy, long seed, UnaryOperator<Brain> wrap) {
-        return play(scenario, policy, seed, (brain, dispatcher) -> wrap.apply(brain));
+    public static Day run(Scenario scenario, Policy policy, long seed, UnaryOperator<Brain> wrap) {
+        return run(scenario, policy, seed, (brain, dispatcher) -> wrap.apply(brain));
     }
 
     /** Stands between a dispatcher's brain, one for each of its lives, and its world. */
@@ -101,10 +101,10 @@
     }
 
     /** Plays a day with each brain wrapped, so that what passes can be measured. */
-    public static Day play(Scenario scenario, Policy policy, long seed, Wrap wrap) {
+    public static Day run(Scenario scenario, Policy policy, long seed, Wrap wrap) {
         long begun = System.nanoTime();
-        World world = new World(scenario.drawn(seed), policy, seed, wrap);
-        world.run();
+        ClusterSimulation world = new ClusterSimulation(scenario.drawn(seed), policy, seed, wrap);
+        world.runToEnd();
         JSONObject json = world.tally
                 .json(world.sim.done())
                 .put("cold_multiple", Math.round(world.checker.mostCold() * 1e3) / 1e3)
@@ -140,7 +140,7 @@
         return nodes.stream().mapToLong(Node::busyNanos).sum();
     }
 
-    private void run() {
+    private void runToEnd() {
         List<WorkerInfo> known = registry.all();
         nodes.forEach(node -> node.start(known));
         long start = START + SETTLE;
--- a/src/main/java/saffronferry/lab/world/Node.java
+++ b/src/main/java/saffronferry/lab/world/Node.java
@@ -59,7 +59,7 @@
 
     final int number;
     final int zone;
-    private final World world;
+    private final ClusterSimulation world;
     private final Simulation sim;
     private final RuleChecker checker;
     private final Maker maker;
@@ -74,7 +74,7 @@
     private int depth;
     private final List<Runnable> waiting = new ArrayList<>();
 
-    Node(int number, int zone, World world, Maker maker) {
+    Node(int number, int zone, ClusterSimulation world, Maker maker) {
         this.number = number;
         this.zone = zone;
         this.world = world;
--- a/src/main/java/saffronferry/lab/world/Troubles.java
+++ b/src/main/java/saffronferry/lab/world/Troubles.java
@@ -16,10 +16,10 @@
     /** What an emulated dispatcher has no signals for. */
     private static final Set<String> SIGNALS = Set.of("dispatcher_stop", "dispatcher_hup");
 
-    private final World world;
+    private final ClusterSimulation world;
     private final Simulation sim;
 
-    Troubles(World world) {
+    Troubles(ClusterSimulation world) {
         this.world = world;
         sim = world.sim;
     }
@@ -180,7 +180,7 @@
         }
         double more = Math.max(0, t.size() - 1) * world.askedPerSecond(tenant);
         if (more > 0) {
-            world.clients.stream("burst", index, more, tenant, sim.now(), sim.now() + t.length(), World.STEADY);
+            world.clients.stream("burst", index, more, tenant, sim.now(), sim.now() + t.length(), ClusterSimulation.STEADY);
         }
     }
 }
--- a/src/main/java/saffronferry/scale/Meter.java
+++ b/src/main/java/saffronferry/scale/Meter.java
@@ -5,10 +5,10 @@
 import java.util.function.LongConsumer;
 import saffronferry.lab.policy.Brain;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.world.World;
+import saffronferry.lab.world.ClusterSimulation;
 
 /** What one play's dispatchers cost, each by itself. */
-final class Meter implements World.Wrap {
+final class Meter implements ClusterSimulation.Wrap {
     /** What a decision is about. */
     enum Event {
         PICK,
@@ -79,7 +79,7 @@
     /** {@code progress} is told the time reached, as brains are handed it, at least once in each tick. */
     Meter(Scenario scenario, LongConsumer progress) {
         lines = new ListLines(scenario);
-        ends = World.DAY_STARTS + scenario.length();
+        ends = ClusterSimulation.LOAD_START_US + scenario.length();
         brains = new HollowBrain[scenario.dispatchers()];
         this.progress = progress;
         for (int i = 0; i < scenario.dispatchers(); i++) {
@@ -95,7 +95,7 @@
 
     /** Whether clients ask at that time: only then decisions count. */
     boolean counts(long now) {
-        return now >= World.DAY_STARTS && now < ends;
+        return now >= ClusterSimulation.LOAD_START_US && now < ends;
     }
 
     /** A line of the list has come; the first whole one of a dispatcher's first life is its start's. */
@@ -112,7 +112,7 @@
 
     /** To read a line of the list has taken so long. */
     void read(Account account, long nanos, long now) {
-        if (account.starting || now < World.DAY_STARTS) {
+        if (account.starting || now < ClusterSimulation.LOAD_START_US) {
             account.startNanos += nanos;
         } else if (counts(now)) {
             account.parses++;
@@ -122,7 +122,7 @@
 
     /** A decision has taken so long. */
     void took(Account account, Event event, long nanos, long now) {
-        if (account.starting || now < World.DAY_STARTS) {
+        if (account.starting || now < ClusterSimulation.LOAD_START_US) {
             account.startNanos += nanos;
             account.starting = false;
         } else if (counts(now)) {
@@ -135,8 +135,8 @@
         if (counts(now)) {
             account.messages[kind.ordinal()]++;
             account.bytes[kind.ordinal()] += bytes;
-            account.bytesBySecond[(int) ((now - World.DAY_STARTS) / 1_000_000)] += bytes;
-        } else if (now < World.DAY_STARTS) {
+            account.bytesBySecond[(int) ((now - ClusterSimulation.LOAD_START_US) / 1_000_000)] += bytes;
+        } else if (now < ClusterSimulation.LOAD_START_US) {
             account.startBytes += bytes;
         }
     }
--- a/src/main/java/saffronferry/scale/Scale.java
+++ b/src/main/java/saffronferry/scale/Scale.java
@@ -13,8 +13,8 @@
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Limits;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.world.World;
-import saffronferry.lab.world.World.Day;
+import saffronferry.lab.world.ClusterSimulation;
+import saffronferry.lab.world.ClusterSimulation.Day;
 import saffronferry.scale.Meter.Account;
 import saffronferry.scale.Meter.Event;
 import saffronferry.scale.Meter.Kind;
@@ -60,8 +60,8 @@
      * @param progress told the seconds of the day reached; below 0 before the first request
      */
     public static Play play(Scenario scenario, Map<String, String> set, long seed, LongConsumer progress) {
-        Meter meter = new Meter(scenario, now -> progress.accept((now - World.DAY_STARTS) / 1_000_000));
-        Day day = World.play(scenario, Policy.NETWORKED_QUEUES, seed, meter);
+        Meter meter = new Meter(scenario, now -> progress.accept((now - ClusterSimulation.LOAD_START_US) / 1_000_000));
+        Day day = ClusterSimulation.run(scenario, Policy.NETWORKED_QUEUES, seed, meter);
         Map<String, Double> figures = figures(scenario, meter, day);
         weigh(meter, figures);
         figures.replaceAll((name, value) -> rounded(value));
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -12,7 +12,7 @@
 import saffronferry.Contract.Group;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.ScenarioReader;
-import saffronferry.lab.world.World;
+import saffronferry.lab.world.ClusterSimulation;
 
 /**
  * Findings of docs/review-findings.md that are open. Each runs, fails as expected, and is red once its fault is gone.
@@ -28,7 +28,7 @@
         var deaf = ScenarioReader.read(
                 Path.of("examples/lab/alumni-deploy-deaf.toml"),
                 List.of("fleet.workers=48", "fleet.dispatchers=48", "load.share=0.75", "length_s=25"));
-        World.Day day = World.play(deaf, Policy.NETWORKED_QUEUES, 1);
+        ClusterSimulation.Day day = ClusterSimulation.run(deaf, Policy.NETWORKED_QUEUES, 1);
         assertEquals(List.of(), day.broken());
         // with turns of the clock cold workers stood nearly idle: 0.2 to 0.4
         assertTrue(
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -26,8 +26,8 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioException;
 import saffronferry.lab.scenario.ScenarioReader;
-import saffronferry.lab.world.World;
-import saffronferry.lab.world.World.Day;
+import saffronferry.lab.world.ClusterSimulation;
+import saffronferry.lab.world.ClusterSimulation.Day;
 
 /** The laboratory: equal days, rules that are caught when broken, and scenarios that cannot be played. */
 class LabTest {
@@ -46,8 +46,8 @@
                 .toString();
         assertEquals(one, eight);
         assertNotEquals(
-                World.play(s, Policy.RANDOM, 4).json().toString(),
-                World.play(s, Policy.RANDOM, 5).json().toString());
+                ClusterSimulation.run(s, Policy.RANDOM, 4).json().toString(),
+                ClusterSimulation.run(s, Policy.RANDOM, 5).json().toString());
     }
 
     /** Two policies meet the same requests: what one decides shifts nothing for the other. */
@@ -56,7 +56,7 @@
         Scenario s = example("alumni-slow");
         Set<Object> asked = new HashSet<>();
         for (Policy p : Policy.values()) {
-            asked.add(World.play(s, p, 7).json().getLong("requests"));
+            asked.add(ClusterSimulation.run(s, p, 7).json().getLong("requests"));
         }
         assertEquals(1, asked.size());
     }
@@ -68,7 +68,7 @@
             for (Path file : files.sorted().toList()) {
                 Scenario s = ScenarioReader.read(file);
                 for (Policy p : Policy.values()) {
-                    Day day = World.play(s, p, 3);
+                    Day day = ClusterSimulation.run(s, p, 3);
                     assertTrue(p != Policy.NETWORKED_QUEUES || day.broken().isEmpty(), file + ": " + day.broken());
                     assertTrue(day.goal() > 0.2 && day.goal() <= 1, file + " with " + p.label() + ": " + day.goal());
                 }
@@ -84,7 +84,7 @@
             int most = (1 + s.clients().retries()) * s.rules().mostTries();
             for (long seed = 1; seed <= 4; seed++) {
                 JSONObject path =
-                        World.play(s, Policy.NETWORKED_QUEUES, seed).json().getJSONObject("path");
+                        ClusterSimulation.run(s, Policy.NETWORKED_QUEUES, seed).json().getJSONObject("path");
                 for (String c : path.keySet()) {
                     JSONObject p = path.getJSONObject(c);
                     assertTrue(p.getLong("requests") > 50 && p.getLong("attempts") > 50, name + p);
@@ -102,7 +102,7 @@
                 + "\n[[trouble]]\nkind = \"dispatcher_restart\"\nat_s = 15\nlength_s = 0.001\npart = 1\nsize = 1\n"
                 + "\n[[trouble]]\nkind = \"tenant_burst\"\nat_s = 12\nlength_s = 10\nsize = 5\n"
                 + "tenant = \"clonfert-old-boys\"\n";
-        Day day = World.play(ScenarioReader.parse("surge.toml", text), Policy.NETWORKED_QUEUES, 1);
+        Day day = ClusterSimulation.run(ScenarioReader.parse("surge.toml", text), Policy.NETWORKED_QUEUES, 1);
         assertEquals(List.of(), day.broken());
         assertTrue(day.goal() < 0.95, "it was felt: " + day.goal());
     }
@@ -144,7 +144,7 @@
     }
 
     private static List<Broken> broken(String scenario, UnaryOperator<Brain> wrap) throws Exception {
-        return World.play(example(scenario), Policy.NETWORKED_QUEUES, 1, wrap).broken();
+        return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, wrap).broken();
     }
 
     private static void caught(List<Broken> broken, String rule, String storyHas) {
--- a/src/test/java/saffronferry/scale/ScaleTest.java
+++ b/src/test/java/saffronferry/scale/ScaleTest.java
@@ -29,7 +29,7 @@
 import saffronferry.lab.scenario.Limits;
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioReader;
-import saffronferry.lab.world.World;
+import saffronferry.lab.world.ClusterSimulation;
 
 /** Hollow dispatchers: what they read is bytes, what is counted is what was said, and limits are judged. */
 class ScaleTest {
@@ -114,7 +114,7 @@
         Scribe scribe = new Scribe();
         Brain hollow = meter.wrap(scribe, 0);
         List<WorkerInfo> told = workers();
-        long now = World.DAY_STARTS + 1_500_000;
+        long now = ClusterSimulation.LOAD_START_US + 1_500_000;
         hollow.report(now, new News.Resolved(ListKind.CHANGES, told));
         byte[] datagram = {1, 2, 3};
         hollow.report(now, new News.PeerSaid(4, datagram));
@@ -146,7 +146,7 @@
         for (int time = 0; time < 2; time++) {
             assertEquals(0, account.bytes[Meter.Kind.LIST_IN.ordinal()]);
             hollow = time == 0 ? hollow : meter.wrap(new Scribe(), 0); // a restart
-            hollow.report(World.DAY_STARTS + 1, new News.Resolved(ListKind.WHOLE, workers()));
+            hollow.report(ClusterSimulation.LOAD_START_US + 1, new News.Resolved(ListKind.WHOLE, workers()));
         }
         assertEquals(whole, account.bytes[Meter.Kind.LIST_IN.ordinal()]);
         assertEquals(whole, account.wholeListBytes);
@@ -161,8 +161,8 @@
     void onlyTheDayCounts() throws Exception {
         Meter meter = new Meter(small(""), now -> {});
         Brain hollow = meter.wrap(new Scribe(), 0);
-        hollow.report(World.DAY_STARTS - 1, new News.PeerSaid(1, new byte[10]));
-        hollow.report(World.DAY_STARTS + 3_000_000, new News.PeerSaid(1, new byte[10]));
+        hollow.report(ClusterSimulation.LOAD_START_US - 1, new News.PeerSaid(1, new byte[10]));
+        hollow.report(ClusterSimulation.LOAD_START_US + 3_000_000, new News.PeerSaid(1, new byte[10]));
         Meter.Account account = meter.accounts.get(0);
         assertEquals(0, account.controlBytes());
         assertTrue(account.startBytes > 10, "told apart: " + account.startBytes);
@@ -189,7 +189,7 @@
             assertTrue(one.get(figure) > 0, figure + " in " + one);
         }
         assertEquals(
-                World.play(small(""), Policy.NETWORKED_QUEUES, 1).goal(),
+                ClusterSimulation.run(small(""), Policy.NETWORKED_QUEUES, 1).goal(),
                 play(small("")).figures().get("goal_share"),
                 0.0001);
     }
