--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -27,7 +27,7 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioException;
 import saffronferry.lab.scenario.ScenarioReader;
-import saffronferry.lab.world.ClusterSimulation.Day;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 
 /** The laboratory: emulated days in virtual time. */
 @Command(name = "lab", description = "Plays emulated days in virtual time and compares policies.")
@@ -58,7 +58,7 @@
             throws Exception {
         Scenario scenario = read(file, set);
         Policy chosen = Policy.of(policy);
-        List<Day> days = Lab.run(scenario, chosen, seeds(seeds), threads(threads));
+        List<RunResult> days = Lab.run(scenario, chosen, seeds(seeds), threads(threads));
         table(Map.of(chosen.label(), days));
         save(dir, Lab.json(scenario, chosen, days).toString(1));
         return broken(days);
@@ -77,12 +77,12 @@
                     Integer threads)
             throws Exception {
         Scenario scenario = read(file, set);
-        Map<Policy, List<Day>> all = new LinkedHashMap<>();
+        Map<Policy, List<RunResult>> all = new LinkedHashMap<>();
         for (String label : policies == null ? Policy.labels() : policies) {
             Policy p = Policy.of(label);
             all.put(p, Lab.run(scenario, p, seeds(seeds), threads(threads)));
         }
-        Map<String, List<Day>> byLabel = new LinkedHashMap<>();
+        Map<String, List<RunResult>> byLabel = new LinkedHashMap<>();
         all.forEach((p, days) -> byLabel.put(p.label(), days));
         table(byLabel);
         List<Policy> order = List.copyOf(all.keySet());
@@ -120,7 +120,7 @@
                     Path result)
             throws Exception {
         Policy chosen = Policy.of(policy);
-        Map<String, List<Day>> all = new LinkedHashMap<>();
+        Map<String, List<RunResult>> all = new LinkedHashMap<>();
         JSONArray plays = new JSONArray();
         List<List<String>> steps = Sweep.together(set);
         if (result != null) {
@@ -129,7 +129,7 @@
         }
         for (List<String> values : steps) {
             Scenario scenario = read(file, values);
-            List<Day> days = Lab.run(scenario, chosen, seeds(seeds), threads(threads));
+            List<RunResult> days = Lab.run(scenario, chosen, seeds(seeds), threads(threads));
             all.put(String.join(" ", values), days);
             days.forEach(day -> plays.put(Sweep.play(scenario, day)));
         }
@@ -223,7 +223,7 @@
         return given == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, given);
     }
 
-    private void table(Map<String, List<Day>> all) {
+    private void table(Map<String, List<RunResult>> all) {
         out().printf(
                         Locale.ROOT,
                         "%-24s %5s %6s %6s %6s %6s %9s %8s %8s %9s %10s %6s %6s %7s%n",
@@ -257,9 +257,9 @@
                                 .orElse(0),
                         sum(days, "attempts") / sum(days, "requests"),
                         (sum(days, "datagrams") + sum(days, "probes")) / sum(days, "requests"),
-                        days.stream().mapToDouble(Day::decisionMicros).average().orElse(0),
+                        days.stream().mapToDouble(RunResult::decisionUsPerRequest).average().orElse(0),
                         days.stream()
-                                .mapToDouble(d -> d.events() / d.seconds())
+                                .mapToDouble(d -> d.events() / d.wallSeconds())
                                 .average()
                                 .orElse(0),
                         days.stream()
@@ -267,14 +267,14 @@
                                 .max()
                                 .orElse(0),
                         mean(days, "cold_used"),
-                        days.stream().mapToInt(Day::brokenInAll).sum()));
+                        days.stream().mapToInt(RunResult::violationCount).sum()));
     }
 
-    private static double mean(List<Day> days, String key) {
+    private static double mean(List<RunResult> days, String key) {
         return days.stream().mapToDouble(d -> d.json().getDouble(key)).average().orElse(0);
     }
 
-    private static double sum(List<Day> days, String key) {
+    private static double sum(List<RunResult> days, String key) {
         return days.stream().mapToDouble(d -> d.json().getDouble(key)).sum();
     }
 
@@ -286,9 +286,9 @@
         }
     }
 
-    private int broken(List<Day> days) {
+    private int broken(List<RunResult> days) {
         List<RuleChecker.Broken> all =
-                days.stream().flatMap(d -> d.broken().stream()).toList();
+                days.stream().flatMap(d -> d.violations().stream()).toList();
         all.stream().limit(3).forEach(b -> spec.commandLine().getErr().println(b));
         return all.isEmpty() ? 0 : Main.BROKEN;
     }
--- a/src/main/java/saffronferry/lab/Lab.java
+++ b/src/main/java/saffronferry/lab/Lab.java
@@ -11,7 +11,7 @@
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.world.ClusterSimulation;
-import saffronferry.lab.world.ClusterSimulation.Day;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 
 /**
  * Plays a scenario over many seeds, side by side; the result does not depend on how many threads there are.
@@ -23,16 +23,16 @@
     private Lab() {}
 
     /** The days of one policy, in the order of the seeds. */
-    public static List<Day> run(Scenario scenario, Policy policy, List<Long> seeds, int threads)
+    public static List<RunResult> run(Scenario scenario, Policy policy, List<Long> seeds, int threads)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<Day>> days = new ArrayList<>();
+            List<Future<RunResult>> days = new ArrayList<>();
             for (long seed : seeds) {
                 days.add(pool.submit(() -> ClusterSimulation.run(scenario, policy, seed)));
             }
-            List<Day> result = new ArrayList<>();
-            for (Future<Day> day : days) {
+            List<RunResult> result = new ArrayList<>();
+            for (Future<RunResult> day : days) {
                 result.add(day.get());
             }
             return result;
@@ -47,14 +47,14 @@
     }
 
     /** A result: the same to the last byte for the same scenario, policy and seeds. */
-    public static JSONObject json(Scenario scenario, Policy policy, List<Day> days) {
+    public static JSONObject json(Scenario scenario, Policy policy, List<RunResult> days) {
         JSONArray all = new JSONArray();
         days.forEach(day -> all.put(day.json()));
         return new JSONObject()
                 .put("schema", SCHEMA)
                 .put("scenario", scenario.name())
                 .put("policy", policy.label())
-                .put("goal", days.stream().mapToDouble(Day::goal).average().orElse(0))
+                .put("goal", days.stream().mapToDouble(RunResult::goal).average().orElse(0))
                 .put("days", all);
     }
 }
--- a/src/main/java/saffronferry/lab/PairedDifference.java
+++ b/src/main/java/saffronferry/lab/PairedDifference.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 import org.apache.commons.statistics.distribution.TDistribution;
-import saffronferry.lab.world.ClusterSimulation.Day;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 
 /**
  * How the goal differs between two policies on the same days: mean of the differences and the half width of
@@ -13,7 +13,7 @@
     private static final double CONFIDENCE = 0.95;
 
     /** Two lists of days with the same seeds in the same order. */
-    public static PairedDifference of(List<Day> a, List<Day> b) {
+    public static PairedDifference of(List<RunResult> a, List<RunResult> b) {
         double[] d = new double[a.size()];
         for (int i = 0; i < d.length; i++) {
             d[i] = a.get(i).goal() - b.get(i).goal();
--- a/src/main/java/saffronferry/lab/Sweep.java
+++ b/src/main/java/saffronferry/lab/Sweep.java
@@ -5,7 +5,7 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.world.ClusterSimulation.Day;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 
 /** Days at several sizes: which keys change together, and each play as an entry of a result file. */
 public final class Sweep {
@@ -46,7 +46,7 @@
      * {@code decision_} begins or holds is processor time of the thread that decided, and depends on the
      * machine; the others do not. Bytes are those of datagrams' payloads, sent.
      */
-    public static JSONObject play(Scenario scenario, Day day) {
+    public static JSONObject play(Scenario scenario, RunResult day) {
         JSONObject json = day.json();
         double requests = Math.max(1, json.getLong("requests"));
         double seconds = scenario.length() / 1e6;
@@ -55,9 +55,9 @@
         double datagrams = json.getLong("datagrams") - json.getLong("start_datagrams");
         double bytes = json.getLong("datagram_bytes") - json.getLong("start_datagram_bytes");
         JSONObject figures = new JSONObject()
-                .put("decision_us_request", rounded(day.decisionMicros()))
-                .put("decision_core_percent", rounded(day.decisionMicros() * requests / dispatcherSeconds / 1e4))
-                .put("start_decision_ms", rounded(day.startMicros() / dispatchers / 1e3))
+                .put("decision_us_request", rounded(day.decisionUsPerRequest()))
+                .put("decision_core_percent", rounded(day.decisionUsPerRequest() * requests / dispatcherSeconds / 1e4))
+                .put("start_decision_ms", rounded(day.startDecisionUs() / dispatchers / 1e3))
                 .put("start_datagrams", rounded(json.getLong("start_datagrams") / dispatchers))
                 .put("start_datagram_bytes", rounded(json.getLong("start_datagram_bytes") / dispatchers))
                 .put("datagrams_request", rounded(datagrams / requests))
@@ -70,7 +70,7 @@
                 .put("cold_multiple", json.getDouble("cold_multiple"))
                 .put("attempts_request", rounded(json.getLong("attempts") / requests));
         JSONArray broken = new JSONArray();
-        day.broken().forEach(b -> broken.put(b.rule()));
+        day.violations().forEach(b -> broken.put(b.rule()));
         return new JSONObject()
                 .put("seed", json.getLong("seed"))
                 .put("dispatchers", scenario.dispatchers())
--- a/src/main/java/saffronferry/lab/world/ClusterSimulation.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -25,19 +25,19 @@
  */
 public final class ClusterSimulation {
     /**
-     * What a day came to; {@code json} holds nothing that depends on the machine. {@code decisionMicros} is
-     * processor time a request, {@code startMicros} that of all dispatchers before the first request.
+     * What a day came to; {@code json} holds nothing that depends on the machine. {@code decisionUsPerRequest} is
+     * processor time a request, {@code startDecisionUs} that of all dispatchers before the first request.
      */
-    public record Day(
+    public record RunResult(
             JSONObject json,
             double goal,
-            List<RuleChecker.Broken> broken,
-            int brokenInAll,
+            List<RuleChecker.Broken> violations,
+            int violationCount,
             long events,
             long requests,
-            double decisionMicros,
-            double startMicros,
-            double seconds) {}
+            double decisionUsPerRequest,
+            double startDecisionUs,
+            double wallSeconds) {}
 
     static final Clients.Shape STEADY = shape(t -> 1, 1);
     /** The module's clock: far from 0, which stands for long ago. */
@@ -86,12 +86,12 @@
     }
 
     /** Plays a day. */
-    public static Day run(Scenario scenario, Policy policy, long seed) {
+    public static RunResult run(Scenario scenario, Policy policy, long seed) {
         return run(scenario, policy, seed, (brain, dispatcher) -> brain);
     }
 
     /** Plays a day with each brain wrapped, so that tests can sabotage it. */
-    public static Day run(Scenario scenario, Policy policy, long seed, UnaryOperator<Brain> wrap) {
+    public static RunResult run(Scenario scenario, Policy policy, long seed, UnaryOperator<Brain> wrap) {
         return run(scenario, policy, seed, (brain, dispatcher) -> wrap.apply(brain));
     }
 
@@ -101,7 +101,7 @@
     }
 
     /** Plays a day with each brain wrapped, so that what passes can be measured. */
-    public static Day run(Scenario scenario, Policy policy, long seed, Wrap wrap) {
+    public static RunResult run(Scenario scenario, Policy policy, long seed, Wrap wrap) {
         long begun = System.nanoTime();
         ClusterSimulation world = new ClusterSimulation(scenario.drawn(seed), policy, seed, wrap);
         world.runToEnd();
@@ -124,7 +124,7 @@
                 .put("rules_broken", world.checker.count())
                 .put("broken", broken);
         long busy = world.busyNanos() - world.busyAtStart;
-        return new Day(
+        return new RunResult(
                 json,
                 world.tally.goal(),
                 world.checker.broken(),
--- a/src/main/java/saffronferry/scale/Scale.java
+++ b/src/main/java/saffronferry/scale/Scale.java
@@ -14,7 +14,7 @@
 import saffronferry.lab.scenario.Limits;
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.world.ClusterSimulation;
-import saffronferry.lab.world.ClusterSimulation.Day;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 import saffronferry.scale.Meter.Account;
 import saffronferry.scale.Meter.Event;
 import saffronferry.scale.Meter.Kind;
@@ -61,7 +61,7 @@
      */
     public static Play play(Scenario scenario, Map<String, String> set, long seed, LongConsumer progress) {
         Meter meter = new Meter(scenario, now -> progress.accept((now - ClusterSimulation.LOAD_START_US) / 1_000_000));
-        Day day = ClusterSimulation.run(scenario, Policy.NETWORKED_QUEUES, seed, meter);
+        RunResult day = ClusterSimulation.run(scenario, Policy.NETWORKED_QUEUES, seed, meter);
         Map<String, Double> figures = figures(scenario, meter, day);
         weigh(meter, figures);
         figures.replaceAll((name, value) -> rounded(value));
@@ -73,7 +73,7 @@
         return Math.round(value * unit) / unit;
     }
 
-    private static Map<String, Double> figures(Scenario scenario, Meter meter, Day day) {
+    private static Map<String, Double> figures(Scenario scenario, Meter meter, RunResult day) {
         List<Account> all = meter.accounts;
         double each = all.size() * (scenario.length() / 1e6);
         double requests = Math.max(1, day.requests());
@@ -155,7 +155,7 @@
         figures.put("list_heap_mb_per_dispatcher", list);
     }
 
-    private static List<String> broken(Scenario scenario, Map<String, Double> figures, Day day) {
+    private static List<String> broken(Scenario scenario, Map<String, Double> figures, RunResult day) {
         List<String> broken = new ArrayList<>();
         Limits.FIGURES.keySet().stream()
                 .filter(scenario.limits().stated()::containsKey)
@@ -167,12 +167,12 @@
                         broken.add(name + " " + plain(seen) + (least ? " under " : " over ") + plain(limit));
                     }
                 });
-        day.broken().stream()
+        day.violations().stream()
                 .limit(MOST_TOLD)
                 .map(RuleChecker.Broken::toString)
                 .forEach(b -> broken.add(b.lines().findFirst().orElse("")));
-        if (day.brokenInAll() > MOST_TOLD) {
-            broken.add("rules broken in all: " + day.brokenInAll());
+        if (day.violationCount() > MOST_TOLD) {
+            broken.add("rules broken in all: " + day.violationCount());
         }
         return broken;
     }
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -28,8 +28,8 @@
         var deaf = ScenarioReader.read(
                 Path.of("examples/lab/alumni-deploy-deaf.toml"),
                 List.of("fleet.workers=48", "fleet.dispatchers=48", "load.share=0.75", "length_s=25"));
-        ClusterSimulation.Day day = ClusterSimulation.run(deaf, Policy.NETWORKED_QUEUES, 1);
-        assertEquals(List.of(), day.broken());
+        ClusterSimulation.RunResult day = ClusterSimulation.run(deaf, Policy.NETWORKED_QUEUES, 1);
+        assertEquals(List.of(), day.violations());
         // with turns of the clock cold workers stood nearly idle: 0.2 to 0.4
         assertTrue(
                 day.json().getDouble("cold_multiple") > 1,
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -27,7 +27,7 @@
 import saffronferry.lab.scenario.ScenarioException;
 import saffronferry.lab.scenario.ScenarioReader;
 import saffronferry.lab.world.ClusterSimulation;
-import saffronferry.lab.world.ClusterSimulation.Day;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 
 /** The laboratory: equal days, rules that are caught when broken, and scenarios that cannot be played. */
 class LabTest {
@@ -68,8 +68,8 @@
             for (Path file : files.sorted().toList()) {
                 Scenario s = ScenarioReader.read(file);
                 for (Policy p : Policy.values()) {
-                    Day day = ClusterSimulation.run(s, p, 3);
-                    assertTrue(p != Policy.NETWORKED_QUEUES || day.broken().isEmpty(), file + ": " + day.broken());
+                    RunResult day = ClusterSimulation.run(s, p, 3);
+                    assertTrue(p != Policy.NETWORKED_QUEUES || day.violations().isEmpty(), file + ": " + day.violations());
                     assertTrue(day.goal() > 0.2 && day.goal() <= 1, file + " with " + p.label() + ": " + day.goal());
                 }
             }
@@ -102,8 +102,8 @@
                 + "\n[[trouble]]\nkind = \"dispatcher_restart\"\nat_s = 15\nlength_s = 0.001\npart = 1\nsize = 1\n"
                 + "\n[[trouble]]\nkind = \"tenant_burst\"\nat_s = 12\nlength_s = 10\nsize = 5\n"
                 + "tenant = \"clonfert-old-boys\"\n";
-        Day day = ClusterSimulation.run(ScenarioReader.parse("surge.toml", text), Policy.NETWORKED_QUEUES, 1);
-        assertEquals(List.of(), day.broken());
+        RunResult day = ClusterSimulation.run(ScenarioReader.parse("surge.toml", text), Policy.NETWORKED_QUEUES, 1);
+        assertEquals(List.of(), day.violations());
         assertTrue(day.goal() < 0.95, "it was felt: " + day.goal());
     }
 
@@ -144,7 +144,7 @@
     }
 
     private static List<Broken> broken(String scenario, UnaryOperator<Brain> wrap) throws Exception {
-        return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, wrap).broken();
+        return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, wrap).violations();
     }
 
     private static void caught(List<Broken> broken, String rule, String storyHas) {
