--- a/src/main/java/saffronferry/lab/policy/TextbookBrain.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -23,7 +23,7 @@
  * elsewhere where the class allows that. It keeps the rules: nothing to workers that drain, and to a cold one
  * only the part of its turns that its capacity allows.
  */
-final class TextbookBrain implements Brain {
+final class BaselineLogic implements DispatchLogic {
     /** Names one of a list that is not empty. */
     interface Chooser {
         Known choose(List<Known> all, UniformRandomProvider random);
@@ -75,7 +75,7 @@
     private List<Known> usable = List.of();
     private boolean begun;
 
-    TextbookBrain(Settings settings, UniformRandomProvider random, Chooser chooser) {
+    BaselineLogic(Settings settings, UniformRandomProvider random, Chooser chooser) {
         this.settings = settings;
         this.random = random;
         this.chooser = chooser;
--- a/src/main/java/saffronferry/lab/policy/Brain.java
+++ b/src/main/java/saffronferry/lab/policy/DispatchLogic.java
@@ -8,7 +8,7 @@
 import saffronferry.Step;
 
 /** The facade's shape: whoever decides in an emulated dispatcher. Clock in microseconds, never backwards. */
-public interface Brain {
+public interface DispatchLogic {
     /** Picks what to do with a new RPC, which awaits exactly one final answer. */
     List<Step> pick(long now, Request rpc);
 
@@ -19,9 +19,9 @@
     List<Step> tick(long now, long token);
 
     /** The program's own decisions, through the facade that {@code serve} uses. */
-    static Brain networkedQueues(Settings settings) {
+    static DispatchLogic networkedQueues(Settings settings) {
         Balancer balancer = new Balancer(settings);
-        return new Brain() {
+        return new DispatchLogic() {
             @Override
             public List<Step> pick(long now, Request rpc) {
                 return balancer.pick(now, rpc);
--- a/src/main/java/saffronferry/lab/policy/Policy.java
+++ b/src/main/java/saffronferry/lab/policy/Policy.java
@@ -6,7 +6,7 @@
 import java.util.function.ToDoubleFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import saffronferry.Contract.Settings;
-import saffronferry.lab.policy.TextbookBrain.Known;
+import saffronferry.lab.policy.BaselineLogic.Known;
 
 /** The policies that can be compared, all under the same rules and behind the same facade. */
 public enum Policy {
@@ -40,29 +40,29 @@
     /**
      * A dispatcher's decisions; {@code truth} tells a worker's true load and is for {@link #SIGHTED} alone.
      */
-    public Brain brain(Settings settings, UniformRandomProvider random, ToDoubleFunction<String> truth) {
+    public DispatchLogic createLogic(Settings settings, UniformRandomProvider random, ToDoubleFunction<String> truth) {
         return switch (this) {
-            case NETWORKED_QUEUES -> Brain.networkedQueues(settings);
-            case RANDOM -> new TextbookBrain(settings, random, (all, r) -> all.get(r.nextInt(all.size())));
+            case NETWORKED_QUEUES -> DispatchLogic.networkedQueues(settings);
+            case RANDOM -> new BaselineLogic(settings, random, (all, r) -> all.get(r.nextInt(all.size())));
             case ROUND_ROBIN -> {
                 int[] turn = {random.nextInt(1 << 20)};
-                yield new TextbookBrain(settings, random, (all, r) -> all.get(turn[0]++ % all.size()));
+                yield new BaselineLogic(settings, random, (all, r) -> all.get(turn[0]++ % all.size()));
             }
-            case LEAST_OUTSTANDING -> new TextbookBrain(settings, random, Policy::leastOutstanding);
+            case LEAST_OUTSTANDING -> new BaselineLogic(settings, random, Policy::leastOutstanding);
             case TWO_CHOICES ->
-                new TextbookBrain(settings, random, (all, r) -> {
+                new BaselineLogic(settings, random, (all, r) -> {
                     Known a = all.get(r.nextInt(all.size()));
                     Known b = all.get(r.nextInt(all.size()));
                     return a.outstanding <= b.outstanding ? a : b;
                 });
             case JOIN_IDLE_QUEUE ->
-                new TextbookBrain(settings, random, (all, r) -> {
+                new BaselineLogic(settings, random, (all, r) -> {
                     List<Known> idle =
                             all.stream().filter(w -> w.outstanding == 0).toList();
                     return idle.isEmpty() ? all.get(r.nextInt(all.size())) : idle.get(r.nextInt(idle.size()));
                 });
             case SIGHTED ->
-                new TextbookBrain(settings, random, (all, r) -> {
+                new BaselineLogic(settings, random, (all, r) -> {
                     Known best = null;
                     double least = Double.MAX_VALUE;
                     for (Known w : all) {
--- a/src/main/java/saffronferry/lab/world/ClusterSimulation.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -14,7 +14,7 @@
 import saffronferry.Contract.Tenant;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.lab.check.RuleChecker;
-import saffronferry.lab.policy.Brain;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.PeerLinks;
 import saffronferry.lab.scenario.Scenario;
@@ -63,14 +63,14 @@
     private final Map<Node, Long> downSince = new HashMap<>();
     private final double capacity;
     private final long seed;
-    private final Wrap wrap;
+    private final LogicDecorator decorator;
     private int successors;
     private long busyAtStart;
 
-    private ClusterSimulation(Scenario scenario, Policy policy, long seed, Wrap wrap) {
+    private ClusterSimulation(Scenario scenario, Policy policy, long seed, LogicDecorator decorator) {
         this.scenario = scenario;
         this.seed = seed;
-        this.wrap = wrap;
+        this.decorator = decorator;
         streams = new Streams(seed);
         checker = new RuleChecker(scenario);
         wires = new Wires(scenario.network(), streams.of("network", 0), new PeerLinks(scenario, START + SETTLE));
@@ -81,29 +81,29 @@
         capacity = workers.values().stream().mapToDouble(Worker::fullCapacity).sum();
         clients = new Clients(this, capacity);
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            nodes.add(new Node(i, i % scenario.zones().size(), this, (d, life) -> brain(policy, d, life)));
+            nodes.add(new Node(i, i % scenario.zones().size(), this, (d, life) -> createLogic(policy, d, life)));
         }
     }
 
     /** Plays a day. */
     public static RunResult run(Scenario scenario, Policy policy, long seed) {
-        return run(scenario, policy, seed, (brain, dispatcher) -> brain);
+        return run(scenario, policy, seed, (logic, dispatcher) -> logic);
     }
 
     /** Plays a day with each brain wrapped, so that tests can sabotage it. */
-    public static RunResult run(Scenario scenario, Policy policy, long seed, UnaryOperator<Brain> wrap) {
-        return run(scenario, policy, seed, (brain, dispatcher) -> wrap.apply(brain));
+    public static RunResult run(Scenario scenario, Policy policy, long seed, UnaryOperator<DispatchLogic> decorator) {
+        return run(scenario, policy, seed, (logic, dispatcher) -> decorator.apply(logic));
     }
 
     /** Stands between a dispatcher's brain, one for each of its lives, and its world. */
-    public interface Wrap {
-        Brain wrap(Brain brain, int dispatcher);
+    public interface LogicDecorator {
+        DispatchLogic wrap(DispatchLogic logic, int dispatcher);
     }
 
     /** Plays a day with each brain wrapped, so that what passes can be measured. */
-    public static RunResult run(Scenario scenario, Policy policy, long seed, Wrap wrap) {
+    public static RunResult run(Scenario scenario, Policy policy, long seed, LogicDecorator decorator) {
         long begun = System.nanoTime();
-        ClusterSimulation world = new ClusterSimulation(scenario.drawn(seed), policy, seed, wrap);
+        ClusterSimulation world = new ClusterSimulation(scenario.drawn(seed), policy, seed, decorator);
         world.runToEnd();
         JSONObject json = world.tally
                 .json(world.sim.done())
@@ -224,10 +224,10 @@
         return "10." + generation + "." + number / 256 + "." + number % 256 + ":9100";
     }
 
-    private Brain brain(Policy policy, int dispatcher, int life) {
+    private DispatchLogic createLogic(Policy policy, int dispatcher, int life) {
         UniformRandomProvider random = streams.of("brain " + dispatcher, life);
-        return wrap.wrap(
-                policy.brain(settings(dispatcher, random.nextLong()), random, address -> {
+        return decorator.wrap(
+                policy.createLogic(settings(dispatcher, random.nextLong()), random, address -> {
                     Worker w = workers.get(address);
                     return w == null ? Double.MAX_VALUE : w.load();
                 }),
--- a/src/main/java/saffronferry/lab/world/Node.java
+++ b/src/main/java/saffronferry/lab/world/Node.java
@@ -16,14 +16,14 @@
 import saffronferry.Step;
 import saffronferry.fleet.WatchEnd;
 import saffronferry.lab.check.RuleChecker;
-import saffronferry.lab.policy.Brain;
+import saffronferry.lab.policy.DispatchLogic;
 
 /** An emulated dispatcher: carries out what its brain decides, over the emulated network. */
 final class Node {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     /** Who makes a brain, anew for each life; {@code life} counts from 0. */
     interface Maker {
-        Brain make(int dispatcher, int life);
+        DispatchLogic make(int dispatcher, int life);
     }
 
     private static final long PROBE_PATIENCE = 500_000;
@@ -65,7 +65,7 @@
     private final Maker maker;
     private final Map<Long, Rpc> open = new HashMap<>();
     private final Map<String, WorkerInfo> listed = new HashMap<>();
-    private Brain brain;
+    private DispatchLogic logic;
     private boolean up;
     private int life = -1;
     private long lastId;
@@ -99,7 +99,7 @@
     void start(List<WorkerInfo> known) {
         life++;
         up = true;
-        brain = maker.make(number, life);
+        logic = maker.make(number, life);
         learn(known, ListKind.WARM_COPY);
     }
 
@@ -251,7 +251,7 @@
     // ---- what the brain says ----
 
     private interface Decision {
-        List<Step> of(Brain brain);
+        List<Step> of(DispatchLogic logic);
     }
 
     /** News that steps make waits its turn, so that the brain is never entered twice. */
@@ -276,7 +276,7 @@
     private void run(Decision decision) {
         // danger: on a machine with other work, real time counts what others had of the core
         long begun = THREADS.getCurrentThreadCpuTime();
-        List<Step> steps = decision.of(brain);
+        List<Step> steps = decision.of(logic);
         busy += THREADS.getCurrentThreadCpuTime() - begun;
         world.tally.decisions++;
         steps.forEach(this::perform);
--- a/src/main/java/saffronferry/scale/HollowBrain.java
+++ b/src/main/java/saffronferry/scale/HollowBrain.java
@@ -12,7 +12,7 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.News;
 import saffronferry.Step;
-import saffronferry.lab.policy.Brain;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.scale.Meter.Account;
 import saffronferry.scale.Meter.Event;
 import saffronferry.scale.Meter.Kind;
@@ -23,7 +23,7 @@
  * {@code serve} does, and takes down what is said and what decisions cost. Datagrams are bytes already, which
  * the module makes and reads by its own codec.
  */
-final class HollowBrain implements Brain {
+final class HollowBrain implements DispatchLogic {
     private static final int PROBE_BYTES = "GET /metrics/load HTTP/1.1\r\nhost: 10.0.82.7:9100\r\n\r\n".length();
     private static final int WATCH_BYTES =
             "GET /discovery/hosts?watch=1&from=1000000 HTTP/1.1\r\nhost: 10.0.82.7:9100\r\n\r\n".length();
@@ -31,11 +31,11 @@
 
     private final Meter meter;
     private final Account account;
-    private Brain module;
+    private DispatchLogic module;
     /** As {@code serve} keeps it beside the module; null where it is not weighed. */
     private Map<String, ListUpdate.Entry> list;
 
-    HollowBrain(Brain module, Meter meter, Account account, boolean keepsList) {
+    HollowBrain(DispatchLogic module, Meter meter, Account account, boolean keepsList) {
         this.module = module;
         this.meter = meter;
         this.account = account;
--- a/src/main/java/saffronferry/scale/Meter.java
+++ b/src/main/java/saffronferry/scale/Meter.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongConsumer;
-import saffronferry.lab.policy.Brain;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.world.ClusterSimulation;
 
 /** What one play's dispatchers cost, each by itself. */
-final class Meter implements ClusterSimulation.Wrap {
+final class Meter implements ClusterSimulation.LogicDecorator {
     /** What a decision is about. */
     enum Event {
         PICK,
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public Brain wrap(Brain brain, int dispatcher) {
+    public DispatchLogic wrap(DispatchLogic brain, int dispatcher) {
         brains[dispatcher] = new HollowBrain(brain, this, accounts.get(dispatcher), dispatcher < LISTS_KEPT);
         return brains[dispatcher];
     }
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -21,7 +21,7 @@
 import saffronferry.News;
 import saffronferry.Step;
 import saffronferry.lab.check.RuleChecker.Broken;
-import saffronferry.lab.policy.Brain;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioException;
@@ -110,12 +110,12 @@
     // ---- sabotage: each rule broken on purpose is caught by its name ----
 
     /** Changes what a brain says: steps in, steps out, with what it has been told at hand. */
-    private abstract static class Saboteur implements Brain {
-        private final Brain brain;
+    private abstract static class Saboteur implements DispatchLogic {
+        private final DispatchLogic logic;
         final Set<WorkerInfo> told = new HashSet<>();
 
-        Saboteur(Brain brain) {
-            this.brain = brain;
+        Saboteur(DispatchLogic logic) {
+            this.logic = logic;
         }
 
         abstract List<Step> spoil(long now, List<Step> steps);
@@ -126,7 +126,7 @@
 
         @Override
         public List<Step> pick(long now, Request rpc) {
-            return spoilPick(now, rpc, brain.pick(now, rpc));
+            return spoilPick(now, rpc, logic.pick(now, rpc));
         }
 
         @Override
@@ -134,16 +134,16 @@
             if (news instanceof News.Resolved r) {
                 told.addAll(r.entries());
             }
-            return spoil(now, brain.report(now, news));
+            return spoil(now, logic.report(now, news));
         }
 
         @Override
         public List<Step> tick(long now, long token) {
-            return spoil(now, brain.tick(now, token));
+            return spoil(now, logic.tick(now, token));
         }
     }
 
-    private static List<Broken> broken(String scenario, UnaryOperator<Brain> wrap) throws Exception {
+    private static List<Broken> broken(String scenario, UnaryOperator<DispatchLogic> wrap) throws Exception {
         return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, wrap).violations();
     }
 
@@ -158,7 +158,7 @@
     @Test
     void answersThatAreDroppedAreCaught() throws Exception {
         caught(
-                broken("alumni-overload", brain -> new Saboteur(brain) {
+                broken("alumni-overload", logic -> new Saboteur(logic) {
                     @Override
                     List<Step> spoil(long now, List<Step> steps) {
                         return steps.stream()
@@ -173,7 +173,7 @@
     @Test
     void answersGivenTwiceAreCaught() throws Exception {
         caught(
-                broken("alumni-overload", brain -> new Saboteur(brain) {
+                broken("alumni-overload", logic -> new Saboteur(logic) {
                     @Override
                     List<Step> spoil(long now, List<Step> steps) {
                         List<Step> all = new ArrayList<>(steps);
@@ -188,7 +188,7 @@
     @Test
     void giftsSentTwiceAreCaught() throws Exception {
         caught(
-                broken("alumni-hosting", brain -> new Saboteur(brain) {
+                broken("alumni-hosting", logic -> new Saboteur(logic) {
                     @Override
                     List<Step> spoil(long now, List<Step> steps) {
                         List<Step> all = new ArrayList<>(steps);
@@ -211,7 +211,7 @@
     @Test
     void workSentToADrainedWorkerIsCaught() throws Exception {
         caught(
-                broken("alumni-deploy", brain -> new Saboteur(brain) {
+                broken("alumni-deploy", logic -> new Saboteur(logic) {
                     @Override
                     List<Step> spoil(long now, List<Step> steps) {
                         return steps;
@@ -235,7 +235,7 @@
     @Test
     void aColdWorkerThatIsFloodedIsCaught() throws Exception {
         caught(
-                broken("alumni-deploy", brain -> new Saboteur(brain) {
+                broken("alumni-deploy", logic -> new Saboteur(logic) {
                     @Override
                     List<Step> spoil(long now, List<Step> steps) {
                         return steps;
--- a/src/test/java/saffronferry/scale/ScaleTest.java
+++ b/src/test/java/saffronferry/scale/ScaleTest.java
@@ -24,7 +24,7 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.News;
 import saffronferry.Step;
-import saffronferry.lab.policy.Brain;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Limits;
 import saffronferry.lab.scenario.Scenario;
@@ -88,7 +88,7 @@
     }
 
     /** Takes down what a module is told; says one datagram for each thing it is told. */
-    private static final class Scribe implements Brain {
+    private static final class Scribe implements DispatchLogic {
         final List<News> news = new ArrayList<>();
 
         @Override
@@ -112,7 +112,7 @@
     void theModuleIsToldWhatWasReadAndWhatIsSaidIsCounted() throws Exception {
         Meter meter = new Meter(small(""), now -> {});
         Scribe scribe = new Scribe();
-        Brain hollow = meter.wrap(scribe, 0);
+        DispatchLogic hollow = meter.wrap(scribe, 0);
         List<WorkerInfo> told = workers();
         long now = ClusterSimulation.LOAD_START_US + 1_500_000;
         hollow.report(now, new News.Resolved(ListKind.CHANGES, told));
@@ -140,7 +140,7 @@
     @Test
     void theFirstWholeListIsTheStartsAndNoOther() throws Exception {
         Meter meter = new Meter(small(""), now -> {});
-        Brain hollow = meter.wrap(new Scribe(), 0);
+        DispatchLogic hollow = meter.wrap(new Scribe(), 0);
         Meter.Account account = meter.accounts.get(0);
         int whole = meter.lines.line(workers(), ListKind.WHOLE).length;
         for (int time = 0; time < 2; time++) {
@@ -160,7 +160,7 @@
     @Test
     void onlyTheDayCounts() throws Exception {
         Meter meter = new Meter(small(""), now -> {});
-        Brain hollow = meter.wrap(new Scribe(), 0);
+        DispatchLogic hollow = meter.wrap(new Scribe(), 0);
         hollow.report(ClusterSimulation.LOAD_START_US - 1, new News.PeerSaid(1, new byte[10]));
         hollow.report(ClusterSimulation.LOAD_START_US + 3_000_000, new News.PeerSaid(1, new byte[10]));
         Meter.Account account = meter.accounts.get(0);
