--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -287,7 +287,7 @@
     }
 
     private int broken(List<RunResult> days) {
-        List<RuleChecker.Broken> all =
+        List<RuleChecker.Violation> all =
                 days.stream().flatMap(d -> d.violations().stream()).toList();
         all.stream().limit(3).forEach(b -> spec.commandLine().getErr().println(b));
         return all.isEmpty() ? 0 : Main.BROKEN;
--- a/src/main/java/saffronferry/lab/world/ClusterSimulation.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -31,7 +31,7 @@
     public record RunResult(
             JSONObject json,
             double goal,
-            List<RuleChecker.Broken> violations,
+            List<RuleChecker.Violation> violations,
             int violationCount,
             long events,
             long requests,
@@ -107,28 +107,28 @@
         world.runToEnd();
         JSONObject json = world.tally
                 .json(world.sim.done())
-                .put("cold_multiple", Math.round(world.checker.mostCold() * 1e3) / 1e3)
+                .put("cold_multiple", Math.round(world.checker.maxColdMultiple() * 1e3) / 1e3)
                 .put("cold_used", Math.round(world.coldUse.mean() * 1e3) / 1e3)
                 .put("cold_used_least", Math.round(world.coldUse.least() * 1e3) / 1e3);
         JSONArray broken = new JSONArray();
         world.checker
-                .broken()
+                .violations()
                 .forEach(b -> broken.put(new JSONObject()
                         .put("rule", b.rule())
-                        .put("at_s", b.at() / 1e6)
+                        .put("at_s", b.atUs() / 1e6)
                         .put("dispatcher", b.dispatcher())
-                        .put("what", b.what())
-                        .put("story", new JSONArray(b.story()))));
+                        .put("what", b.description())
+                        .put("story", new JSONArray(b.history()))));
         json.put("seed", seed)
                 .put("policy", policy.label())
-                .put("rules_broken", world.checker.count())
+                .put("rules_broken", world.checker.violationCount())
                 .put("broken", broken);
         long busy = world.busyNanos() - world.busyAtStart;
         return new RunResult(
                 json,
                 world.tally.goal(),
-                world.checker.broken(),
-                world.checker.count(),
+                world.checker.violations(),
+                world.checker.violationCount(),
                 world.sim.done(),
                 world.tally.requests(),
                 busy / 1e3 / Math.max(1, world.tally.requests()),
--- a/src/main/java/saffronferry/lab/world/Node.java
+++ b/src/main/java/saffronferry/lab/world/Node.java
@@ -107,7 +107,7 @@
     List<WorkerInfo> kill() {
         up = false;
         watch = 0;
-        checker.died(number);
+        checker.dispatcherStopped(number);
         for (Rpc rpc : open.values()) {
             rpc.attempts.stream().filter(a -> !a.over && a.job != null).forEach(a -> a.worker.cancel(a.job));
             if (!rpc.answered) {
@@ -131,14 +131,14 @@
         Rpc rpc = new Rpc(call, id, call.deadline - world.scenario.network().client(), sim.now());
         open.put(id, rpc);
         RuleChecker.Id name = name(id);
-        checker.taken(sim.now(), name, call.rpcClass, rpc.validUntil);
+        checker.requestAccepted(sim.now(), name, call.rpcClass, rpc.validUntil);
         int mine = life;
         sim.at(rpc.validUntil, () -> {
             if (mine == life && up) {
                 expire(rpc);
             }
         });
-        sim.at(rpc.validUntil + world.scenario.rules().slack() + 1, () -> checker.due(sim.now(), name));
+        sim.at(rpc.validUntil + world.scenario.rules().slack() + 1, () -> checker.deadlinePassed(sim.now(), name));
         Request request = new Request(id, call.rpcClass, call.tenant, rpc.validUntil, 1, false);
         decide(b -> b.pick(sim.now(), request));
         return true;
@@ -190,7 +190,7 @@
         a.over = true;
         rpc.out--;
         rpc.nowhereSince = rpc.out == 0 ? sim.now() : rpc.nowhereSince;
-        checker.ended(sim.now(), name(id), attempt, outcome);
+        checker.attemptEnded(sim.now(), name(id), attempt, outcome);
         if (outcome == Outcome.OK && !rpc.answered) {
             answer(rpc, "served", false, 0);
         }
@@ -238,12 +238,12 @@
     private void learn(List<WorkerInfo> entries, ListKind kind) {
         if (kind != ListKind.CHANGES) {
             listed.clear();
-            checker.toldWhole(
+            checker.fullListReceived(
                     sim.now(), number, entries.stream().map(WorkerInfo::address).toList());
         }
         for (WorkerInfo info : entries) {
             listed.put(info.address(), info);
-            checker.told(sim.now(), number, info.address(), info.state());
+            checker.workerStateReceived(sim.now(), number, info.address(), info.state());
         }
         decide(b -> b.report(sim.now(), new News.Resolved(kind, entries)));
     }
@@ -314,7 +314,7 @@
     private void finish(long id, String how, boolean refused, long retryAfter) {
         Rpc rpc = open.get(id);
         if (rpc == null) {
-            checker.answered(sim.now(), name(id), how, refused);
+            checker.requestCompleted(sim.now(), name(id), how, refused);
             return;
         }
         answer(rpc, how, refused, retryAfter);
@@ -322,7 +322,7 @@
     }
 
     private void answer(Rpc rpc, String how, boolean refused, long retryAfter) {
-        checker.answered(sim.now(), name(rpc.id), how, refused);
+        checker.requestCompleted(sim.now(), name(rpc.id), how, refused);
         if (!rpc.answered) {
             if (!how.equals("served")) {
                 world.coldUse.refused(zone);
@@ -335,7 +335,7 @@
     private void send(Step.StartAttempt s) {
         Rpc rpc = open.get(s.rpc());
         Worker worker = world.worker(s.subchannel());
-        checker.sent(
+        checker.attemptStarted(
                 sim.now(),
                 name(s.rpc()),
                 s.subchannel(),
@@ -362,7 +362,7 @@
             } else if (!a.over) {
                 a.job = new Job(this, rpc.id, number, rpc.call.work);
                 if (worker.cold()
-                        && checker.reachesCold(
+                        && checker.coldArrivalOverloads(
                                 sim.now(), worker.address, worker.capacity(), rpc.call.work, this.number, informed)) {
                     world.fallsOver(worker);
                 }
--- a/src/main/java/saffronferry/rig/Judge.java
+++ b/src/main/java/saffronferry/rig/Judge.java
@@ -142,7 +142,7 @@
     /** {@code stopped}: its dispatcher's process stands still. */
     void written(long now, Request r, boolean stopped) {
         r.excused = stopped;
-        checker.taken(
+        checker.requestAccepted(
                 now, r.id, r.rpcClass, now + scenario.classes().get(r.rpcClass).deadline());
     }
 
@@ -175,23 +175,23 @@
             refusedAt = now;
         }
         if (r.excused) {
-            checker.left(r.id);
-            checker.due(now, r.id);
+            checker.clientGone(r.id);
+            checker.deadlinePassed(now, r.id);
             return;
         }
         switch (end) {
-            case SERVED -> checker.answered(now, r.id, "served", false);
-            case REFUSED -> checker.answered(now, r.id, "refused", true);
-            case FAILED -> checker.answered(now, r.id, "failed", false);
+            case SERVED -> checker.requestCompleted(now, r.id, "served", false);
+            case REFUSED -> checker.requestCompleted(now, r.id, "refused", true);
+            case FAILED -> checker.requestCompleted(now, r.id, "failed", false);
             case NO_ANSWER -> {} // its time and slack are over: due() says what that means
-            default -> checker.left(r.id);
+            default -> checker.clientGone(r.id);
         }
-        checker.due(now, r.id);
+        checker.deadlinePassed(now, r.id);
     }
 
     /** A dispatcher's process has been ended: what it held is no rule's. */
     void died(int dispatcher) {
-        checker.died(dispatcher);
+        checker.dispatcherStopped(dispatcher);
         stopped(dispatcher);
         open.values().stream().filter(r -> r.dispatcher == dispatcher).forEach(r -> r.died = true);
     }
@@ -211,7 +211,7 @@
             JSONObject entry = (JSONObject) o;
             String id = entry.getString("id");
             named.add(id);
-            checker.told(
+            checker.workerStateReceived(
                     now,
                     dispatcher,
                     id,
@@ -225,7 +225,7 @@
             }
         }
         if (update.getBoolean("complete")) {
-            checker.toldWhole(now, dispatcher, named);
+            checker.fullListReceived(now, dispatcher, named);
         }
     }
 
@@ -246,7 +246,7 @@
         r.tries.add(at);
         r.atWorkers++;
         if (!r.died) {
-            checker.sent(now, r.id, at.id, at.zone, at.cell);
+            checker.attemptStarted(now, r.id, at.id, at.zone, at.cell);
         }
         if (at.model.cold(now)) {
             reachesCold(now, at, r);
@@ -264,7 +264,7 @@
         double can = at.model.capacity(now) * scenario.rules().fall() / 1e6;
         c.multiple = Math.max(c.multiple, sum / can);
         boolean informed = startsTold.getOrDefault(r.dispatcher, Set.of()).contains(at.id);
-        if (checker.reachesCold(now, at.id, at.model.capacity(now), r.work, r.dispatcher, informed)) {
+        if (checker.coldArrivalOverloads(now, at.id, at.model.capacity(now), r.work, r.dispatcher, informed)) {
             c.fell = true;
             faller.fell(at);
         }
@@ -278,7 +278,7 @@
         }
         r.atWorkers--;
         r.nowhereSince = r.atWorkers == 0 ? clock.getAsLong() : r.nowhereSince;
-        checker.ended(
+        checker.attemptEnded(
                 clock.getAsLong(),
                 r.id,
                 r.tries.lastIndexOf(at),
@@ -352,7 +352,7 @@
                 new Bound("cold_multiple", b.coldMultiple(), share(most, 1), most <= b.coldMultiple()),
                 new Bound("cold_used", b.coldUsed(), share(mean, 1), mean >= b.coldUsed()),
                 new Bound("cold_used_each", b.coldUsedEach(), share(least, 1), least >= b.coldUsedEach()),
-                new Bound("rules_broken", 0, checker.count(), checker.count() == 0),
+                new Bound("rules_broken", 0, checker.violationCount(), checker.violationCount() == 0),
                 new Bound("invented_jobs", 0, invented, invented == 0));
         JSONArray told = new JSONArray();
         bounds.forEach(x -> told.put(new JSONObject()
@@ -361,13 +361,13 @@
                 .put("seen", x.seen)
                 .put("held", x.held)));
         JSONArray broken = new JSONArray();
-        checker.broken()
+        checker.violations()
                 .forEach(x -> broken.put(new JSONObject()
                         .put("rule", x.rule())
-                        .put("at_s", (x.at() - start) / 1e6)
+                        .put("at_s", (x.atUs() - start) / 1e6)
                         .put("dispatcher", x.dispatcher())
-                        .put("what", x.what())
-                        .put("story", new JSONArray(x.story()))));
+                        .put("what", x.description())
+                        .put("story", new JSONArray(x.history()))));
         JSONObject result = new JSONObject()
                 .put("requests", asked)
                 .put("attempts", attempts)
@@ -382,10 +382,10 @@
         return result.put("cold_workers", coldOnes)
                 .put("cold_used_mean", share(mean, 1))
                 .put("cold_multiple", share(most, 1))
-                .put("judged", checker.judged())
+                .put("judged", checker.checkCount())
                 .put("bounds", told)
                 .put("broken", broken)
-                .put("rules_broken", checker.count())
+                .put("rules_broken", checker.violationCount())
                 .put("asked_served_refused_by_second", bySecond)
                 .put("held", bounds.stream().allMatch(Bound::held));
     }
--- a/src/main/java/saffronferry/scale/Scale.java
+++ b/src/main/java/saffronferry/scale/Scale.java
@@ -169,7 +169,7 @@
                 });
         day.violations().stream()
                 .limit(MOST_TOLD)
-                .map(RuleChecker.Broken::toString)
+                .map(RuleChecker.Violation::toString)
                 .forEach(b -> broken.add(b.lines().findFirst().orElse("")));
         if (day.violationCount() > MOST_TOLD) {
             broken.add("rules broken in all: " + day.violationCount());
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -20,7 +20,7 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.News;
 import saffronferry.Step;
-import saffronferry.lab.check.RuleChecker.Broken;
+import saffronferry.lab.check.RuleChecker.Violation;
 import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Scenario;
@@ -143,12 +143,12 @@
         }
     }
 
-    private static List<Broken> broken(String scenario, UnaryOperator<DispatchLogic> wrap) throws Exception {
+    private static List<Violation> broken(String scenario, UnaryOperator<DispatchLogic> wrap) throws Exception {
         return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, wrap).violations();
     }
 
-    private static void caught(List<Broken> broken, String rule, String storyHas) {
-        Broken b = broken.stream()
+    private static void caught(List<Violation> broken, String rule, String storyHas) {
+        Violation b = broken.stream()
                 .filter(x -> x.rule().equals(rule))
                 .findFirst()
                 .orElseThrow(() -> new AssertionError(rule + " not caught, but " + broken));
--- a/src/test/java/saffronferry/lab/check/History.java
+++ b/src/test/java/saffronferry/lab/check/History.java
@@ -31,7 +31,7 @@
  */
 final class History {
     /** What the checker found. */
-    record Verdict(List<RuleChecker.Broken> broken, int count, int judged) {}
+    record Verdict(List<RuleChecker.Violation> broken, int count, int judged) {}
 
     /** One line, by its parts. */
     record Line(String file, int number, long at, String what, List<String> parts) {
@@ -140,17 +140,17 @@
             overdue(line.at);
             take(line);
         });
-        if (checker.judged() == 0) {
+        if (checker.checkCount() == 0) {
             throw new IllegalArgumentException(
                     lines.isEmpty() ? "a history without a line" : lines.get(0).file + ": nothing in it was judged");
         }
-        return new Verdict(checker.broken(), checker.count(), checker.judged());
+        return new Verdict(checker.violations(), checker.violationCount(), checker.checkCount());
     }
 
     private void overdue(long now) {
         for (Open o : List.copyOf(open.values())) {
             if (o.due < now) {
-                checker.due(o.due, o.id);
+                checker.deadlinePassed(o.due, o.id);
                 open.remove(o.id);
             }
         }
@@ -165,18 +165,18 @@
             case "list" -> list(l);
             case "request" -> request(l);
             case "reaches" -> reaches(l);
-            case "worker" -> checker.ended(l.at, id(l), l.whole(2), l.oneOf(Outcome.class, l.text(3)));
+            case "worker" -> checker.attemptEnded(l.at, id(l), l.whole(2), l.oneOf(Outcome.class, l.text(3)));
             case "answer" -> {
                 if (!List.of("served", "refused", "failed").contains(l.text(2))) {
                     throw l.malformed("no answer is called " + l.text(2));
                 }
-                checker.answered(l.at, id(l), l.text(2), "refused".equals(l.text(2)));
+                checker.requestCompleted(l.at, id(l), l.text(2), "refused".equals(l.text(2)));
             }
-            case "gone" -> checker.left(id(l));
-            case "ban" -> checker.banned(l.at, l.whole(0), l.text(1));
-            case "back" -> checker.putBack(l.whole(0), l.text(1));
+            case "gone" -> checker.clientGone(id(l));
+            case "ban" -> checker.workerBanned(l.at, l.whole(0), l.text(1));
+            case "back" -> checker.banLifted(l.whole(0), l.text(1));
             case "dies" -> {
-                checker.died(l.whole(0));
+                checker.dispatcherStopped(l.whole(0));
                 lives.merge(l.whole(0), 1, Integer::sum);
                 open.keySet().removeIf(id -> id.dispatcher() == l.whole(0));
             }
@@ -195,14 +195,14 @@
         List<WorkerInfo> all = l.workers(scenario);
         Map<String, WorkerInfo> held = lists.computeIfAbsent(l.whole(0), d -> new HashMap<>());
         if (whole) {
-            checker.toldWhole(
+            checker.fullListReceived(
                     l.at, l.whole(0), all.stream().map(WorkerInfo::address).toList());
             held.clear();
         }
         for (WorkerInfo w : all) {
             places.put(w.address(), w);
             held.put(w.address(), w);
-            checker.told(l.at, l.whole(0), w.address(), w.state());
+            checker.workerStateReceived(l.at, l.whole(0), w.address(), w.state());
         }
     }
 
@@ -215,18 +215,18 @@
             throw l.malformed("no class " + l.text(2));
         }
         long valid = l.at + l.micros(3);
-        checker.taken(l.at, id(l), c, valid);
+        checker.requestAccepted(l.at, id(l), c, valid);
         open.put(id(l), new Open(id(l), valid + scenario.rules().slack() + 1, l.micros(4)));
     }
 
     private void reaches(Line l) {
         WorkerInfo place = places.get(l.text(2));
-        checker.sent(l.at, id(l), l.text(2), place == null ? -1 : place.zone(), place == null ? -1 : place.cell());
+        checker.attemptStarted(l.at, id(l), l.text(2), place == null ? -1 : place.zone(), place == null ? -1 : place.cell());
         Open o = open.get(id(l));
         double capacity = capacities.getOrDefault(l.text(2), 0.0);
         if (o != null && capacity > 0) {
             WorkerInfo held = lists.getOrDefault(l.whole(0), Map.of()).get(l.text(2));
-            checker.reachesCold(
+            checker.coldArrivalOverloads(
                     l.at, l.text(2), capacity, o.work, l.whole(0), Objects.nonNull(held) && held.startedAt() > 0);
         }
     }
