--- a/src/main/java/saffronferry/lab/scenario/PeerLinks.java
+++ b/src/main/java/saffronferry/lab/scenario/PeerLinks.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import saffronferry.lab.scenario.Scenario.Trouble;
+import saffronferry.lab.scenario.Scenario.Fault;
 
 /**
  * What becomes of a datagram between two dispatchers under a scenario's troubles; the laboratory and the rig
@@ -12,14 +12,14 @@
  * of all.
  */
 public final class PeerLinks {
-    private final List<Trouble> cuts;
+    private final List<Fault> cuts;
     private final int dispatchers;
     private final Scenario scenario;
     private final long start;
 
     /** The troubles' times count from {@code start}, in microseconds. */
     public PeerLinks(Scenario scenario, long start) {
-        cuts = scenario.troubles().stream()
+        cuts = scenario.faults().stream()
                 .filter(t -> t.kind().equals("peer_cut"))
                 .toList();
         dispatchers = scenario.dispatchers();
@@ -31,7 +31,7 @@
     public List<Long> copies(long now, int from, int to, DoubleSupplier chance) {
         long late = 0;
         int copies = 1;
-        for (Trouble t : cuts) {
+        for (Fault t : cuts) {
             if (!holds(t, now - start) || !concerns(t, from, to)) {
                 continue;
             }
@@ -48,13 +48,13 @@
         return result;
     }
 
-    private static boolean holds(Trouble t, long at) {
+    private static boolean holds(Fault t, long at) {
         long since = at - t.at();
         long flap = t.link().flap();
         return since >= 0 && since < t.length() && (flap == 0 || since / flap % 2 == 0);
     }
 
-    private boolean concerns(Trouble t, int from, int to) {
+    private boolean concerns(Fault t, int from, int to) {
         int first = (int) Math.max(1, Math.round(t.part() * dispatchers));
         boolean oneWay = t.link().oneWay();
         return switch (t.link().shape()) {
--- a/src/main/java/saffronferry/lab/scenario/Draw.java
+++ b/src/main/java/saffronferry/lab/scenario/RandomFaults.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import saffronferry.lab.scenario.Scenario.Link;
-import saffronferry.lab.scenario.Scenario.Trouble;
+import saffronferry.lab.scenario.Scenario.Fault;
 
 /**
  * Troubles drawn from a play's seed, beside those that a scenario names: so many, of these kinds, each
  * beginning between two times. The same seed draws the same, in the laboratory and in the rig.
  */
-public record Draw(int troubles, List<String> kinds, long from, long until) {
+public record RandomFaults(int count, List<String> kinds, long from, long until) {
     private static final long SHORTEST = 500_000;
     private static final long LONGEST = 8_000_000;
     private static final double[] LOSSES = {1, 1, 0.7, 0.4, 0.1};
@@ -19,16 +19,16 @@
     private static final List<String> SHAPES = List.of("all", "half", "alone", "mute", "deaf");
 
     /** What is drawn for a seed in a scenario of that length, in order of time. */
-    List<Trouble> of(long seed, long length, List<String> zones, List<String> tenants) {
+    List<Fault> generate(long seed, long length, List<String> zones, List<String> tenants) {
         SplittableRandom random = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 1);
-        List<Trouble> all = new ArrayList<>();
-        for (int i = 0; i < troubles; i++) {
+        List<Fault> all = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
             String kind = kinds.get(random.nextInt(kinds.size()));
             long latest = Math.max(from + 1, Math.min(until, length));
             long at = from + random.nextLong(latest - from);
             long lasts = SHORTEST + random.nextLong(LONGEST - SHORTEST);
             double part = 0.05 + (MOST_PART - 0.05) * random.nextDouble();
-            all.add(new Trouble(
+            all.add(new Fault(
                     kind,
                     at,
                     lasts,
--- a/src/main/java/saffronferry/lab/scenario/Scenario.java
+++ b/src/main/java/saffronferry/lab/scenario/Scenario.java
@@ -25,8 +25,8 @@
         Reports reports,
         Rules rules,
         Prices prices,
-        List<Trouble> troubles,
-        Draw draw,
+        List<Fault> faults,
+        RandomFaults randomFaults,
         Bounds bounds,
         int regions,
         Limits limits) {
@@ -102,7 +102,7 @@
     public record Prices(double peer, double probe, double overShare) {}
 
     /** Something that goes wrong; what {@code part} and {@code size} mean depends on the kind. */
-    public record Trouble(
+    public record Fault(
             String kind, long at, long length, double part, double size, String zone, String tenant, Link link) {}
 
     /**
@@ -138,18 +138,18 @@
                 reports,
                 other,
                 prices,
-                troubles,
-                draw,
+                faults,
+                randomFaults,
                 bounds,
                 regions,
                 limits);
     }
 
     /** As it is played with a seed: with the troubles that are drawn from it. */
-    public Scenario drawn(long seed) {
-        List<Trouble> all = new ArrayList<>(troubles);
+    public Scenario withRandomFaults(long seed) {
+        List<Fault> all = new ArrayList<>(faults);
         all.addAll(
-                draw.of(seed, length, zones, tenants.stream().map(Tenant::name).toList()));
+                randomFaults.generate(seed, length, zones, tenants.stream().map(Tenant::name).toList()));
         return new Scenario(
                 name,
                 length,
@@ -168,7 +168,7 @@
                 rules,
                 prices,
                 List.copyOf(all),
-                draw,
+                randomFaults,
                 bounds,
                 regions,
                 limits);
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -24,7 +24,7 @@
 import saffronferry.lab.scenario.Scenario.RpcClass;
 import saffronferry.lab.scenario.Scenario.Rules;
 import saffronferry.lab.scenario.Scenario.Tenant;
-import saffronferry.lab.scenario.Scenario.Trouble;
+import saffronferry.lab.scenario.Scenario.Fault;
 
 /** Reads scenarios. Every key has a default, a unit and bounds; all that is wrong is told at once. */
 public final class ScenarioReader {
@@ -32,7 +32,7 @@
             Map.of("repeatable", Effect.SAFE, "by_key", Effect.KEYED, "once", Effect.UNSAFE);
     private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL);
     /** Kinds of trouble; docs/operations/laboratory.md says what part and size mean for each. */
-    public static final List<String> TROUBLES = List.of(
+    public static final List<String> FAULT_KINDS = List.of(
             "slow",
             "hung",
             "crash",
@@ -178,8 +178,8 @@
                 reports(top.section("reports")),
                 rules(top.section("rules")),
                 prices(top.section("prices")),
-                troubles(top, zones, tenants, length),
-                draw(top.section("draw"), length),
+                faults(top, zones, tenants, length),
+                randomFaults(top.section("draw"), length),
                 bounds(top.section("bounds")),
                 regions,
                 limits(top.section("limits")));
@@ -344,15 +344,15 @@
         return new Limits(stated);
     }
 
-    private Draw draw(Section s, long length) {
-        Draw d = new Draw(
+    private RandomFaults randomFaults(Section s, long length) {
+        RandomFaults d = new RandomFaults(
                 s.whole("troubles", 0, 0, 100, "troubles drawn from each play's seed"),
                 s.texts("kinds", List.of("peer_cut")),
                 micros(s.number("from_s", 0, 0, 36_000, "seconds")),
                 micros(s.number("until_s", length / 1e6, 0, 36_000, "seconds")));
         for (String kind : d.kinds()) {
-            if (!TROUBLES.contains(kind)) {
-                s.wrong("kinds", "names no kind of trouble: \"" + kind + "\"" + Section.near(kind, TROUBLES));
+            if (!FAULT_KINDS.contains(kind)) {
+                s.wrong("kinds", "names no kind of trouble: \"" + kind + "\"" + Section.near(kind, FAULT_KINDS));
             }
         }
         if (d.from() >= d.until()) {
@@ -362,11 +362,11 @@
         return d;
     }
 
-    private List<Trouble> troubles(Section top, List<String> zones, List<Tenant> tenants, long length) {
-        List<Trouble> result = new ArrayList<>();
+    private List<Fault> faults(Section top, List<String> zones, List<Tenant> tenants, long length) {
+        List<Fault> result = new ArrayList<>();
         for (Section s : top.sections("trouble")) {
-            String kind = s.text("kind", null, TROUBLES);
-            Trouble t = new Trouble(
+            String kind = s.text("kind", null, FAULT_KINDS);
+            Fault t = new Fault(
                     kind,
                     micros(s.number("at_s", 10, 0, 36_000, "seconds")),
                     micros(s.number("length_s", 15, 0.001, 36_000, "seconds")),
--- a/src/main/java/saffronferry/lab/world/ClusterSimulation.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -103,7 +103,7 @@
     /** Plays a day with each brain wrapped, so that what passes can be measured. */
     public static RunResult run(Scenario scenario, Policy policy, long seed, LogicDecorator decorator) {
         long begun = System.nanoTime();
-        ClusterSimulation world = new ClusterSimulation(scenario.drawn(seed), policy, seed, decorator);
+        ClusterSimulation world = new ClusterSimulation(scenario.withRandomFaults(seed), policy, seed, decorator);
         world.runToEnd();
         JSONObject json = world.tally
                 .json(world.sim.done())
--- a/src/main/java/saffronferry/lab/world/Troubles.java
+++ b/src/main/java/saffronferry/lab/world/Troubles.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.ListSampler;
-import saffronferry.lab.scenario.Scenario.Trouble;
+import saffronferry.lab.scenario.Scenario.Fault;
 
 /** Makes go wrong what the scenario says; each trouble draws from a stream of its own. */
 final class Troubles {
@@ -25,9 +25,9 @@
     }
 
     void plan(long start) {
-        List<Trouble> all = world.scenario.troubles();
+        List<Fault> all = world.scenario.faults();
         for (int i = 0; i < all.size(); i++) {
-            Trouble t = all.get(i);
+            Fault t = all.get(i);
             if (SIGNALS.contains(t.kind())) {
                 throw new IllegalArgumentException("trouble " + t.kind() + " is for processes: play it with rig fleet");
             }
@@ -43,12 +43,12 @@
         return up.subList(0, (int) Math.min(up.size(), Math.max(1, Math.round(part * up.size()))));
     }
 
-    private void during(Trouble t, Runnable begin, Runnable end) {
+    private void during(Fault t, Runnable begin, Runnable end) {
         begin.run();
         sim.after(t.length(), end);
     }
 
-    private void begin(Trouble t, int index, UniformRandomProvider random) {
+    private void begin(Fault t, int index, UniformRandomProvider random) {
         switch (t.kind()) {
             case "slow" ->
                 part(t.part(), random).forEach(w -> during(t, () -> w.slow(Math.max(1, t.size())), () -> w.slow(1)));
@@ -105,12 +105,12 @@
         world.registry.changed(w, world.registry.settings().add());
     }
 
-    private int zone(Trouble t) {
+    private int zone(Fault t) {
         return world.scenario.zones().indexOf(t.zone());
     }
 
     /** They are gone at once, and back cold when the trouble is over. */
-    private void lose(Trouble t, Predicate<Worker> which) {
+    private void lose(Fault t, Predicate<Worker> which) {
         world.serving().stream().filter(which).toList().forEach(w -> {
             w.crash();
             world.registry.changed(w, world.registry.settings().silentNotice());
@@ -118,12 +118,12 @@
         });
     }
 
-    private int firstOf(Trouble t) {
+    private int firstOf(Fault t) {
         return (int) Math.max(1, Math.round(t.part() * world.nodes().size()));
     }
 
     /** Its successor starts at once; the old one finishes for {@code size} seconds. */
-    private void replace(Trouble t, Worker old) {
+    private void replace(Fault t, Worker old) {
         old.drain();
         world.registry.changed(old, world.registry.settings().notice());
         Worker successor = world.successor(old);
@@ -136,7 +136,7 @@
     }
 
     /** Batches, one after the other over the trouble's length; each drains for {@code size} seconds. */
-    private void deploy(Trouble t, List<Worker> all) {
+    private void deploy(Fault t, List<Worker> all) {
         long gap = t.length() / all.size();
         long grace = Math.round(Math.max(0.1, t.size()) * 1e6);
         for (int i = 0; i < all.size(); i++) {
@@ -163,7 +163,7 @@
     /**
      * A part of the dispatchers, spread evenly over the length (0.001 s: all at once); down {@code size} s.
      */
-    private void restartNodes(Trouble t, UniformRandomProvider random) {
+    private void restartNodes(Fault t, UniformRandomProvider random) {
         List<Node> nodes = new ArrayList<>(world.nodes());
         Collections.rotate(nodes, random.nextInt(nodes.size()));
         int n = (int) Math.max(1, Math.round(t.part() * nodes.size()));
@@ -173,7 +173,7 @@
         }
     }
 
-    private void burst(Trouble t, int index) {
+    private void burst(Fault t, int index) {
         int tenant = 0;
         while (!world.scenario.tenants().get(tenant).name().equals(t.tenant())) {
             tenant++;
--- a/src/main/java/saffronferry/rig/Faults.java
+++ b/src/main/java/saffronferry/rig/Faults.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.scenario.Scenario.Trouble;
+import saffronferry.lab.scenario.Scenario.Fault;
 
 /** Makes go wrong what the scenario says; datagrams are {@link Relay}'s. */
 final class Faults {
@@ -31,13 +31,13 @@
     }
 
     void plan() {
-        for (Trouble t : scenario.troubles()) {
+        for (Fault t : scenario.faults()) {
             SplittableRandom random = rig.random.split();
             vertx.setTimer(Math.max(1, t.at() / 1000), x -> begin(t, random));
         }
     }
 
-    private List<StandInWorker> workers(Trouble t, SplittableRandom random) {
+    private List<StandInWorker> workers(Fault t, SplittableRandom random) {
         List<StandInWorker> up = new ArrayList<>(rig.workers.values().stream()
                 .filter(w -> !w.down() && !w.draining())
                 .toList());
@@ -49,7 +49,7 @@
     }
 
     /** The first ones, so that a file can name them: part of all. */
-    private List<DispatcherProcess> dispatchers(Trouble t) {
+    private List<DispatcherProcess> dispatchers(Fault t) {
         int n = rig.dispatchers.size();
         return rig.dispatchers.subList(0, (int) Math.min(n, Math.max(1, Math.round(t.part() * n))));
     }
@@ -58,7 +58,7 @@
         vertx.setTimer(Math.max(1, micros / 1000), x -> what.run());
     }
 
-    private void begin(Trouble t, SplittableRandom random) {
+    private void begin(Fault t, SplittableRandom random) {
         long size = Math.round(t.size() * 1e6);
         switch (t.kind()) {
             case "slow" ->
@@ -117,7 +117,7 @@
         void to(DispatcherProcess d);
     }
 
-    private void spread(Trouble t, Deed deed) {
+    private void spread(Fault t, Deed deed) {
         List<DispatcherProcess> all = dispatchers(t);
         for (int i = 0; i < all.size(); i++) {
             DispatcherProcess d = all.get(i);
--- a/src/main/java/saffronferry/rig/Rig.java
+++ b/src/main/java/saffronferry/rig/Rig.java
@@ -194,7 +194,7 @@
     /** The same; where something is measured {@code processes} has what each dispatcher spent. */
     public static JSONObject play(Scenario scenario, long seed, Path keepLogs, Measured measured)
             throws IOException, InterruptedException {
-        Rig rig = new Rig(scenario.drawn(seed), seed, measured);
+        Rig rig = new Rig(scenario.withRandomFaults(seed), seed, measured);
         Thread hook = new Thread(rig::closeQuietly);
         Runtime.getRuntime().addShutdownHook(hook);
         try {
@@ -205,10 +205,10 @@
                             "drawn",
                             new JSONArray(rig
                                     .scenario
-                                    .troubles()
+                                    .faults()
                                     .subList(
-                                            scenario.troubles().size(),
-                                            rig.scenario.troubles().size())
+                                            scenario.faults().size(),
+                                            rig.scenario.faults().size())
                                     .stream()
                                     .map(Object::toString)
                                     .toList()));
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -291,8 +291,8 @@
         Set<String> drawn = new HashSet<>();
         Set<String> kinds = new HashSet<>();
         for (long seed = 1; seed <= 40; seed++) {
-            List<Scenario.Trouble> all = s.drawn(seed).troubles();
-            assertEquals(all, s.drawn(seed).troubles());
+            List<Scenario.Fault> all = s.withRandomFaults(seed).faults();
+            assertEquals(all, s.withRandomFaults(seed).faults());
             assertEquals(1 + 4, all.size());
             all.stream().skip(1).forEach(t -> assertTrue(t.at() < s.length() && t.part() < 0.7, t.toString()));
             all.stream().skip(1).forEach(t -> kinds.add(t.kind()));
