--- a/src/main/java/saffronferry/lab/scenario/Scenario.java
+++ b/src/main/java/saffronferry/lab/scenario/Scenario.java
@@ -67,17 +67,17 @@
     public record Tenant(String name, double share, double entitled) {}
 
     /** Offered work as a share of the fleet's capacity, and how it swings. */
-    public record Load(double share, String shape, double swing, double zoneSkew, long most, Uneven uneven) {}
+    public record Load(double share, String shape, double swing, double zoneSkew, long most, DispatcherSkew dispatcherSkew) {}
 
     /** The first so many dispatchers are asked so many times as much as others, and the last ones nothing. */
-    public record Uneven(int loud, double times, int silent) {
+    public record DispatcherSkew(int loud, double times, int silent) {
         /** How much of the clients one of so many dispatchers gets, relative to the others. */
         public double weight(int dispatcher, int of) {
             return dispatcher < loud ? times : dispatcher >= of - silent ? 0 : 1;
         }
 
         /** Whether all are asked alike. */
-        public boolean none() {
+        public boolean isUniform() {
             return loud == 0 && silent == 0;
         }
     }
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -239,7 +239,7 @@
                 s.number("swing", 0.25, 0, 1, "relative height of the swing"),
                 s.number("zone_skew", 0, 0, 0.9, "how unevenly zones are asked"),
                 (long) s.number("most_requests", 2e6, 1, 1e9, "first tries; a longer day is cut"),
-                new Scenario.Uneven(
+                new Scenario.DispatcherSkew(
                         s.whole("loud", 0, 0, 1000, "dispatchers that are asked more"),
                         s.number("loud_times", 6, 0, 1000, "as much as the others"),
                         s.whole("silent", 0, 0, 1000, "dispatchers that are asked nothing")));
--- a/src/main/java/saffronferry/lab/world/ClusterSimulation.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -354,7 +354,7 @@
         List<Node> all = near.isEmpty() ? believedUp(-1) : near;
         return all.isEmpty()
                 ? null
-                : scenario.load().uneven().none()
+                : scenario.load().dispatcherSkew().isUniform()
                         ? all.get(random.nextInt(all.size()))
                         : weighed(all, random.nextDouble());
     }
@@ -371,7 +371,7 @@
     }
 
     private double weight(Node node) {
-        return scenario.load().uneven().weight(node.number, scenario.dispatchers());
+        return scenario.load().dispatcherSkew().weight(node.number, scenario.dispatchers());
     }
 
     private List<Node> believedUp(int zone) {
--- a/src/main/java/saffronferry/rig/Front.java
+++ b/src/main/java/saffronferry/rig/Front.java
@@ -96,7 +96,7 @@
         long dead = deadSince[d.number];
         boolean noticed =
                 dead > 0 && clock.getAsLong() - dead > scenario.network().frontNotice();
-        return noticed ? 0 : scenario.load().uneven().weight(d.number, dispatchers.size());
+        return noticed ? 0 : scenario.load().dispatcherSkew().weight(d.number, dispatchers.size());
     }
 
     private void ask() {
