--- a/src/main/java/saffronferry/lab/scenario/Scenario.java
+++ b/src/main/java/saffronferry/lab/scenario/Scenario.java
@@ -15,7 +15,7 @@
         int workers,
         int cellSize,
         int dispatchers,
-        List<Kind> kinds,
+        List<WorkerKind> kinds,
         List<RpcClass> classes,
         List<Tenant> tenants,
         Load load,
@@ -32,7 +32,7 @@
         Limits limits) {
 
     /** A kind of worker: {@code speed} 1 does a second of work in a second on one core. */
-    public record Kind(
+    public record WorkerKind(
             String name,
             double share,
             int cores,
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -15,7 +15,7 @@
 import saffronferry.lab.scenario.Scenario.Bounds;
 import saffronferry.lab.scenario.Scenario.Clients;
 import saffronferry.lab.scenario.Scenario.Discovery;
-import saffronferry.lab.scenario.Scenario.Kind;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 import saffronferry.lab.scenario.Scenario.Link;
 import saffronferry.lab.scenario.Scenario.Load;
 import saffronferry.lab.scenario.Scenario.Network;
@@ -145,7 +145,7 @@
         int workers = fleet.whole("workers", 8, 1, 100_000, "workers");
         int cell = fleet.whole("cell_size", 8, 1, 100_000, "workers in a cell");
         int dispatchers = fleet.whole("dispatchers", 2, 1, 1_000, "dispatchers");
-        List<Kind> kinds = new ArrayList<>();
+        List<WorkerKind> kinds = new ArrayList<>();
         fleet.sections("kind").forEach(s -> kinds.add(kind(s)));
         if (kinds.isEmpty()) {
             kinds.add(kind(new Section(file, "fleet.kind", null, problems, values, instead)));
@@ -187,8 +187,8 @@
         return result;
     }
 
-    private Kind kind(Section s) {
-        Kind k = new Kind(
+    private WorkerKind kind(Section s) {
+        WorkerKind k = new WorkerKind(
                 s.text("name", "box", List.of()),
                 s.number("share", 1, 0, 1e6, "relative number of workers"),
                 s.whole("cores", 4, 1, 1024, "cores"),
--- a/src/main/java/saffronferry/lab/world/ClusterSimulation.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -18,7 +18,7 @@
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.PeerLinks;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.scenario.Scenario.Kind;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /**
  * One emulated day. Deterministic: the same scenario, policy and seed give the same day, to the last byte.
@@ -204,7 +204,7 @@
     private void makeWorkers() {
         UniformRandomProvider random = streams.of("fleet", 0);
         double[] owed = new double[scenario.kinds().size()];
-        double shares = scenario.kinds().stream().mapToDouble(Kind::share).sum();
+        double shares = scenario.kinds().stream().mapToDouble(WorkerKind::share).sum();
         for (int i = 0; i < scenario.workers(); i++) {
             int kind = 0;
             for (int k = 0; k < owed.length; k++) { // the one most in arrears: shares hold at any size
@@ -252,9 +252,9 @@
         for (int i = 0; i < scenario.tenants().size(); i++) {
             tenants.add(new Tenant(scenario.tenants().get(i).name(), clients.allowance()[i]));
         }
-        long cold = scenario.kinds().stream().mapToLong(Kind::cold).max().orElse(0);
+        long cold = scenario.kinds().stream().mapToLong(WorkerKind::cold).max().orElse(0);
         double coldShare =
-                scenario.kinds().stream().mapToDouble(Kind::coldFrom).min().orElse(1);
+                scenario.kinds().stream().mapToDouble(WorkerKind::coldFrom).min().orElse(1);
         Scenario.Rules rules = scenario.rules();
         Scenario.Prices prices = scenario.prices();
         return new Settings(
--- a/src/main/java/saffronferry/lab/world/Worker.java
+++ b/src/main/java/saffronferry/lab/world/Worker.java
@@ -10,7 +10,7 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.scenario.Scenario.Kind;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /**
  * An emulated worker: jobs in its slots share its cores, others wait in order or are turned away; crowded it
@@ -23,7 +23,7 @@
     final int zone;
     final int kindIndex;
     final int cell;
-    final Kind kind;
+    final WorkerKind kind;
     private final double speed;
     private final Simulation sim;
     private final Scenario.Reports reports;
--- a/src/main/java/saffronferry/rig/Rig.java
+++ b/src/main/java/saffronferry/rig/Rig.java
@@ -29,7 +29,7 @@
 import org.json.JSONObject;
 import saffronferry.lab.scenario.PeerLinks;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.lab.scenario.Scenario.Kind;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /**
  * Plays one scenario with real processes, in real time, on addresses of this machine's loopback that it
@@ -134,7 +134,7 @@
 
     private void makeWorkers() {
         double[] owed = new double[scenario.kinds().size()];
-        double shares = scenario.kinds().stream().mapToDouble(Kind::share).sum();
+        double shares = scenario.kinds().stream().mapToDouble(WorkerKind::share).sum();
         int zones = scenario.zones().size();
         for (int i = 0; i < scenario.workers(); i++) {
             int kind = 0;
@@ -148,7 +148,7 @@
     }
 
     private StandInWorker worker(String id, int zone, int kind, int cell, long startedAt) {
-        Kind k = scenario.kinds().get(kind);
+        WorkerKind k = scenario.kinds().get(kind);
         double speed = k.speed() * (1 + k.speedCv() * Math.sqrt(3) * (2 * random.nextDouble() - 1));
         StandInWorker w = new StandInWorker(vertx, this::now, judge, id, zone, kind, cell, k, speed, startedAt);
         workers.put(id, w);
--- a/src/main/java/saffronferry/rig/Settings.java
+++ b/src/main/java/saffronferry/rig/Settings.java
@@ -50,7 +50,7 @@
         double cold =
                 s.kinds().stream().mapToDouble(k -> seconds(k.cold())).max().orElse(0);
         double from =
-                s.kinds().stream().mapToDouble(Scenario.Kind::coldFrom).min().orElse(1);
+                s.kinds().stream().mapToDouble(Scenario.WorkerKind::coldFrom).min().orElse(1);
         return new JSONObject()
                 .put("clients", new JSONObject(Map.of("marksRetry", false)))
                 .put(
--- a/src/main/java/saffronferry/rig/StandInWorker.java
+++ b/src/main/java/saffronferry/rig/StandInWorker.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import saffronferry.lab.scenario.Scenario.Kind;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /** A worker as the platform's: jobs by POST, starts told, its load when probed. On the rig's loop. */
 final class StandInWorker {
@@ -54,7 +54,7 @@
             int zone,
             int kindIndex,
             int cell,
-            Kind kind,
+            WorkerKind kind,
             double speed,
             long startedAt) {
         this.vertx = vertx;
--- a/src/main/java/saffronferry/rig/WorkerModel.java
+++ b/src/main/java/saffronferry/rig/WorkerModel.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
-import saffronferry.lab.scenario.Scenario.Kind;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /**
  * What a stand-in worker can do: jobs in its slots share its cores, others wait in order or are turned away,
@@ -23,7 +23,7 @@
         }
     }
 
-    private final Kind kind;
+    private final WorkerKind kind;
     private final double speed;
     private final long coldSince; // 0: warm
     private final List<Job> running = new ArrayList<>();
@@ -34,7 +34,7 @@
     private long at;
 
     /** {@code coldSince} 0: it is warm. */
-    WorkerModel(Kind kind, double speed, long coldSince, long now) {
+    WorkerModel(WorkerKind kind, double speed, long coldSince, long now) {
         this.kind = kind;
         this.speed = speed;
         this.coldSince = coldSince;
--- a/src/test/java/saffronferry/rig/RigTest.java
+++ b/src/test/java/saffronferry/rig/RigTest.java
@@ -65,7 +65,7 @@
     /** A stand-in's capacity while it is cold is what the rules judge by: it must be what the file says. */
     @Test
     public void aColdWorkerDoesItsPart() throws Exception {
-        Scenario.Kind kind = scenario().kinds().get(0);
+        Scenario.WorkerKind kind = scenario().kinds().get(0);
         WorkerModel m = new WorkerModel(kind, 1, 1_000_000, 1_000_000);
         assertEquals(5 * 0.33, m.capacity(1_000_000), 1e-9);
         assertEquals(5 * (0.33 + 0.67 / 2), m.capacity(1_000_000 + kind.cold() / 2), 1e-6);
