--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -171,12 +171,12 @@
                         model,
                         seen.states(),
                         seen.depth(),
-                        seen.whole() ? "" : " not whole",
+                        seen.complete() ? "" : " not whole",
                         (System.nanoTime() - begun) / 1e9,
-                        seen.broken() == null ? "held" : seen.broken());
-        seen.story().forEach(step -> out().println("  " + step));
+                        seen.violation() == null ? "held" : seen.violation());
+        seen.trace().forEach(step -> out().println("  " + step));
         out().flush();
-        return asBuilt == (seen.broken() == null);
+        return asBuilt == (seen.violation() == null);
     }
 
     @Command(name = "explain", description = "Prints every value of a scenario with its unit, defaults too.")
--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -93,19 +93,19 @@
     }
 
     @Override
-    public List<Step<State>> steps(State s) {
-        List<Step<State>> steps = new ArrayList<>();
+    public List<Transition<State>> transitions(State s) {
+        List<Transition<State>> steps = new ArrayList<>();
         State later = s.copy();
         later.now += TICK;
         if (later.now - s.borrowerSince >= LIFE) {
             later.mine = 0; // an offer's life
         }
-        steps.add(new Step<>("time passes", later));
+        steps.add(new Transition<>("time passes", later));
         if (s.covers()) {
             State sends = s.copy();
             sends.spend();
             sends.sent++;
-            steps.add(new Step<>("the lender sends a job", sends));
+            steps.add(new Transition<>("the lender sends a job", sends));
             if (s.now > s.lentAt && s.under.size() < MOST_UNDER) {
                 State lends = s.copy();
                 lends.lentAt = s.now;
@@ -114,16 +114,16 @@
                 if (variant != Variant.CREDIT_BEFORE_DEBIT) {
                     lends.spend();
                 }
-                steps.add(new Step<>("the lender lends a job's worth", lends));
+                steps.add(new Transition<>("the lender lends a job's worth", lends));
             }
         }
         for (int i = 0; i < s.under.size(); i++) {
             State lost = s.copy();
             lost.under.remove(i);
             String what = s.under.get(i).back ? "what comes back" : "what was lent";
-            steps.add(new Step<>(what + " is lost", lost));
-            steps.add(new Step<>(what + " arrives", arrives(lost.copy(), s.under.get(i))));
-            steps.add(new Step<>(what + " arrives, and will again", arrives(s.copy(), s.under.get(i))));
+            steps.add(new Transition<>(what + " is lost", lost));
+            steps.add(new Transition<>(what + " arrives", arrives(lost.copy(), s.under.get(i))));
+            steps.add(new Transition<>(what + " arrives, and will again", arrives(s.copy(), s.under.get(i))));
         }
         if (s.mine > 0) {
             State sends = s.copy();
@@ -132,21 +132,21 @@
             if (variant == Variant.CREDIT_BEFORE_DEBIT) { // the lender hears of it, or does not
                 State heard = sends.copy();
                 heard.spend();
-                steps.add(new Step<>("the borrower sends a job, and the lender hears of it", heard));
+                steps.add(new Transition<>("the borrower sends a job, and the lender hears of it", heard));
             }
-            steps.add(new Step<>("the borrower sends a job", sends));
+            steps.add(new Transition<>("the borrower sends a job", sends));
         }
         if (s.mine > 0 && s.under.size() < MOST_UNDER && variant != Variant.CREDIT_BEFORE_DEBIT) {
             State gives = s.copy();
             gives.under.add(new Part(s.takenAt, true));
             gives.mine -= variant == Variant.BACK_AND_USED ? 0 : 1;
-            steps.add(new Step<>("the borrower gives it back", gives));
+            steps.add(new Transition<>("the borrower gives it back", gives));
         }
         State born = s.copy();
         born.borrowerSince = s.now;
         born.takenAt = 0;
         born.mine = 0;
-        steps.add(new Step<>("the borrower restarts", born));
+        steps.add(new Transition<>("the borrower restarts", born));
         return steps;
     }
 
@@ -175,7 +175,7 @@
     }
 
     @Override
-    public String broken(State s) {
+    public String violation(State s) {
         double most = RATE * (s.now - START) + JOB;
         return s.sent * JOB > most ? s.sent + " jobs are sent in " + (s.now - START) / 1e6 + " s" : null;
     }
--- a/src/main/java/saffronferry/lab/explore/Explorer.java
+++ b/src/main/java/saffronferry/lab/explore/Explorer.java
@@ -24,13 +24,13 @@
      * @param broken the bound that broke, or null
      * @param story the steps to it
      */
-    public record Result(long states, int depth, boolean whole, String broken, List<String> story) {}
+    public record Result(long states, int depth, boolean complete, String violation, List<String> trace) {}
 
-    private record Node<S>(S state, Node<S> before, String what) {
-        List<String> story() {
+    private record Node<S>(S state, Node<S> before, String description) {
+        List<String> trace() {
             List<String> steps = new ArrayList<>();
             for (Node<S> n = this; n.before != null; n = n.before) {
-                steps.add(n.what);
+                steps.add(n.description);
             }
             Collections.reverse(steps);
             return steps;
@@ -38,26 +38,26 @@
     }
 
     /** Tries all stories of so many steps at most, and of no more states than that. */
-    public static <S> Result explore(Model<S> model, int depth, int mostStates) {
+    public static <S> Result explore(Model<S> model, int depth, int maxStates) {
         Set<Long> seen = new HashSet<>();
         List<Node<S>> level = List.of(new Node<>(model.initial(), null, null));
         seen.add(hash(model.key(model.initial())));
         for (int d = 0; d <= depth; d++) {
             List<Node<S>> next = new ArrayList<>();
             for (Node<S> node : level) {
-                String broken = model.broken(node.state);
-                if (broken != null) {
-                    return new Result(seen.size(), d, true, broken, node.story());
+                String violation = model.violation(node.state);
+                if (violation != null) {
+                    return new Result(seen.size(), d, true, violation, node.trace());
                 }
                 if (d == depth) {
                     continue;
                 }
-                for (Model.Step<S> step : model.steps(node.state)) {
-                    if (seen.size() >= mostStates) {
+                for (Model.Transition<S> step : model.transitions(node.state)) {
+                    if (seen.size() >= maxStates) {
                         return new Result(seen.size(), d, false, null, List.of());
                     }
                     if (seen.add(hash(model.key(step.after())))) {
-                        next.add(new Node<>(step.after(), node, step.what()));
+                        next.add(new Node<>(step.after(), node, step.description()));
                     }
                 }
             }
--- a/src/main/java/saffronferry/lab/explore/SharesModel.java
+++ b/src/main/java/saffronferry/lab/explore/SharesModel.java
@@ -98,9 +98,9 @@
     }
 
     @Override
-    public List<Step<State>> steps(State s) {
-        List<Step<State>> steps = new ArrayList<>();
-        steps.add(new Step<>("time passes", tick(s, -1, 0)));
+    public List<Transition<State>> transitions(State s) {
+        List<Transition<State>> steps = new ArrayList<>();
+        steps.add(new Transition<>("time passes", tick(s, -1, 0)));
         if (s.faults == 0) {
             return steps;
         }
@@ -108,14 +108,14 @@
             if ((links & SELVES) == SELVES && links != s.links) {
                 State after = fault(s);
                 after.links = links;
-                steps.add(new Step<>("heard are " + pairs(links), after));
+                steps.add(new Transition<>("heard are " + pairs(links), after));
             }
         }
         for (int pair = 0; pair < N * N; pair++) {
             if (pair / N != pair % N) {
                 String of = (char) ('A' + pair / N) + " to " + (char) ('A' + pair % N);
-                steps.add(new Step<>(of + " comes late", tick(fault(s), pair, 1)));
-                steps.add(new Step<>(of + " comes twice", tick(fault(s), pair, 2)));
+                steps.add(new Transition<>(of + " comes late", tick(fault(s), pair, 1)));
+                steps.add(new Transition<>(of + " comes twice", tick(fault(s), pair, 2)));
             }
         }
         for (int i = 0; i < N; i++) {
@@ -126,10 +126,10 @@
                 Arrays.fill(restarted.heard[i], 0);
                 Arrays.fill(restarted.using[i], false);
                 look(restarted, i);
-                steps.add(new Step<>(name + " restarts", restarted));
+                steps.add(new Transition<>(name + " restarts", restarted));
                 State stopped = fault(s);
                 stopped.stopped = i;
-                steps.add(new Step<>(name + " is stopped", stopped));
+                steps.add(new Transition<>(name + " is stopped", stopped));
             } else if (s.stopped == i) {
                 State on = fault(s);
                 on.stopped = -1;
@@ -137,7 +137,7 @@
                     look(on, i); // before it spends anything
                 }
                 count(on);
-                steps.add(new Step<>(name + " goes on", on));
+                steps.add(new Transition<>(name + " goes on", on));
             }
         }
         return steps;
@@ -250,7 +250,7 @@
     }
 
     @Override
-    public String broken(State s) {
+    public String violation(State s) {
         for (int k = 0; k < N; k++) {
             for (int i = 0; i < N; i++) {
                 if (i != k && i != s.stopped && s.using[i][k] && s.now - s.left[k][i] >= ColdShares.LEASE) {
--- a/src/test/java/saffronferry/lab/explore/ExplorerTest.java
+++ b/src/test/java/saffronferry/lab/explore/ExplorerTest.java
@@ -21,8 +21,8 @@
     }
 
     private static void check(Explorer.Result seen, boolean holds) {
-        assertEquals(holds, seen.broken() == null, seen.toString());
-        assertTrue(seen.whole() && seen.states() > 300, seen.toString());
-        assertEquals(holds, seen.story().isEmpty());
+        assertEquals(holds, seen.violation() == null, seen.toString());
+        assertTrue(seen.complete() && seen.states() > 300, seen.toString());
+        assertEquals(holds, seen.trace().isEmpty());
     }
 }
