--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -122,7 +122,7 @@
         Policy chosen = Policy.of(policy);
         Map<String, List<RunResult>> all = new LinkedHashMap<>();
         JSONArray plays = new JSONArray();
-        List<List<String>> steps = Sweep.together(set);
+        List<List<String>> steps = Sweep.parseSteps(set);
         if (result != null) {
             // guards against the first size's decisions being timed before they are compiled
             Lab.run(read(file, steps.get(0)), chosen, seeds(seeds).subList(0, 1), 1);
@@ -131,7 +131,7 @@
             Scenario scenario = read(file, values);
             List<RunResult> days = Lab.run(scenario, chosen, seeds(seeds), threads(threads));
             all.put(String.join(" ", values), days);
-            days.forEach(day -> plays.put(Sweep.play(scenario, day)));
+            days.forEach(day -> plays.put(Sweep.runEntry(scenario, day)));
         }
         table(all);
         if (result != null) {
--- a/src/main/java/saffronferry/lab/Sweep.java
+++ b/src/main/java/saffronferry/lab/Sweep.java
@@ -18,7 +18,7 @@
      * @return for each step KEY=VALUE of every key
      * @throws IllegalArgumentException if one is no KEY=V1,V2,..., or has not as many values as the first
      */
-    public static List<List<String>> together(List<String> set) {
+    public static List<List<String>> parseSteps(List<String> set) {
         List<List<String>> steps = new ArrayList<>();
         for (String each : set) {
             int equals = each.indexOf('=');
@@ -46,7 +46,7 @@
      * {@code decision_} begins or holds is processor time of the thread that decided, and depends on the
      * machine; the others do not. Bytes are those of datagrams' payloads, sent.
      */
-    public static JSONObject play(Scenario scenario, RunResult day) {
+    public static JSONObject runEntry(Scenario scenario, RunResult day) {
         JSONObject json = day.json();
         double requests = Math.max(1, json.getLong("requests"));
         double seconds = scenario.length() / 1e6;
