--- a/src/main/java/saffronferry/lab/check/RuleChecker.java
+++ b/src/main/java/saffronferry/lab/check/RuleChecker.java
@@ -170,7 +170,7 @@
                             + " though attempt at " + mayHaveRun.worker + " may have run",
                     request);
         }
-        if (request.attempts.size() >= scenario.rules().mostTries()) {
+        if (request.attempts.size() >= scenario.rules().maxAttempts()) {
             report("tries", now, id.dispatcher(), "RPC " + id.rpc() + " has too many attempts", request);
         }
         KnownState known = knownStates.getOrDefault(id.dispatcher(), Map.of()).get(worker);
@@ -296,14 +296,14 @@
             long now, String worker, double capacity, double work, int dispatcher, boolean informed) {
         Deque<Arrival> window = arrivals.computeIfAbsent(worker, w -> new ArrayDeque<>());
         window.add(new Arrival(now, work / 1e6, informed));
-        while (window.peek().atUs < now - scenario.rules().fall()) {
+        while (window.peek().atUs < now - scenario.rules().coldWindow()) {
             window.poll();
         }
         double windowWork = window.stream().mapToDouble(Arrival::work).sum();
-        maxColdMultiple = Math.max(maxColdMultiple, windowWork / (capacity * scenario.rules().fall() / 1e6));
+        maxColdMultiple = Math.max(maxColdMultiple, windowWork / (capacity * scenario.rules().coldWindow() / 1e6));
         double meanWork = scenario.meanWork() / 1e6;
         double budget =
-                scenario.rules().fallMultiple() * capacity * scenario.rules().fall() / 1e6;
+                scenario.rules().coldOverloadMultiple() * capacity * scenario.rules().coldWindow() / 1e6;
         // beyond a budget of N calls, 2 x root of N + 2 are put down to chance, however many send
         double slack = Math.min(MAX_CHANCE_CALLS, 2 * Math.sqrt(budget / meanWork) + 2) * meanWork;
         if (windowWork <= budget + slack) {
@@ -324,7 +324,7 @@
                                     + "with a capacity of %.2f; %d jobs, the largest of %.2f s",
                             worker,
                             windowWork,
-                            scenario.rules().fall() / 1e6,
+                            scenario.rules().coldWindow() / 1e6,
                             capacity,
                             window.size(),
                             window.stream().mapToDouble(Arrival::work).max().orElse(0)),
--- a/src/main/java/saffronferry/lab/scenario/Scenario.java
+++ b/src/main/java/saffronferry/lab/scenario/Scenario.java
@@ -96,7 +96,7 @@
     public record Reports(boolean on, long period, double noise) {}
 
     /** The rules' figures. */
-    public record Rules(long slack, long drain, double fallMultiple, long fall, int mostTries, long maxRetryAfter) {}
+    public record Rules(long slack, long drain, double coldOverloadMultiple, long coldWindow, int maxAttempts, long maxRetryAfter) {}
 
     /** What the module is told that things cost. */
     public record Prices(double peer, double probe, double overShare) {}
--- a/src/main/java/saffronferry/rig/Judge.java
+++ b/src/main/java/saffronferry/rig/Judge.java
@@ -111,9 +111,9 @@
         checker = new RuleChecker(scenario.with(new Scenario.Rules(
                 Math.max(r.slack(), MACHINE_SLACK),
                 r.drain() + MACHINE_SLACK,
-                r.fallMultiple(),
-                r.fall(),
-                r.mostTries(),
+                r.coldOverloadMultiple(),
+                r.coldWindow(),
+                r.maxAttempts(),
                 r.maxRetryAfter())));
     }
 
@@ -257,11 +257,11 @@
     private void reachesCold(long now, StandInWorker at, Request r) {
         Cold c = cold.computeIfAbsent(at, w -> new Cold());
         c.window.add(new Arrival(now, r.work / 1e6));
-        while (c.window.peek().at < now - scenario.rules().fall()) {
+        while (c.window.peek().at < now - scenario.rules().coldWindow()) {
             c.window.poll();
         }
         double sum = c.window.stream().mapToDouble(Arrival::work).sum();
-        double can = at.model.capacity(now) * scenario.rules().fall() / 1e6;
+        double can = at.model.capacity(now) * scenario.rules().coldWindow() / 1e6;
         c.multiple = Math.max(c.multiple, sum / can);
         boolean informed = startsTold.getOrDefault(r.dispatcher, Set.of()).contains(at.id);
         if (checker.coldArrivalOverloads(now, at.id, at.model.capacity(now), r.work, r.dispatcher, informed)) {
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -81,7 +81,7 @@
     void attemptsEndToEndAreBounded() throws Exception {
         for (String name : List.of("alumni-hosting", "alumni-overload", "alumni-outage")) {
             Scenario s = example(name);
-            int most = (1 + s.clients().retries()) * s.rules().mostTries();
+            int most = (1 + s.clients().retries()) * s.rules().maxAttempts();
             for (long seed = 1; seed <= 4; seed++) {
                 JSONObject path =
                         ClusterSimulation.run(s, Policy.NETWORKED_QUEUES, seed).json().getJSONObject("path");
