--- a/src/main/java/saffronferry/lab/Lab.java
+++ b/src/main/java/saffronferry/lab/Lab.java
@@ -13,32 +13,30 @@
 import saffronferry.lab.world.ClusterSimulation;
 import saffronferry.lab.world.ClusterSimulation.RunResult;
 
-/**
- * Plays a scenario over many seeds, side by side; the result does not depend on how many threads there are.
- */
+/** Runs a scenario with many seeds in parallel. The result does not depend on the number of threads. */
 public final class Lab {
-    /** Of the result's JSON; raised when a key changes its meaning or goes. */
+    /** Version of the result's JSON schema; incremented when a key changes its meaning or is removed. */
     public static final int SCHEMA = 1;
 
     private Lab() {}
 
-    /** The days of one policy, in the order of the seeds. */
+    /** Runs one policy and returns the results in the order of the seeds. */
     public static List<RunResult> run(Scenario scenario, Policy policy, List<Long> seeds, int threads)
             throws InterruptedException {
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<RunResult>> days = new ArrayList<>();
+            List<Future<RunResult>> runs = new ArrayList<>();
             for (long seed : seeds) {
-                days.add(pool.submit(() -> ClusterSimulation.run(scenario, policy, seed)));
+                runs.add(pool.submit(() -> ClusterSimulation.run(scenario, policy, seed)));
             }
-            List<RunResult> result = new ArrayList<>();
-            for (Future<RunResult> day : days) {
-                result.add(day.get());
+            List<RunResult> results = new ArrayList<>();
+            for (Future<RunResult> future : runs) {
+                results.add(future.get());
             }
-            return result;
+            return results;
         } catch (ExecutionException e) {
-            if (e.getCause() instanceof IllegalArgumentException unplayable) {
-                throw unplayable;
+            if (e.getCause() instanceof IllegalArgumentException invalidScenario) {
+                throw invalidScenario;
             }
             throw new IllegalStateException("a day failed: " + e.getCause(), e.getCause());
         } finally {
@@ -46,15 +44,15 @@
         }
     }
 
-    /** A result: the same to the last byte for the same scenario, policy and seeds. */
-    public static JSONObject json(Scenario scenario, Policy policy, List<RunResult> days) {
+    /** The result file: identical, byte for byte, for the same scenario, policy and seeds. */
+    public static JSONObject json(Scenario scenario, Policy policy, List<RunResult> runs) {
         JSONArray all = new JSONArray();
-        days.forEach(day -> all.put(day.json()));
+        runs.forEach(run -> all.put(run.json()));
         return new JSONObject()
                 .put("schema", SCHEMA)
                 .put("scenario", scenario.name())
                 .put("policy", policy.label())
-                .put("goal", days.stream().mapToDouble(RunResult::goal).average().orElse(0))
+                .put("goal", runs.stream().mapToDouble(RunResult::goal).average().orElse(0))
                 .put("days", all);
     }
 }
--- a/src/main/java/saffronferry/lab/PairedDifference.java
+++ b/src/main/java/saffronferry/lab/PairedDifference.java
@@ -6,13 +6,13 @@
 import saffronferry.lab.world.ClusterSimulation.RunResult;
 
 /**
- * How the goal differs between two policies on the same days: mean of the differences and the half width of
- * its 95 % confidence interval by Student's t. Infinite with one day only.
+ * The difference of the goal between two policies over runs with the same seeds: the mean difference and the half
+ * width of its 95 % confidence interval by Student's t, which is infinite for a single run.
  */
-public record PairedDifference(int days, double mean, double halfWidth) {
+public record PairedDifference(int runs, double mean, double halfWidth) {
     private static final double CONFIDENCE = 0.95;
 
-    /** Two lists of days with the same seeds in the same order. */
+    /** Compares two lists of runs with the same seeds in the same order. */
     public static PairedDifference of(List<RunResult> a, List<RunResult> b) {
         double[] d = new double[a.size()];
         for (int i = 0; i < d.length; i++) {
@@ -31,20 +31,20 @@
         for (double d : differences) {
             squares += (d - mean) * (d - mean);
         }
-        double half = n < 2
+        double halfInterval = n < 2
                 ? Double.POSITIVE_INFINITY
                 : TDistribution.of(n - 1).inverseCumulativeProbability((1 + CONFIDENCE) / 2)
                         * Math.sqrt(squares / (n - 1) / n);
-        return new PairedDifference(n, mean, half);
+        return new PairedDifference(n, mean, halfInterval);
     }
 
-    /** better, worse, or cannot tell. */
+    /** "better", "worse" or, where the interval contains 0, "cannot tell". */
     public String verdict() {
         return mean - halfWidth > 0 ? "better" : mean + halfWidth < 0 ? "worse" : "cannot tell";
     }
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "%s (%+.4f, 95 %% within %.4f, %d days)", verdict(), mean, halfWidth, days);
+        return String.format(Locale.ROOT, "%s (%+.4f, 95 %% within %.4f, %d days)", verdict(), mean, halfWidth, runs);
     }
 }
--- a/src/main/java/saffronferry/lab/Sweep.java
+++ b/src/main/java/saffronferry/lab/Sweep.java
@@ -7,16 +7,16 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.world.ClusterSimulation.RunResult;
 
-/** Days at several sizes: which keys change together, and each play as an entry of a result file. */
+/** Runs of a scenario with several values of its keys: parses the values, and formats each run for a result file. */
 public final class Sweep {
     private Sweep() {}
 
     /**
-     * The values of several keys that change together.
+     * Parses the values of several keys that change together.
      *
-     * @param set each as KEY=V1,V2,...
-     * @return for each step KEY=VALUE of every key
-     * @throws IllegalArgumentException if one is no KEY=V1,V2,..., or has not as many values as the first
+     * @param set one KEY=V1,V2,... for each key
+     * @return for each step of the sweep, KEY=VALUE of every key
+     * @throws IllegalArgumentException if an element is malformed, or differs from the first in the number of values
      */
     public static List<List<String>> parseSteps(List<String> set) {
         List<List<String>> steps = new ArrayList<>();
@@ -41,13 +41,13 @@
     }
 
     /**
-     * One play: its sizes, and its figures of one dispatcher, a second where the name says so. {@code start_}
-     * is what all spent before the first request, having started together; the others leave that out. What
-     * {@code decision_} begins or holds is processor time of the thread that decided, and depends on the
-     * machine; the others do not. Bytes are those of datagrams' payloads, sent.
+     * One run: its sizes, and its figures per dispatcher, per second where the name says so. Figures with
+     * {@code start_} cover the time before the first request, in which all dispatchers start; the others leave it out.
+     * Figures with {@code decision_} are CPU time of the deciding thread and depend on the machine; the others do
+     * not. Bytes are those of sent datagram payloads.
      */
-    public static JSONObject runEntry(Scenario scenario, RunResult day) {
-        JSONObject json = day.json();
+    public static JSONObject runEntry(Scenario scenario, RunResult run) {
+        JSONObject json = run.json();
         double requests = Math.max(1, json.getLong("requests"));
         double seconds = scenario.length() / 1e6;
         double dispatchers = scenario.dispatchers();
@@ -55,9 +55,9 @@
         double datagrams = json.getLong("datagrams") - json.getLong("start_datagrams");
         double bytes = json.getLong("datagram_bytes") - json.getLong("start_datagram_bytes");
         JSONObject figures = new JSONObject()
-                .put("decision_us_request", rounded(day.decisionUsPerRequest()))
-                .put("decision_core_percent", rounded(day.decisionUsPerRequest() * requests / dispatcherSeconds / 1e4))
-                .put("start_decision_ms", rounded(day.startDecisionUs() / dispatchers / 1e3))
+                .put("decision_us_request", rounded(run.decisionUsPerRequest()))
+                .put("decision_core_percent", rounded(run.decisionUsPerRequest() * requests / dispatcherSeconds / 1e4))
+                .put("start_decision_ms", rounded(run.startDecisionUs() / dispatchers / 1e3))
                 .put("start_datagrams", rounded(json.getLong("start_datagrams") / dispatchers))
                 .put("start_datagram_bytes", rounded(json.getLong("start_datagram_bytes") / dispatchers))
                 .put("datagrams_request", rounded(datagrams / requests))
@@ -70,7 +70,7 @@
                 .put("cold_multiple", json.getDouble("cold_multiple"))
                 .put("attempts_request", rounded(json.getLong("attempts") / requests));
         JSONArray broken = new JSONArray();
-        day.violations().forEach(b -> broken.put(b.rule()));
+        run.violations().forEach(b -> broken.put(b.rule()));
         return new JSONObject()
                 .put("seed", json.getLong("seed"))
                 .put("dispatchers", scenario.dispatchers())
@@ -82,12 +82,12 @@
                 .put("broken", broken);
     }
 
-    /** A result file. */
-    public static JSONObject json(String scenario, JSONArray plays) {
+    /** The content of a result file. */
+    public static JSONObject json(String scenario, JSONArray runs) {
         return new JSONObject()
                 .put("scenario", scenario)
-                .put("seed", plays.getJSONObject(0).getLong("seed"))
-                .put("plays", plays);
+                .put("seed", runs.getJSONObject(0).getLong("seed"))
+                .put("plays", runs);
     }
 
     private static double rounded(double value) {
--- a/src/main/java/saffronferry/lab/check/RuleChecker.java
+++ b/src/main/java/saffronferry/lab/check/RuleChecker.java
@@ -16,13 +16,17 @@
 import saffronferry.lab.scenario.Scenario.RpcClass;
 
 /**
- * Watches the four rules from outside: it sees what dispatchers are told, send and answer, knows nothing of
- * how they decide, and keeps the story of each open RPC for the case that one is broken. Microseconds.
+ * Verifies the four dispatcher rules from the outside. It observes what dispatchers receive, send and answer,
+ * knows nothing of how they decide, and records the events of each open RPC for the report of a violation.
+ * Times are in microseconds.
  */
 public final class RuleChecker {
-    /** Calls of mean work beyond a cold worker's budget that are chance, however large the budget is. */
+    /** Upper limit of the tolerated excess over a cold worker's budget, in calls of mean work. */
     private static final double MAX_CHANCE_CALLS = 6;
-    /** A rule that was broken, when, by which dispatcher, and all that happened to the RPC. */
+
+    private static final int MAX_LISTED_VIOLATIONS = 10;
+
+    /** A violation of a rule: the time, the dispatcher, and the recorded events of the RPC. */
     public record Violation(String rule, long atUs, int dispatcher, String description, List<String> history) {
         @Override
         public String toString() {
@@ -37,8 +41,8 @@
         }
     }
 
-    /** Names one RPC: ids may come again in a dispatcher's next life. */
-    public record Id(int dispatcher, int life, long rpc) {}
+    /** Identifies an RPC. A dispatcher may reuse ids after a restart, so its incarnation is part of the key. */
+    public record Id(int dispatcher, int incarnation, long rpc) {}
 
     private record KnownState(WorkerState state, long atUs) {}
 
@@ -87,7 +91,7 @@
     private final Map<String, Deque<Arrival>> arrivals = new HashMap<>();
     private final Map<Integer, Map<String, Long>> bannedSince = new HashMap<>();
     private final List<Violation> violations = new ArrayList<>();
-    /** The one made last: a list tells thousands the same at one time, and hundreds hear it. */
+    /** The latest instance, reused for equal entries: one list gives thousands of workers the same state. */
     private KnownState lastState = new KnownState(WorkerState.GONE, Long.MIN_VALUE);
 
     private double maxColdMultiple;
@@ -98,36 +102,36 @@
         this.scenario = scenario;
     }
 
-    /** The first of those broken, with their stories. */
+    /** The first ten violations, each with the recorded events of its RPC. */
     public List<Violation> violations() {
         return violations;
     }
 
-    /** How many were broken in all. */
+    /** The number of all violations, including those that are not listed. */
     public int violationCount() {
         return violationCount;
     }
 
-    /** How many sends, answers and overdue RPCs were held against the rules: 0 proves nothing. */
+    /** The number of attempts, answers and deadlines that were checked. With 0 a run proves nothing. */
     public int checkCount() {
         return checkCount;
     }
 
     private void report(String rule, long now, int dispatcher, String description, OpenRequest request) {
         violationCount++;
-        if (violations.size() < 10) {
+        if (violations.size() < MAX_LISTED_VIOLATIONS) {
             violations.add(new Violation(rule, now, dispatcher, description, request == null ? List.of() : List.copyOf(request.history)));
         }
     }
 
-    /** A dispatcher has taken an RPC; {@link #due} is to be called just after its time and slack. */
+    /** A dispatcher has accepted an RPC. Call {@link #deadlinePassed} just after its deadline and slack. */
     public void requestAccepted(long now, Id id, int rpcClassIndex, long validUntil) {
         OpenRequest request = new OpenRequest(scenario.classes().get(rpcClassIndex), validUntil);
         request.log(now, "taken, " + request.rpcClass.name() + ", valid until " + validUntil / 1e6 + " s");
         openRequests.put(id, request);
     }
 
-    /** The RPC's time and slack are over. */
+    /** The deadline of an RPC and the slack after it have passed. */
     public void deadlinePassed(long now, Id id) {
         OpenRequest request = openRequests.remove(id);
         checkCount += request != null ? 1 : 0;
@@ -136,13 +140,13 @@
         }
     }
 
-    /** A dispatcher's process has ended: what it held is the clients' loss, and no rule's. */
+    /** A dispatcher's process has ended. Its open RPCs fail at the clients and violate no rule. */
     public void dispatcherStopped(int dispatcher) {
         openRequests.keySet().removeIf(id -> id.dispatcher() == dispatcher);
         knownStates.remove(dispatcher);
     }
 
-    /** The client has gone, or the answer is for nobody. */
+    /** The client has disconnected, so an answer is no longer required. */
     public void clientGone(Id id) {
         OpenRequest request = openRequests.get(id);
         if (request != null) {
@@ -150,7 +154,7 @@
         }
     }
 
-    /** The module sends an attempt. */
+    /** A dispatcher sends a call attempt to a worker. */
     public void attemptStarted(long now, Id id, String worker, int zone, int cell) {
         checkCount++;
         OpenRequest request = openRequests.get(id);
@@ -216,7 +220,7 @@
         };
     }
 
-    /** The dispatcher has been told how an attempt ended. */
+    /** The dispatcher has received the outcome of an attempt. */
     public void attemptEnded(long now, Id id, int attempt, Outcome outcome) {
         OpenRequest request = openRequests.get(id);
         if (request != null && attempt < request.attempts.size()) {
@@ -226,7 +230,7 @@
         }
     }
 
-    /** The final answer: {@code refused} promises that a retry does no harm. */
+    /** A dispatcher gives the final answer; {@code refused} promises the client that a retry is safe. */
     public void requestCompleted(long now, Id id, String outcome, boolean refused) {
         checkCount++;
         OpenRequest request = openRequests.get(id);
@@ -250,17 +254,17 @@
         }
     }
 
-    /** A dispatcher has said yes to taking a worker out: nothing more goes there, whatever a list says. */
+    /** A dispatcher has confirmed a ban: it must send nothing more to the worker, whatever lists contain. */
     public void workerBanned(long now, int dispatcher, String worker) {
         bannedSince.computeIfAbsent(dispatcher, d -> new HashMap<>()).putIfAbsent(worker, now);
     }
 
-    /** The worker is put back; one call is enough, and the end of a process does not count as one. */
+    /** A ban was lifted. A dispatcher's restart does not lift a ban. */
     public void banLifted(int dispatcher, String worker) {
         bannedSince.getOrDefault(dispatcher, new HashMap<>()).remove(worker);
     }
 
-    /** A dispatcher is told a worker's state. */
+    /** A dispatcher receives the state of a worker. */
     public void workerStateReceived(long now, int dispatcher, String worker, WorkerState state) {
         knownStates.computeIfAbsent(dispatcher, d -> new HashMap<>())
                 .compute(
@@ -276,21 +280,25 @@
         return lastState;
     }
 
-    /** A dispatcher is told a whole list: who is not in it is gone. */
+    /** A dispatcher receives a full list: workers missing from it count as {@link WorkerState#GONE}. */
     public void fullListReceived(long now, int dispatcher, Collection<String> named) {
         List.copyOf(knownStates.getOrDefault(dispatcher, Map.of()).keySet()).stream()
                 .filter(w -> !named.contains(w))
                 .forEach(w -> workerStateReceived(now, dispatcher, w, WorkerState.GONE));
     }
 
-    /** The most work that reached a cold worker in the rule's time, as a multiple of what it could do. */
+    /** The most work a cold worker received within the rule's window, as a multiple of its capacity. */
     public double maxColdMultiple() {
         return maxColdMultiple;
     }
 
     /**
-     * Work reaches a worker that is cold and can do so much a second now; true if that makes it fall over.
-     * {@code informed}: the sender has been told of its start.
+     * A cold worker receives an attempt.
+     *
+     * @param capacity the work it can currently do per second
+     * @param work the work of the attempt in microseconds
+     * @param informed whether the sender's list contains the worker's start time
+     * @return whether the worker is overloaded and fails
      */
     public boolean coldArrivalOverloads(
             long now, String worker, double capacity, double work, int dispatcher, boolean informed) {
@@ -304,7 +312,8 @@
         double meanWork = scenario.meanWork() / 1e6;
         double budget =
                 scenario.rules().coldOverloadMultiple() * capacity * scenario.rules().coldWindow() / 1e6;
-        // beyond a budget of N calls, 2 x root of N + 2 are put down to chance, however many send
+        // an excess of 2 * sqrt(N) + 2 calls over a budget of N calls is attributed to chance, however many
+        // dispatchers send
         double slack = Math.min(MAX_CHANCE_CALLS, 2 * Math.sqrt(budget / meanWork) + 2) * meanWork;
         if (windowWork <= budget + slack) {
             return false;
--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -7,83 +7,85 @@
 import saffronferry.fleet.Loan;
 
 /**
- * A cold worker's budget at one that lends and one that borrows, while what is lent is lost, late or told
- * twice, goes back unused, which is lost, late or told twice in turn, and the borrower restarts. Bound: what
- * both send is never more than the rate and one job.
+ * Model of the escrow protocol: a lender and a borrower share the budget of a cold worker. Transfers to the
+ * borrower and returns of unused budget are lost, delayed or duplicated, and the borrower restarts. Bound: both
+ * together never send more than the rate allows plus one job.
  */
 public final class EscrowModel implements Model<EscrowModel.State> {
-    /** Who is charged first. */
+    /** The protocol as implemented, and faulty variants whose violations must be found. */
     public enum Variant {
         AS_BUILT,
-        /** The borrower may spend what is told; the lender is charged once it hears so. */
+        /** The borrower may spend an offer at once; the lender is debited when it learns of the use. */
         CREDIT_BEFORE_DEBIT,
-        /** Whoever gives a part back may still use it until its next look. */
+        /** A borrower that has returned budget may still use it. */
         BACK_AND_USED,
-        /** Each word that a part comes back counts. */
+        /** Every copy of a return message is credited, duplicates included. */
         EACH_BACK_COUNTS
     }
 
-    private static final long TICK = 100_000;
-    private static final double JOB = 300_000;
+    private static final long TICK_US = 100_000;
+    private static final double JOB_COST = 300_000;
     private static final double RATE = 1;
-    private static final long LIFE = 400_000;
-    private static final long START = 1_000_000_000;
-    private static final int MOST_UNDER = 2;
+    private static final long OFFER_LIFETIME_US = 400_000;
+    private static final long START_TIME_US = 1_000_000_000;
+    private static final int MAX_IN_FLIGHT = 2;
 
     private final Variant variant;
 
-    /** A lender that has all of the budget. */
+    /** Starts with a lender that holds the whole budget. */
     public EscrowModel(Variant variant) {
         this.variant = variant;
     }
 
-    /** What is under way: a part to the borrower, or the word that it comes back. */
-    private record Part(long at, boolean back) {}
+    /** A message in flight: budget lent to the borrower, or the return of unused budget. */
+    private record Transfer(long at, boolean returned) {}
 
-    /** Where both stand. The lender's bucket is told by what was spent of it and when: it is filled anew. */
+    /** The state of both. The lender's token bucket is not stored, but replayed from its ledger. */
     static final class State {
-        long now = START;
-        long borrowerSince = START;
-        long lentAt;
-        long takenAt;
-        int sent;
-        int mine; // jobs that the borrower may send
-        /** By the lender: when, and 0 it is spent, 1 it comes back; with that, the part's stamp. */
-        final List<long[]> spending = new ArrayList<>();
-
-        final List<Long> lends = new ArrayList<>();
-        final List<Part> under = new ArrayList<>();
+        long now = START_TIME_US;
+        long borrowerStartedAt = START_TIME_US;
+        long lastLentAt;
+        long lastAcceptedAt;
+        int jobsSent;
+        /** Jobs that the borrower may send. */
+        int borrowerJobs;
+
+        /** Entries of the lender: time; 0 for a debit, 1 for a credit; time stamp of the returned transfer. */
+        final List<long[]> ledger = new ArrayList<>();
+
+        final List<Long> lendTimes = new ArrayList<>();
+        final List<Transfer> inFlight = new ArrayList<>();
 
         State copy() {
             State s = new State();
             s.now = now;
-            s.borrowerSince = borrowerSince;
-            s.lentAt = lentAt;
-            s.takenAt = takenAt;
-            s.sent = sent;
-            s.mine = mine;
-            s.spending.addAll(spending);
-            s.lends.addAll(lends);
-            s.under.addAll(under);
+            s.borrowerStartedAt = borrowerStartedAt;
+            s.lastLentAt = lastLentAt;
+            s.lastAcceptedAt = lastAcceptedAt;
+            s.jobsSent = jobsSent;
+            s.borrowerJobs = borrowerJobs;
+            s.ledger.addAll(ledger);
+            s.lendTimes.addAll(lendTimes);
+            s.inFlight.addAll(inFlight);
             return s;
         }
 
-        private boolean covers() {
+        private boolean lenderCanSend() {
             ColdBudget budget = new ColdBudget();
-            budget.covers(JOB, START, 1, RATE, 0.5);
-            for (long[] at : spending) {
-                budget.covers(JOB, at[0], 1, RATE, 0.5);
-                if (at[1] == 0) {
-                    budget.spend(JOB);
+            budget.covers(JOB_COST, START_TIME_US, 1, RATE, 0.5);
+            for (long[] entry : ledger) {
+                budget.covers(JOB_COST, entry[0], 1, RATE, 0.5);
+                if (entry[1] == 0) {
+                    budget.spend(JOB_COST);
                 } else {
-                    budget.back(JOB);
+                    budget.back(JOB_COST);
                 }
             }
-            return budget.covers(JOB, now, 1, RATE, 0.5);
+            return budget.covers(JOB_COST, now, 1, RATE, 0.5);
         }
 
-        private void spend() {
-            spending.add(new long[] {now, 0, 0});
+        private void debitLender() {
+            ledger.add(new long[] {now, 0, 0});
         }
     }
 
@@ -96,88 +98,88 @@
     public List<Transition<State>> transitions(State s) {
         List<Transition<State>> steps = new ArrayList<>();
         State later = s.copy();
-        later.now += TICK;
-        if (later.now - s.borrowerSince >= LIFE) {
-            later.mine = 0; // an offer's life
+        later.now += TICK_US;
+        if (later.now - s.borrowerStartedAt >= OFFER_LIFETIME_US) {
+            later.borrowerJobs = 0; // the offer expires
         }
         steps.add(new Transition<>("time passes", later));
-        if (s.covers()) {
+        if (s.lenderCanSend()) {
             State sends = s.copy();
-            sends.spend();
-            sends.sent++;
+            sends.debitLender();
+            sends.jobsSent++;
             steps.add(new Transition<>("the lender sends a job", sends));
-            if (s.now > s.lentAt && s.under.size() < MOST_UNDER) {
+            if (s.now > s.lastLentAt && s.inFlight.size() < MAX_IN_FLIGHT) {
                 State lends = s.copy();
-                lends.lentAt = s.now;
-                lends.under.add(new Part(s.now, false));
-                lends.lends.add(s.now);
+                lends.lastLentAt = s.now;
+                lends.inFlight.add(new Transfer(s.now, false));
+                lends.lendTimes.add(s.now);
                 if (variant != Variant.CREDIT_BEFORE_DEBIT) {
-                    lends.spend();
+                    lends.debitLender();
                 }
                 steps.add(new Transition<>("the lender lends a job's worth", lends));
             }
         }
-        for (int i = 0; i < s.under.size(); i++) {
+        for (int i = 0; i < s.inFlight.size(); i++) {
             State lost = s.copy();
-            lost.under.remove(i);
-            String what = s.under.get(i).back ? "what comes back" : "what was lent";
+            lost.inFlight.remove(i);
+            String what = s.inFlight.get(i).returned ? "what comes back" : "what was lent";
             steps.add(new Transition<>(what + " is lost", lost));
-            steps.add(new Transition<>(what + " arrives", arrives(lost.copy(), s.under.get(i))));
-            steps.add(new Transition<>(what + " arrives, and will again", arrives(s.copy(), s.under.get(i))));
+            steps.add(new Transition<>(what + " arrives", deliver(lost.copy(), s.inFlight.get(i))));
+            steps.add(new Transition<>(what + " arrives, and will again", deliver(s.copy(), s.inFlight.get(i))));
         }
-        if (s.mine > 0) {
+        if (s.borrowerJobs > 0) {
             State sends = s.copy();
-            sends.mine--;
-            sends.sent++;
-            if (variant == Variant.CREDIT_BEFORE_DEBIT) { // the lender hears of it, or does not
+            sends.borrowerJobs--;
+            sends.jobsSent++;
+            if (variant == Variant.CREDIT_BEFORE_DEBIT) { // the lender learns of it, or does not
                 State heard = sends.copy();
-                heard.spend();
+                heard.debitLender();
                 steps.add(new Transition<>("the borrower sends a job, and the lender hears of it", heard));
             }
             steps.add(new Transition<>("the borrower sends a job", sends));
         }
-        if (s.mine > 0 && s.under.size() < MOST_UNDER && variant != Variant.CREDIT_BEFORE_DEBIT) {
-            State gives = s.copy();
-            gives.under.add(new Part(s.takenAt, true));
-            gives.mine -= variant == Variant.BACK_AND_USED ? 0 : 1;
-            steps.add(new Transition<>("the borrower gives it back", gives));
+        if (s.borrowerJobs > 0 && s.inFlight.size() < MAX_IN_FLIGHT && variant != Variant.CREDIT_BEFORE_DEBIT) {
+            State returns = s.copy();
+            returns.inFlight.add(new Transfer(s.lastAcceptedAt, true));
+            returns.borrowerJobs -= variant == Variant.BACK_AND_USED ? 0 : 1;
+            steps.add(new Transition<>("the borrower gives it back", returns));
         }
-        State born = s.copy();
-        born.borrowerSince = s.now;
-        born.takenAt = 0;
-        born.mine = 0;
-        steps.add(new Transition<>("the borrower restarts", born));
+        State restarted = s.copy();
+        restarted.borrowerStartedAt = s.now;
+        restarted.lastAcceptedAt = 0;
+        restarted.borrowerJobs = 0;
+        steps.add(new Transition<>("the borrower restarts", restarted));
         return steps;
     }
 
-    /** As the lender's record of what is out would have it. */
-    private boolean takesBack(State s, long at) {
+    /** Whether the lender's record of outstanding loans accepts the return of a transfer. */
+    private boolean acceptsReturn(State s, long at) {
         Lent out = new Lent();
-        s.lends.forEach(lent -> out.lent(0, lent, JOB));
-        s.spending.stream().filter(x -> x[1] == 1).forEach(x -> out.back(0, x[2], JOB, x[0]));
-        return variant == Variant.EACH_BACK_COUNTS || out.back(0, at, JOB, s.now) > 0;
+        s.lendTimes.forEach(lent -> out.lent(0, lent, JOB_COST));
+        s.ledger.stream().filter(x -> x[1] == 1).forEach(x -> out.back(0, x[2], JOB_COST, x[0]));
+        return variant == Variant.EACH_BACK_COUNTS || out.back(0, at, JOB_COST, s.now) > 0;
     }
 
-    private State arrives(State s, Part part) {
-        if (part.back) {
-            if (takesBack(s, part.at)) {
-                s.spending.add(new long[] {s.now, 1, part.at});
+    private State deliver(State s, Transfer transfer) {
+        if (transfer.returned) {
+            if (acceptsReturn(s, transfer.at)) {
+                s.ledger.add(new long[] {s.now, 1, transfer.at});
             }
             return s;
         }
         Loan loan = new Loan();
-        loan.taken(s.takenAt);
-        if (loan.counts(part.at, s.now, s.borrowerSince, LIFE)) {
-            s.takenAt = part.at;
-            s.mine = 1; // a later offer stands for the one before
+        loan.taken(s.lastAcceptedAt);
+        if (loan.counts(transfer.at, s.now, s.borrowerStartedAt, OFFER_LIFETIME_US)) {
+            s.lastAcceptedAt = transfer.at;
+            s.borrowerJobs = 1; // a later offer replaces the previous one
         }
         return s;
     }
 
     @Override
     public String violation(State s) {
-        double most = RATE * (s.now - START) + JOB;
-        return s.sent * JOB > most ? s.sent + " jobs are sent in " + (s.now - START) / 1e6 + " s" : null;
+        double maxWork = RATE * (s.now - START_TIME_US) + JOB_COST;
+        return s.jobsSent * JOB_COST > maxWork ? s.jobsSent + " jobs are sent in " + (s.now - START_TIME_US) / 1e6 + " s" : null;
     }
 
     @Override
@@ -185,17 +187,17 @@
         StringBuilder key = new StringBuilder()
                 .append(s.now)
                 .append(' ')
-                .append(s.lentAt)
+                .append(s.lastLentAt)
                 .append(' ')
-                .append(s.takenAt)
+                .append(s.lastAcceptedAt)
                 .append(' ')
-                .append(s.sent)
+                .append(s.jobsSent)
                 .append(' ')
-                .append(s.mine)
+                .append(s.borrowerJobs)
                 .append(' ')
-                .append(s.borrowerSince);
-        s.spending.forEach(at -> key.append(' ').append(at[0]).append(at[1] == 0 ? "" : "b" + at[2]));
-        s.under.forEach(p -> key.append(p.back ? '<' : '|').append(p.at));
+                .append(s.borrowerStartedAt);
+        s.ledger.forEach(at -> key.append(' ').append(at[0]).append(at[1] == 0 ? "" : "b" + at[2]));
+        s.inFlight.forEach(p -> key.append(p.returned ? '<' : '|').append(p.at));
         return key.toString();
     }
 
--- a/src/main/java/saffronferry/lab/explore/Model.java
+++ b/src/main/java/saffronferry/lab/explore/Model.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** A small system that can be driven step by step. Its states are never changed: a step makes a new one. */
+/** A small system that is explored step by step. States are immutable: a transition creates a new one. */
 public interface Model<S> {
-    /** What may happen next, told in a few words, and the state after it. */
+    /** A short description of an event, and the state after it. */
     record Transition<S>(String description, S after) {}
 
-    /** Where all stories begin. */
+    /** The state in which all traces begin. */
     S initial();
 
-    /** All that may happen in a state. */
+    /** All possible transitions from a state. */
     List<Transition<S>> transitions(S state);
 
-    /** Equal for two states from which the same may happen. */
+    /** A key that is equal for equivalent states. */
     String key(S state);
 
-    /** The bound that is broken in a state, or null. */
+    /** The bound that a state violates, or null. */
     String violation(S state);
 }
--- a/src/main/java/saffronferry/lab/explore/SharesModel.java
+++ b/src/main/java/saffronferry/lab/explore/SharesModel.java
@@ -8,70 +8,78 @@
 import saffronferry.fleet.ColdShares;
 
 /**
- * Parts of a cold worker's budget among three dispatchers that speak in steps of {@link #TICK}, while
- * datagrams are cut in any of the 64 ways, come late or twice, and dispatchers restart or are stopped and go
- * on. Bounds: whoever uses another's part was left it less than a lease ago, by the other's own time; a part
- * is used by two at once for no longer than a lease; and once all has been quiet, each by just one.
+ * Model of the shares protocol: three dispatchers divide the budget of a cold worker and send one another a
+ * message every {@link #TICK_US}. Each of the 64 combinations of working links occurs, datagrams are delayed or
+ * duplicated, and dispatchers restart, or are suspended and resumed. Bounds: a dispatcher that uses the share of
+ * another one was granted it less than a lease ago by the clock of the other one; two dispatchers use the same
+ * share for no longer than a lease; and after a time without faults exactly one dispatcher uses each share.
  */
 public final class SharesModel implements Model<SharesModel.State> {
-    /** How the classes are used: as the program does, or wrongly in a way that must be caught. */
+    /** The protocol as implemented, and faulty variants whose violations must be found. */
     public enum Variant {
         AS_BUILT,
-        /** A word's age counts from when it arrived, not from its stamp. */
+        /** The age of a message counts from its arrival instead of its time stamp. */
         AGE_FROM_RECEIPT,
-        /** A lease is looked at by a timer, not before each spending: one that was stopped overspends. */
+        /** Leases are checked by a timer instead of before each use, so a resumed process overspends. */
         LEASE_BY_TIMER,
-        /** Whoever is heard has left its part, whatever it hears itself. */
+        /** A dispatcher whose messages arrive counts as having granted its share, whatever they contain. */
         HEARD_IS_LEFT
     }
 
-    /** Time between two looks, and between two exchanges; two fit in a lease. */
-    static final long TICK = 450_000;
+    /** Time between two updates and between two message exchanges; two fit into a lease. */
+    static final long TICK_US = 450_000;
 
-    private static final long LATE = 2 * TICK;
-    private static final int N = 3;
-    private static final int WORKER = 0x51f3a7;
-    private static final int ALL = (1 << N * N) - 1; // a bit for each pair, from * N + to
-    private static final int SELVES = 0b100010001;
-    /** Looks in a row at which a part may be found with two: as many as fit in a lease. */
-    private static final int MOST_DOUBLE = 2;
+    private static final long LATE_DELAY_US = 2 * TICK_US;
+    private static final int DISPATCHERS = 3;
+    private static final int WORKER_HASH = 0x51f3a7;
+    private static final int ALL_LINKS = (1 << DISPATCHERS * DISPATCHERS) - 1; // bit: from * DISPATCHERS + to
+    private static final int SELF_LINKS = 0b100010001;
+    /** Consecutive ticks in which two dispatchers may use the same share: as many as fit into a lease. */
+    private static final int MAX_DOUBLE_USE_TICKS = 2;
 
-    private static final int QUIET = 8;
+    private static final int QUIET_TICKS = 8;
+    /** Passed to {@link #tick} where no datagram is delayed or duplicated. */
+    private static final int NO_LINK = -1;
+
+    private static final int ARRIVES_LATE = 1;
+    private static final int ARRIVES_TWICE = 2;
 
     private final Variant variant;
     private final int faults;
-    private final State first;
+    private final State initial;
 
-    /** Three that have heard each other for long; at most so many faults in a story. */
+    /** Starts with three connected dispatchers; a trace contains at most {@code faults} faults. */
     public SharesModel(Variant variant, int faults) {
         this.variant = variant;
         this.faults = faults;
         State s = new State();
         s.faults = faults;
-        for (int i = 0; i < N; i++) {
-            s.shares[i] = new ColdShares(i, N);
+        for (int i = 0; i < DISPATCHERS; i++) {
+            s.shares[i] = new ColdShares(i, DISPATCHERS);
         }
-        for (int i = 0; i < QUIET; i++) {
-            s = tick(s, -1, 0);
+        for (int i = 0; i < QUIET_TICKS; i++) {
+            s = tick(s, NO_LINK, 0);
         }
-        first = s;
+        initial = s;
     }
 
-    private record Datagram(int from, int to, BitSet word, BitSet hears, long at, long due) {}
+    private record Datagram(int from, int to, BitSet announced, BitSet heardPeers, long sentAt, long dueAt) {}
 
-    /** Where all three stand. */
+    /** The state of all three dispatchers. */
     static final class State {
-        long now = 100 * TICK;
+        long now = 100 * TICK_US;
         int faults;
-        int links = ALL;
+        int links = ALL_LINKS;
         int stopped = -1;
-        int quiet;
-        final ColdShares[] shares = new ColdShares[N];
-        final long[][] heard = new long[N][N];
-        final boolean[][] using = new boolean[N][N]; // as each knew when it looked last
-        final long[][] left = new long[N][N]; // when each last sent a word that leaves its part to another
-        final int[] doubled = new int[N];
-        final List<Datagram> under = new ArrayList<>();
+        int quietTicks;
+        final ColdShares[] shares = new ColdShares[DISPATCHERS];
+        final long[][] lastHeardAt = new long[DISPATCHERS][DISPATCHERS];
+        /** Whether [i] uses the share of [k], as of the last update of i. */
+        final boolean[][] usesShare = new boolean[DISPATCHERS][DISPATCHERS];
+        /** When [k] last sent a message that grants its share to [i]. */
+        final long[][] releasedAt = new long[DISPATCHERS][DISPATCHERS];
+        final int[] doubleUseTicks = new int[DISPATCHERS];
+        final List<Datagram> inFlight = new ArrayList<>();
 
         State copy() {
             State s = new State();
@@ -79,53 +87,53 @@
             s.faults = faults;
             s.links = links;
             s.stopped = stopped;
-            s.quiet = quiet;
-            for (int i = 0; i < N; i++) {
+            s.quietTicks = quietTicks;
+            for (int i = 0; i < DISPATCHERS; i++) {
                 s.shares[i] = shares[i].copy();
-                s.heard[i] = heard[i].clone();
-                s.using[i] = using[i].clone();
-                s.left[i] = left[i].clone();
-                s.doubled[i] = doubled[i];
+                s.lastHeardAt[i] = lastHeardAt[i].clone();
+                s.usesShare[i] = usesShare[i].clone();
+                s.releasedAt[i] = releasedAt[i].clone();
+                s.doubleUseTicks[i] = doubleUseTicks[i];
             }
-            s.under.addAll(under);
+            s.inFlight.addAll(inFlight);
             return s;
         }
     }
 
     @Override
     public State initial() {
-        return first;
+        return initial;
     }
 
     @Override
     public List<Transition<State>> transitions(State s) {
         List<Transition<State>> steps = new ArrayList<>();
-        steps.add(new Transition<>("time passes", tick(s, -1, 0)));
+        steps.add(new Transition<>("time passes", tick(s, NO_LINK, 0)));
         if (s.faults == 0) {
             return steps;
         }
-        for (int links = 0; links <= ALL; links++) {
-            if ((links & SELVES) == SELVES && links != s.links) {
+        for (int links = 0; links <= ALL_LINKS; links++) {
+            if ((links & SELF_LINKS) == SELF_LINKS && links != s.links) {
                 State after = fault(s);
                 after.links = links;
                 steps.add(new Transition<>("heard are " + pairs(links), after));
             }
         }
-        for (int pair = 0; pair < N * N; pair++) {
-            if (pair / N != pair % N) {
-                String of = (char) ('A' + pair / N) + " to " + (char) ('A' + pair % N);
-                steps.add(new Transition<>(of + " comes late", tick(fault(s), pair, 1)));
-                steps.add(new Transition<>(of + " comes twice", tick(fault(s), pair, 2)));
+        for (int pair = 0; pair < DISPATCHERS * DISPATCHERS; pair++) {
+            if (pair / DISPATCHERS != pair % DISPATCHERS) {
+                String of = (char) ('A' + pair / DISPATCHERS) + " to " + (char) ('A' + pair % DISPATCHERS);
+                steps.add(new Transition<>(of + " comes late", tick(fault(s), pair, ARRIVES_LATE)));
+                steps.add(new Transition<>(of + " comes twice", tick(fault(s), pair, ARRIVES_TWICE)));
             }
         }
-        for (int i = 0; i < N; i++) {
+        for (int i = 0; i < DISPATCHERS; i++) {
             char name = (char) ('A' + i);
             if (s.stopped < 0) {
                 State restarted = fault(s);
-                restarted.shares[i] = new ColdShares(i, N);
-                Arrays.fill(restarted.heard[i], 0);
-                Arrays.fill(restarted.using[i], false);
-                look(restarted, i);
+                restarted.shares[i] = new ColdShares(i, DISPATCHERS);
+                Arrays.fill(restarted.lastHeardAt[i], 0);
+                Arrays.fill(restarted.usesShare[i], false);
+                updateShares(restarted, i);
                 steps.add(new Transition<>(name + " restarts", restarted));
                 State stopped = fault(s);
                 stopped.stopped = i;
@@ -134,9 +142,9 @@
                 State on = fault(s);
                 on.stopped = -1;
                 if (variant != Variant.LEASE_BY_TIMER) {
-                    look(on, i); // before it spends anything
+                    updateShares(on, i); // the leases are checked before any use
                 }
-                count(on);
+                countDoubleUse(on);
                 steps.add(new Transition<>(name + " goes on", on));
             }
         }
@@ -146,122 +154,122 @@
     private static State fault(State s) {
         State after = s.copy();
         after.faults--;
-        after.quiet = 0;
+        after.quietTicks = 0;
         return after;
     }
 
     private static String pairs(int links) {
         StringBuilder all = new StringBuilder();
-        for (int pair = 0; pair < N * N; pair++) {
-            if (pair / N != pair % N && (links >> pair & 1) != 0) {
+        for (int pair = 0; pair < DISPATCHERS * DISPATCHERS; pair++) {
+            if (pair / DISPATCHERS != pair % DISPATCHERS && (links >> pair & 1) != 0) {
                 all.append(all.length() > 0 ? " " : "")
-                        .append((char) ('A' + pair / N))
+                        .append((char) ('A' + pair / DISPATCHERS))
                         .append('>')
-                        .append((char) ('A' + pair % N));
+                        .append((char) ('A' + pair % DISPATCHERS));
             }
         }
         return all.length() == 0 ? "none" : all.toString();
     }
 
-    /** A step of time: all look, speak and hear. The pair's datagram comes late (1) or twice (2). */
-    private State tick(State before, int pair, int how) {
+    /** One step of time: all send, receive and update. The datagram of the given link arrives late or twice. */
+    private State tick(State before, int pair, int disturbance) {
         State s = before.copy();
-        s.now += TICK;
-        boolean quiet = s.links == ALL && s.stopped < 0 && s.under.isEmpty() && pair < 0;
-        s.quiet = quiet ? Math.min(QUIET, s.quiet + 1) : 0;
-        List<Datagram> coming = new ArrayList<>(s.under);
-        s.under.clear();
-        for (int i = 0; i < N; i++) {
+        s.now += TICK_US;
+        boolean quiet = s.links == ALL_LINKS && s.stopped < 0 && s.inFlight.isEmpty() && pair == NO_LINK;
+        s.quietTicks = quiet ? Math.min(QUIET_TICKS, s.quietTicks + 1) : 0;
+        List<Datagram> arriving = new ArrayList<>(s.inFlight);
+        s.inFlight.clear();
+        for (int i = 0; i < DISPATCHERS; i++) {
             if (i != s.stopped) {
-                speak(s, i, coming, pair, how);
+                broadcast(s, i, arriving, pair, disturbance);
             }
         }
-        for (Datagram d : coming) {
-            if (d.due <= s.now && d.to != s.stopped) {
-                s.heard[d.to][d.from] = s.now;
+        for (Datagram d : arriving) {
+            if (d.dueAt <= s.now && d.to != s.stopped) {
+                s.lastHeardAt[d.to][d.from] = s.now;
                 s.shares[d.to].says(
                         d.from,
                         false,
-                        d.word,
-                        d.hears,
+                        d.announced,
+                        d.heardPeers,
                         null,
-                        variant == Variant.AGE_FROM_RECEIPT ? s.now : d.at,
+                        variant == Variant.AGE_FROM_RECEIPT ? s.now : d.sentAt,
                         s.now);
-            } else if (s.under.stream()
+            } else if (s.inFlight.stream()
                             .filter(u -> u.from == d.from && u.to == d.to)
                             .count()
                     < 2) {
-                s.under.add(d); // late, or in the socket of one that is stopped
+                s.inFlight.add(d); // delayed, or in the socket buffer of a suspended process
             }
         }
-        for (int i = 0; i < N; i++) {
+        for (int i = 0; i < DISPATCHERS; i++) {
             if (i != s.stopped) {
-                look(s, i);
+                updateShares(s, i);
             }
         }
-        count(s);
+        countDoubleUse(s);
         return s;
     }
 
-    private static void speak(State s, int i, List<Datagram> net, int pair, int how) {
-        BitSet hears = new BitSet();
-        for (int j = 0; j < N; j++) {
-            hears.set(j, j == i || s.heard[i][j] > 0 && s.now - s.heard[i][j] <= ColdShares.LEASE);
+    private static void broadcast(State s, int i, List<Datagram> datagrams, int pair, int disturbance) {
+        BitSet heardPeers = new BitSet();
+        for (int j = 0; j < DISPATCHERS; j++) {
+            heardPeers.set(j, j == i || s.lastHeardAt[i][j] > 0 && s.now - s.lastHeardAt[i][j] <= ColdShares.LEASE);
         }
-        BitSet word = s.shares[i].word(hears, s.now);
-        s.left[i][ColdShares.guardian(WORKER, word)] = s.now;
-        for (int j = 0; j < N; j++) {
-            int to = i * N + j;
+        BitSet announced = s.shares[i].word(heardPeers, s.now);
+        s.releasedAt[i][ColdShares.guardian(WORKER_HASH, announced)] = s.now;
+        for (int j = 0; j < DISPATCHERS; j++) {
+            int to = i * DISPATCHERS + j;
             if (j != i && (s.links >> to & 1) != 0) {
-                boolean late = to == pair && how == 1;
-                net.add(new Datagram(i, j, word, hears, s.now, late ? s.now + LATE : s.now));
-                if (to == pair && how == 2) {
-                    net.add(new Datagram(i, j, word, hears, s.now, s.now + LATE));
+                boolean late = to == pair && disturbance == ARRIVES_LATE;
+                datagrams.add(new Datagram(i, j, announced, heardPeers, s.now, late ? s.now + LATE_DELAY_US : s.now));
+                if (to == pair && disturbance == ARRIVES_TWICE) {
+                    datagrams.add(new Datagram(i, j, announced, heardPeers, s.now, s.now + LATE_DELAY_US));
                 }
             }
         }
     }
 
-    /** One of them looks whom it hears, and whose parts it may use. */
-    private void look(State s, int i) {
+    /** A dispatcher updates which peers it hears and whose shares it may use. */
+    private void updateShares(State s, int i) {
         ColdShares c = s.shares[i];
-        c.near(IntStream.range(0, N)
+        c.near(IntStream.range(0, DISPATCHERS)
                 .filter(j -> j == i
-                        || s.heard[i][j] > 0 && s.now - s.heard[i][j] <= 2 * ColdShares.LEASE && c.counts(j, s.now))
+                        || s.lastHeardAt[i][j] > 0 && s.now - s.lastHeardAt[i][j] <= 2 * ColdShares.LEASE && c.counts(j, s.now))
                 .toArray());
-        boolean guards = c.guardian(WORKER) == i;
-        for (int k = 0; k < N; k++) {
-            boolean heard = s.heard[i][k] > 0 && s.now - s.heard[i][k] <= ColdShares.LEASE;
-            boolean left = variant == Variant.HEARD_IS_LEFT ? heard : c.leftToUs(k, s.now, WORKER);
-            s.using[i][k] = guards && (k == i || left);
+        boolean guards = c.guardian(WORKER_HASH) == i;
+        for (int k = 0; k < DISPATCHERS; k++) {
+            boolean heard = s.lastHeardAt[i][k] > 0 && s.now - s.lastHeardAt[i][k] <= ColdShares.LEASE;
+            boolean released = variant == Variant.HEARD_IS_LEFT ? heard : c.leftToUs(k, s.now, WORKER_HASH);
+            s.usesShare[i][k] = guards && (k == i || released);
         }
     }
 
     private static int users(State s, int k) {
-        return (int) IntStream.range(0, N)
-                .filter(i -> i != s.stopped && s.using[i][k])
+        return (int) IntStream.range(0, DISPATCHERS)
+                .filter(i -> i != s.stopped && s.usesShare[i][k])
                 .count();
     }
 
-    private static void count(State s) {
-        for (int k = 0; k < N; k++) {
-            s.doubled[k] = users(s, k) > 1 ? s.doubled[k] + 1 : 0;
+    private static void countDoubleUse(State s) {
+        for (int k = 0; k < DISPATCHERS; k++) {
+            s.doubleUseTicks[k] = users(s, k) > 1 ? s.doubleUseTicks[k] + 1 : 0;
         }
     }
 
     @Override
     public String violation(State s) {
-        for (int k = 0; k < N; k++) {
-            for (int i = 0; i < N; i++) {
-                if (i != k && i != s.stopped && s.using[i][k] && s.now - s.left[k][i] >= ColdShares.LEASE) {
+        for (int k = 0; k < DISPATCHERS; k++) {
+            for (int i = 0; i < DISPATCHERS; i++) {
+                if (i != k && i != s.stopped && s.usesShare[i][k] && s.now - s.releasedAt[k][i] >= ColdShares.LEASE) {
                     return (char) ('A' + i) + " uses " + (char) ('A' + k) + "'s part, left to it "
-                            + (s.now - s.left[k][i]) / 1e6 + " s ago";
+                            + (s.now - s.releasedAt[k][i]) / 1e6 + " s ago";
                 }
             }
-            if (s.doubled[k] > MOST_DOUBLE) {
+            if (s.doubleUseTicks[k] > MAX_DOUBLE_USE_TICKS) {
                 return (char) ('A' + k) + "'s part is used by two for longer than a lease";
             }
-            if (s.quiet == QUIET && users(s, k) != 1) {
+            if (s.quietTicks == QUIET_TICKS && users(s, k) != 1) {
                 return (char) ('A' + k) + "'s part is used by " + users(s, k) + " after a quiet time";
             }
         }
@@ -277,21 +285,21 @@
                 .append(' ')
                 .append(s.stopped)
                 .append(' ')
-                .append(s.quiet);
-        for (int i = 0; i < N; i++) {
-            key.append('|').append(s.shares[i].state(s.now)).append(s.doubled[i]);
-            for (int j = 0; j < N; j++) {
-                key.append(',').append(Math.min(s.now - s.heard[i][j], 3 * ColdShares.LEASE));
-                key.append(s.using[i][j] ? 'u' : '.').append(Math.min(s.now - s.left[i][j], LATE + TICK));
+                .append(s.quietTicks);
+        for (int i = 0; i < DISPATCHERS; i++) {
+            key.append('|').append(s.shares[i].state(s.now)).append(s.doubleUseTicks[i]);
+            for (int j = 0; j < DISPATCHERS; j++) {
+                key.append(',').append(Math.min(s.now - s.lastHeardAt[i][j], 3 * ColdShares.LEASE));
+                key.append(s.usesShare[i][j] ? 'u' : '.').append(Math.min(s.now - s.releasedAt[i][j], LATE_DELAY_US + TICK_US));
             }
         }
-        s.under.forEach(d -> key.append(d.from)
+        s.inFlight.forEach(d -> key.append(d.from)
                 .append(d.to)
-                .append(d.word)
-                .append(d.hears)
-                .append(Math.min(s.now - d.at, 2 * ColdShares.LEASE))
+                .append(d.announced)
+                .append(d.heardPeers)
+                .append(Math.min(s.now - d.sentAt, 2 * ColdShares.LEASE))
                 .append(':')
-                .append(s.now - d.due));
+                .append(s.now - d.dueAt));
         return key.toString();
     }
 
--- a/src/main/java/saffronferry/lab/explore/package-info.java
+++ b/src/main/java/saffronferry/lab/explore/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Drives small fleets through every order of faults to a stated depth, and tells the shortest story that
- * breaks a bound. The classes driven are the program's own.
+ * Bounded model checking of small fleets: explores every order of faults up to a given depth and reports the
+ * shortest trace that violates a bound. The models drive the classes of the product.
  */
 package saffronferry.lab.explore;
--- a/src/main/java/saffronferry/lab/package-info.java
+++ b/src/main/java/saffronferry/lab/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The laboratory: what the decisions do with workers, clients, networks and troubles of our own making, in
- * virtual time. {@code scenario} reads what is to be played, {@code world} plays it, {@code policy} has the
- * decisions that are compared, {@code check} watches the rules without knowing the code under test.
- * Nothing that {@code serve} loads depends on it.
+ * Simulator that runs the dispatch logic against emulated workers, clients, networks and faults in virtual
+ * time. {@code scenario} reads scenario files, {@code world} simulates them, {@code policy} holds the load
+ * balancing policies that are compared, {@code check} verifies the dispatchers' rules without knowledge of the
+ * code under test, and {@code explore} enumerates the states of small protocol models. Nothing that
+ * {@code serve} loads depends on this package.
  */
 package saffronferry.lab;
--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -19,18 +19,18 @@
 import saffronferry.Step;
 
 /**
- * A policy from the textbooks: it sends each request at once to the worker that its chooser names, and again
- * elsewhere where the class allows that. It keeps the rules: nothing to workers that drain, and to a cold one
- * only the part of its turns that its capacity allows.
+ * Dispatch logic of the baseline policies. Sends each request at once to the worker that its chooser returns, and
+ * retries on another one where the request class allows it. Sends nothing to draining workers, and picks a cold
+ * worker only with a probability that rises from its initial capacity share to 1 while it warms up.
  */
 final class BaselineLogic implements DispatchLogic {
-    /** Names one of a list that is not empty. */
+    /** Chooses a worker from a non-empty list. */
     interface Chooser {
-        Known choose(List<Known> all, UniformRandomProvider random);
+        WorkerView choose(List<WorkerView> all, UniformRandomProvider random);
     }
 
-    /** What a dispatcher knows of a worker. */
-    static final class Known {
+    /** A dispatcher's view of a worker. */
+    static final class WorkerView {
         final String address;
         final int zone;
         final int kind;
@@ -39,7 +39,7 @@
         final WorkerState state;
         int outstanding;
 
-        Known(WorkerInfo info) {
+        WorkerView(WorkerInfo info) {
             address = info.address();
             zone = info.zone();
             kind = info.kind();
@@ -49,31 +49,33 @@
         }
     }
 
-    private record Attempt(Known worker, long sentAt) {}
+    private record Attempt(WorkerView worker, long sentAt) {}
 
-    private static final class Open {
+    private static final class OpenRequest {
         final Request request;
         final List<Attempt> attempts = new ArrayList<>();
-        /** The first attempt that may have run, or null. */
-        Attempt doubt;
+        /** The first attempt that may have been executed, or null. */
+        Attempt possiblyRun;
 
-        int out;
+        int attemptsInFlight;
 
-        Open(Request request) {
+        OpenRequest(Request request) {
             this.request = request;
         }
     }
 
-    private static final long WATCH = 1;
-    private static final long AGAIN = 500_000;
+    private static final long WATCH_TOKEN = 1;
+    private static final long WATCH_RETRY_DELAY_US = 500_000;
+    /** Limits how often the chooser is asked again after it named a cold worker that is skipped. */
+    private static final int MAX_CHOICES = 8;
 
     private final Settings settings;
     private final UniformRandomProvider random;
     private final Chooser chooser;
-    private final Map<String, Known> workers = new LinkedHashMap<>();
-    private final Map<Long, Open> open = new HashMap<>();
-    private List<Known> usable = List.of();
-    private boolean begun;
+    private final Map<String, WorkerView> workers = new LinkedHashMap<>();
+    private final Map<Long, OpenRequest> openRequests = new HashMap<>();
+    private List<WorkerView> inService = List.of();
+    private boolean watchRequested;
 
     BaselineLogic(Settings settings, UniformRandomProvider random, Chooser chooser) {
         this.settings = settings;
@@ -83,44 +85,44 @@
 
     @Override
     public List<Step> pick(long now, Request rpc) {
-        Open o = new Open(rpc);
-        open.put(rpc.id(), o);
+        OpenRequest openRequest = new OpenRequest(rpc);
+        openRequests.put(rpc.id(), openRequest);
         List<Step> steps = new ArrayList<>();
-        send(now, o, steps);
+        send(now, openRequest, steps);
         return steps;
     }
 
-    private void send(long now, Open o, List<Step> steps) {
-        Known worker =
-                o.attempts.size() < settings.maxAttempts() && now < o.request.validUntil() ? choose(now, o) : null;
+    private void send(long now, OpenRequest openRequest, List<Step> steps) {
+        WorkerView worker =
+                openRequest.attempts.size() < settings.maxAttempts() && now < openRequest.request.validUntil() ? choose(now, openRequest) : null;
         if (worker == null) {
-            end(o, steps);
+            refuseOrFail(openRequest, steps);
             return;
         }
         worker.outstanding++;
-        o.out++;
-        o.attempts.add(new Attempt(worker, now));
-        steps.add(new Step.StartAttempt(o.request.id(), worker.address));
+        openRequest.attemptsInFlight++;
+        openRequest.attempts.add(new Attempt(worker, now));
+        steps.add(new Step.StartAttempt(openRequest.request.id(), worker.address));
     }
 
-    private Known choose(long now, Open o) {
-        JobClass spec = settings.classes().get(o.request.jobClass());
-        List<Known> among = usable;
-        if (o.doubt != null && spec.effect() != Effect.SAFE) {
-            Known first = o.doubt.worker();
-            boolean may = spec.effect() == Effect.KEYED && now < o.doubt.sentAt() + spec.keyTtl();
-            among = !may
+    private WorkerView choose(long now, OpenRequest openRequest) {
+        JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
+        List<WorkerView> candidates = inService;
+        if (openRequest.possiblyRun != null && jobClass.effect() != Effect.SAFE) {
+            WorkerView possiblyRunOn = openRequest.possiblyRun.worker();
+            boolean retryAllowed = jobClass.effect() == Effect.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
+            candidates = !retryAllowed
                     ? List.of()
-                    : usable.stream()
-                            .filter(w -> spec.group() == Group.ALL
-                                    || w.zone == first.zone && (spec.group() == Group.ZONE || w.cell == first.cell))
+                    : inService.stream()
+                            .filter(w -> jobClass.group() == Group.ALL
+                                    || w.zone == possiblyRunOn.zone && (jobClass.group() == Group.ZONE || w.cell == possiblyRunOn.cell))
                             .toList();
         }
-        if (spec.kind() >= 0) {
-            among = among.stream().filter(w -> w.kind == spec.kind()).toList();
+        if (jobClass.kind() >= 0) {
+            candidates = candidates.stream().filter(w -> w.kind == jobClass.kind()).toList();
         }
-        for (int i = 0; i < 8 && !among.isEmpty(); i++) {
-            Known w = chooser.choose(among, random);
+        for (int i = 0; i < MAX_CHOICES && !candidates.isEmpty(); i++) {
+            WorkerView w = chooser.choose(candidates, random);
             double age = (now - w.startedAt) / (double) Math.max(1, settings.cold());
             boolean warm = w.startedAt == 0 || age >= 1;
             if (warm || random.nextDouble() < settings.coldShare() + (1 - settings.coldShare()) * age) {
@@ -130,64 +132,64 @@
         return null;
     }
 
-    private void end(Open o, List<Step> steps) {
-        open.remove(o.request.id());
-        JobClass spec = settings.classes().get(o.request.jobClass());
-        boolean harmless = o.doubt == null
-                || spec.effect() == Effect.SAFE
-                || spec.effect() == Effect.KEYED && spec.group() == Group.ALL;
-        steps.add(harmless ? new Step.Refuse(o.request.id(), 0) : new Step.Fail(o.request.id()));
+    private void refuseOrFail(OpenRequest openRequest, List<Step> steps) {
+        openRequests.remove(openRequest.request.id());
+        JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
+        boolean retryIsSafe = openRequest.possiblyRun == null
+                || jobClass.effect() == Effect.SAFE
+                || jobClass.effect() == Effect.KEYED && jobClass.group() == Group.ALL;
+        steps.add(retryIsSafe ? new Step.Refuse(openRequest.request.id(), 0) : new Step.Fail(openRequest.request.id()));
     }
 
     @Override
     public List<Step> report(long now, News news) {
         List<Step> steps = new ArrayList<>();
         if (news instanceof News.AttemptEnded e) {
-            ended(now, e, steps);
+            attemptEnded(now, e, steps);
         } else if (news instanceof News.Resolved r) {
-            resolved(r);
-            if (!begun) {
-                begun = true;
+            applyList(r);
+            if (!watchRequested) {
+                watchRequested = true;
                 steps.add(new Step.Watch());
             }
         } else if (news instanceof News.WatchLost) {
-            steps.add(new Step.WakeAfter(WATCH, AGAIN));
+            steps.add(new Step.WakeAfter(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
         } else if (news instanceof News.ClientGone g) {
-            open.remove(g.rpc());
+            openRequests.remove(g.rpc());
         }
         return steps;
     }
 
-    private void ended(long now, News.AttemptEnded e, List<Step> steps) {
-        Open o = open.get(e.rpc());
-        if (o == null) {
+    private void attemptEnded(long now, News.AttemptEnded e, List<Step> steps) {
+        OpenRequest openRequest = openRequests.get(e.rpc());
+        if (openRequest == null) {
             return;
         }
-        Attempt a = o.attempts.get(e.attempt());
+        Attempt a = openRequest.attempts.get(e.attempt());
         a.worker().outstanding--;
-        o.out--;
-        if (!e.outcome().neverRan && o.doubt == null) {
-            o.doubt = a;
+        openRequest.attemptsInFlight--;
+        if (!e.outcome().neverRan && openRequest.possiblyRun == null) {
+            openRequest.possiblyRun = a;
         }
         if (e.answered() || e.outcome() == Outcome.OK) {
-            open.remove(e.rpc());
-        } else if (o.out == 0) {
-            send(now, o, steps);
+            openRequests.remove(e.rpc());
+        } else if (openRequest.attemptsInFlight == 0) {
+            send(now, openRequest, steps);
         }
     }
 
-    private void resolved(News.Resolved r) {
+    private void applyList(News.Resolved r) {
         if (r.kind() != ListKind.CHANGES) {
             workers.keySet()
                     .retainAll(r.entries().stream().map(WorkerInfo::address).toList());
         }
         for (WorkerInfo info : r.entries()) {
-            Known old = workers.get(info.address());
-            Known now = new Known(info);
+            WorkerView old = workers.get(info.address());
+            WorkerView now = new WorkerView(info);
             now.outstanding = old == null ? 0 : old.outstanding;
             workers.put(info.address(), now);
         }
-        usable = workers.values().stream()
+        inService = workers.values().stream()
                 .filter(w -> w.state == WorkerState.IN_SERVICE)
                 .toList();
     }
--- a/src/main/java/saffronferry/lab/policy/DispatchLogic.java
+++ b/src/main/java/saffronferry/lab/policy/DispatchLogic.java
@@ -7,18 +7,21 @@
 import saffronferry.News;
 import saffronferry.Step;
 
-/** The facade's shape: whoever decides in an emulated dispatcher. Clock in microseconds, never backwards. */
+/**
+ * The decisions of an emulated dispatcher, with the methods of the facade {@link Balancer}. Times are in
+ * microseconds and never go backwards.
+ */
 public interface DispatchLogic {
-    /** Picks what to do with a new RPC, which awaits exactly one final answer. */
+    /** Handles a new RPC, which must be given exactly one final answer. */
     List<Step> pick(long now, Request rpc);
 
-    /** Takes news in. */
+    /** Handles an event. */
     List<Step> report(long now, News news);
 
-    /** A {@link Step.WakeAfter} has fallen due. */
+    /** Handles the timer of a {@link Step.WakeAfter}. */
     List<Step> tick(long now, long token);
 
-    /** The program's own decisions, through the facade that {@code serve} uses. */
+    /** The decisions of the product, through the facade that {@code serve} uses. */
     static DispatchLogic networkedQueues(Settings settings) {
         Balancer balancer = new Balancer(settings);
         return new DispatchLogic() {
--- a/src/main/java/saffronferry/lab/policy/Policy.java
+++ b/src/main/java/saffronferry/lab/policy/Policy.java
@@ -6,9 +6,9 @@
 import java.util.function.ToDoubleFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 import saffronferry.Contract.Settings;
-import saffronferry.lab.policy.BaselineLogic.Known;
+import saffronferry.lab.policy.BaselineLogic.WorkerView;
 
-/** The policies that can be compared, all under the same rules and behind the same facade. */
+/** The load balancing policies that can be compared. All are subject to the same rules. */
 public enum Policy {
     NETWORKED_QUEUES,
     RANDOM,
@@ -16,15 +16,15 @@
     LEAST_OUTSTANDING,
     TWO_CHOICES,
     JOIN_IDLE_QUEUE,
-    /** Sees the true load of every worker: no real dispatcher can; it shows what is left to gain. */
+    /** Uses the true load of every worker, which no real dispatcher knows. An upper bound for comparison. */
     SIGHTED;
 
-    /** Its name on the command line and in results. */
+    /** The name on the command line and in results. */
     public String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The policy of a name, or an error that lists them. */
+    /** Returns the policy with the given label; the error for an unknown one lists all labels. */
     public static Policy of(String label) {
         return Arrays.stream(values())
                 .filter(p -> p.label().equals(label))
@@ -38,37 +38,38 @@
     }
 
     /**
-     * A dispatcher's decisions; {@code truth} tells a worker's true load and is for {@link #SIGHTED} alone.
+     * Creates the dispatch logic of a dispatcher. {@code trueLoad} returns the actual load of a worker and is used by
+     * {@link #SIGHTED} only.
      */
-    public DispatchLogic createLogic(Settings settings, UniformRandomProvider random, ToDoubleFunction<String> truth) {
+    public DispatchLogic createLogic(Settings settings, UniformRandomProvider random, ToDoubleFunction<String> trueLoad) {
         return switch (this) {
             case NETWORKED_QUEUES -> DispatchLogic.networkedQueues(settings);
             case RANDOM -> new BaselineLogic(settings, random, (all, r) -> all.get(r.nextInt(all.size())));
             case ROUND_ROBIN -> {
-                int[] turn = {random.nextInt(1 << 20)};
-                yield new BaselineLogic(settings, random, (all, r) -> all.get(turn[0]++ % all.size()));
+                int[] nextIndex = {random.nextInt(1 << 20)};
+                yield new BaselineLogic(settings, random, (all, r) -> all.get(nextIndex[0]++ % all.size()));
             }
             case LEAST_OUTSTANDING -> new BaselineLogic(settings, random, Policy::leastOutstanding);
             case TWO_CHOICES ->
                 new BaselineLogic(settings, random, (all, r) -> {
-                    Known a = all.get(r.nextInt(all.size()));
-                    Known b = all.get(r.nextInt(all.size()));
+                    WorkerView a = all.get(r.nextInt(all.size()));
+                    WorkerView b = all.get(r.nextInt(all.size()));
                     return a.outstanding <= b.outstanding ? a : b;
                 });
             case JOIN_IDLE_QUEUE ->
                 new BaselineLogic(settings, random, (all, r) -> {
-                    List<Known> idle =
+                    List<WorkerView> idle =
                             all.stream().filter(w -> w.outstanding == 0).toList();
                     return idle.isEmpty() ? all.get(r.nextInt(all.size())) : idle.get(r.nextInt(idle.size()));
                 });
             case SIGHTED ->
                 new BaselineLogic(settings, random, (all, r) -> {
-                    Known best = null;
-                    double least = Double.MAX_VALUE;
-                    for (Known w : all) {
-                        double load = truth.applyAsDouble(w.address) + (w.zone == settings.zone() ? 0 : 0.01);
-                        if (load < least) {
-                            least = load;
+                    WorkerView best = null;
+                    double leastLoad = Double.MAX_VALUE;
+                    for (WorkerView w : all) {
+                        double load = trueLoad.applyAsDouble(w.address) + (w.zone == settings.zone() ? 0 : 0.01);
+                        if (load < leastLoad) {
+                            leastLoad = load;
                             best = w;
                         }
                     }
@@ -77,11 +78,11 @@
         };
     }
 
-    private static Known leastOutstanding(List<Known> all, UniformRandomProvider random) {
+    private static WorkerView leastOutstanding(List<WorkerView> all, UniformRandomProvider random) {
         int from = random.nextInt(all.size());
-        Known best = all.get(from);
+        WorkerView best = all.get(from);
         for (int i = 1; i < all.size(); i++) {
-            Known w = all.get((from + i) % all.size());
+            WorkerView w = all.get((from + i) % all.size());
             best = w.outstanding < best.outstanding ? w : best;
         }
         return best;
--- a/src/main/java/saffronferry/lab/scenario/Limits.java
+++ b/src/main/java/saffronferry/lab/scenario/Limits.java
@@ -5,22 +5,22 @@
 import java.util.Set;
 
 /**
- * What a dispatcher may cost at most, and what a fleet must reach at least, by the figure's name; only what a
- * scenario states is judged. A play in virtual time with hollow dispatchers measures these figures.
+ * Limits of a scale run by the name of the figure: the most a dispatcher may cost, and the least a fleet must
+ * achieve. Only limits stated in the scenario are checked.
  */
 public record Limits(Map<String, Double> stated) {
-    /** Every figure that may have a limit, with its unit. */
+    /** All figures that may have a limit, with their units. */
     public static final Map<String, String> FIGURES = figures();
-    /** Of these, those that must not be under their limit; the others must not be over it. */
-    private static final Set<String> LEAST = Set.of("goal_share", "served_share", "cold_used_share");
+    /** Figures whose limit is a minimum; the limit of all others is a maximum. */
+    private static final Set<String> MINIMUM_FIGURES = Set.of("goal_share", "served_share", "cold_used_share");
 
     public Limits {
         stated = Map.copyOf(stated);
     }
 
-    /** Whether the limit is the least that a figure must reach, and not the most it may. */
+    /** Whether the limit of the figure is a minimum. */
     public static boolean isLeast(String figure) {
-        return LEAST.contains(figure);
+        return MINIMUM_FIGURES.contains(figure);
     }
 
     private static Map<String, String> figures() {
--- a/src/main/java/saffronferry/lab/scenario/Problem.java
+++ b/src/main/java/saffronferry/lab/scenario/Problem.java
@@ -1,6 +1,6 @@
 package saffronferry.lab.scenario;
 
-/** What is wrong at one place of a file; line and column count from 1, and 0 stands for the whole file. */
+/** A problem in a scenario file. Line and column count from 1; 0 refers to the whole file. */
 public record Problem(String file, int line, int column, String key, String text) {
     @Override
     public String toString() {
--- a/src/main/java/saffronferry/lab/scenario/RandomFaults.java
+++ b/src/main/java/saffronferry/lab/scenario/RandomFaults.java
@@ -3,35 +3,35 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import saffronferry.lab.scenario.Scenario.Link;
+import saffronferry.lab.scenario.Scenario.LinkFault;
 import saffronferry.lab.scenario.Scenario.Fault;
 
 /**
- * Troubles drawn from a play's seed, beside those that a scenario names: so many, of these kinds, each
- * beginning between two times. The same seed draws the same, in the laboratory and in the rig.
+ * Random faults in addition to those listed in a scenario: their number, their kinds, and the interval in which
+ * they begin. The same seed gives the same faults, in the simulator and in the rig.
  */
 public record RandomFaults(int count, List<String> kinds, long from, long until) {
-    private static final long SHORTEST = 500_000;
-    private static final long LONGEST = 8_000_000;
-    private static final double[] LOSSES = {1, 1, 0.7, 0.4, 0.1};
-    private static final double MOST_PART = 0.7;
-    /** A list of its own: a shape more among those that can be written must not change what seeds draw. */
-    private static final List<String> SHAPES = List.of("all", "half", "alone", "mute", "deaf");
+    private static final long MIN_LENGTH_US = 500_000;
+    private static final long MAX_LENGTH_US = 8_000_000;
+    private static final double[] LOSS_RATES = {1, 1, 0.7, 0.4, 0.1};
+    private static final double MAX_PART = 0.7;
+    /** Separate from the shapes a scenario may name: a new shape there must not change what a seed gives. */
+    private static final List<String> LINK_SHAPES = List.of("all", "half", "alone", "mute", "deaf");
 
-    /** What is drawn for a seed in a scenario of that length, in order of time. */
-    List<Fault> generate(long seed, long length, List<String> zones, List<String> tenants) {
+    /** The faults for a seed, ordered by their start time. */
+    List<Fault> generate(long seed, long scenarioLength, List<String> zones, List<String> tenants) {
         SplittableRandom random = new SplittableRandom(seed * 0x9E3779B97F4A7C15L + 1);
         List<Fault> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String kind = kinds.get(random.nextInt(kinds.size()));
-            long latest = Math.max(from + 1, Math.min(until, length));
+            long latest = Math.max(from + 1, Math.min(until, scenarioLength));
             long at = from + random.nextLong(latest - from);
-            long lasts = SHORTEST + random.nextLong(LONGEST - SHORTEST);
-            double part = 0.05 + (MOST_PART - 0.05) * random.nextDouble();
+            long lengthUs = MIN_LENGTH_US + random.nextLong(MAX_LENGTH_US - MIN_LENGTH_US);
+            double part = 0.05 + (MAX_PART - 0.05) * random.nextDouble();
             all.add(new Fault(
                     kind,
                     at,
-                    lasts,
+                    lengthUs,
                     part,
                     size(kind, random),
                     zones.get(random.nextInt(zones.size())),
@@ -42,7 +42,7 @@
         return all;
     }
 
-    /** What {@code size} means hangs on the kind: seconds, or how much slower or more. */
+    /** The size of a fault. Its meaning depends on the kind: seconds, or a factor. */
     private static double size(String kind, SplittableRandom random) {
         return switch (kind) {
             case "dispatcher_restart", "dispatcher_term" -> 0.2 + 2 * random.nextDouble();
@@ -51,11 +51,11 @@
         };
     }
 
-    private static Link link(SplittableRandom random) {
-        return new Link(
-                SHAPES.get(random.nextInt(SHAPES.size())),
+    private static LinkFault link(SplittableRandom random) {
+        return new LinkFault(
+                LINK_SHAPES.get(random.nextInt(LINK_SHAPES.size())),
                 random.nextInt(4) == 0,
-                LOSSES[random.nextInt(LOSSES.length)],
+                LOSS_RATES[random.nextInt(LOSS_RATES.length)],
                 random.nextInt(3) == 0 ? 1 : 0,
                 random.nextInt(3) == 0 ? 500_000 : 0,
                 random.nextInt(3) == 0 ? 1_000_000 : 0);
--- a/src/main/java/saffronferry/lab/scenario/Scenario.java
+++ b/src/main/java/saffronferry/lab/scenario/Scenario.java
@@ -6,7 +6,8 @@
 import saffronferry.Contract.Group;
 
 /**
- * What is played: a fleet, its clients and network, and what goes wrong. Times in microseconds unless said.
+ * A scenario: a fleet of workers and dispatchers, its clients and network, and faults. Times are in microseconds
+ * unless stated otherwise.
  */
 public record Scenario(
         String name,
@@ -31,7 +32,7 @@
         int regions,
         Limits limits) {
 
-    /** A kind of worker: {@code speed} 1 does a second of work in a second on one core. */
+    /** A kind of worker. At {@code speed} 1 a core does one second of work per second. */
     public record WorkerKind(
             String name,
             double share,
@@ -47,7 +48,8 @@
             double errorRate) {}
 
     /**
-     * A class of requests; {@code work} is the mean in microseconds at speed 1, {@code tail} the log's sigma.
+     * A class of requests. Work is log-normal: {@code work} is the mean in microseconds at speed 1, {@code tail} the
+     * standard deviation of the logarithm. {@code aim} plus {@code stretch} times the work is the target latency.
      */
     public record RpcClass(
             String name,
@@ -63,63 +65,74 @@
             double work,
             double tail) {}
 
-    /** An association: its share of the requests, and of the fleet's capacity that it is entitled to. */
+    /** A tenant: its share of the requests, and the share of the fleet's capacity it is entitled to. */
     public record Tenant(String name, double share, double entitled) {}
 
-    /** Offered work as a share of the fleet's capacity, and how it swings. */
-    public record Load(double share, String shape, double swing, double zoneSkew, long most, DispatcherSkew dispatcherSkew) {}
+    /** Offered work as a share of the fleet's capacity, and its variation over time. */
+    public record Load(double share, String shape, double swing, double zoneSkew, long maxRequests, DispatcherSkew dispatcherSkew) {}
 
-    /** The first so many dispatchers are asked so many times as much as others, and the last ones nothing. */
+    /**
+     * Uneven distribution of requests: the first {@code loud} dispatchers receive {@code times} as many as others, the
+     * last {@code silent} ones none.
+     */
     public record DispatcherSkew(int loud, double times, int silent) {
-        /** How much of the clients one of so many dispatchers gets, relative to the others. */
+        /** The relative weight of a dispatcher among {@code of} dispatchers. */
         public double weight(int dispatcher, int of) {
             return dispatcher < loud ? times : dispatcher >= of - silent ? 0 : 1;
         }
 
-        /** Whether all are asked alike. */
+        /** Whether all dispatchers have the same weight. */
         public boolean isUniform() {
             return loud == 0 && silent == 0;
         }
     }
 
-    /** How clients retry: {@code honour} is the share of them that heeds Retry-After. */
-    public record Clients(int retries, long backoff, double honour) {}
+    /** Client retries; {@code retryAfterShare} is the share of clients that honour Retry-After. */
+    public record Clients(int retries, long backoff, double retryAfterShare) {}
 
-    /** One-way delays; {@code jitter} is the share by which one may be longer; {@code loss} of datagrams. */
+    /**
+     * One-way delays. {@code jitter} is the largest relative increase of a delay, {@code loss} the loss rate of
+     * datagrams, {@code frontNotice} the time until the clients' front end notices a dead dispatcher.
+     */
     public record Network(
             long same, long cross, long client, double jitter, double loss, long connectTimeout, long frontNotice) {}
 
-    /** How late the list is; a call takes {@code call} and at most {@code perSecond} are served. */
+    /** Delays of the worker list. A call takes {@code call}; at most {@code perSecond} are served. */
     public record Discovery(long notice, long silentNotice, long add, long call, double perSecond) {}
 
-    /** Load reports: refreshed each {@code period}, {@code noise} relative. */
+    /** Load reports: refreshed every {@code period}, with relative {@code noise}. */
     public record Reports(boolean on, long period, double noise) {}
 
-    /** The rules' figures. */
+    /**
+     * Parameters of the rules. {@code slack} is the time after the deadline in which an answer is still accepted. A
+     * cold worker fails when it receives more than {@code coldOverloadMultiple} times its capacity within
+     * {@code coldWindow}.
+     */
     public record Rules(long slack, long drain, double coldOverloadMultiple, long coldWindow, int maxAttempts, long maxRetryAfter) {}
 
-    /** What the module is told that things cost. */
+    /** Costs that are passed to the dispatch logic: of a peer message, of a probe, of work over a tenant's share. */
     public record Prices(double peer, double probe, double overShare) {}
 
-    /** Something that goes wrong; what {@code part} and {@code size} mean depends on the kind. */
+    /** A fault. The meaning of {@code part} and {@code size} depends on the kind. */
     public record Fault(
-            String kind, long at, long length, double part, double size, String zone, String tenant, Link link) {}
+            String kind, long at, long length, double part, double size, String zone, String tenant, LinkFault link) {}
 
     /**
-     * What a trouble does to datagrams between dispatchers: between whom ({@code shape}), whether in one
-     * direction alone, the share of them lost and of those doubled, up to how much later each comes, so that
-     * they overtake one another, and how often the trouble comes and goes; 0: it stays.
+     * The effect of a fault on datagrams between dispatchers: the affected links ({@code shape}), whether it applies
+     * in one direction only, the shares of lost and duplicated datagrams, the largest extra delay, which lets
+     * datagrams overtake one another, and the time for which the fault is active and inactive in turn (0: always
+     * active).
      */
-    public record Link(String shape, boolean oneWay, double loss, double doubled, long delay, long flap) {}
+    public record LinkFault(String shape, boolean oneWay, double loss, double doubled, long delay, long flap) {}
 
     /**
-     * What has to hold, judged from outside: the share of requests refused or failed, of a cold worker's
-     * capacity the multiple sent within the rule's window, and of what cold workers can do the share used
-     * while jobs wait, on the mean and by each.
+     * Bounds that are checked from the outside: the shares of refused and failed requests, the work sent to a cold
+     * worker within the rule's window as a multiple of its capacity, and the share of cold workers' capacity that is
+     * used while jobs wait, as a mean and for each worker.
      */
     public record Bounds(double refused, double failed, double coldMultiple, double coldUsed, double coldUsedEach) {}
 
-    /** The same with other figures of the rules. */
+    /** A copy with other parameters of the rules. */
     public Scenario with(Rules other) {
         return new Scenario(
                 name,
@@ -145,7 +158,7 @@
                 limits);
     }
 
-    /** As it is played with a seed: with the troubles that are drawn from it. */
+    /** A copy with the random faults for a seed added. */
     public Scenario withRandomFaults(long seed) {
         List<Fault> all = new ArrayList<>(faults);
         all.addAll(
@@ -174,12 +187,12 @@
                 limits);
     }
 
-    /** Zones lie in regions in their order, each region as many as the others, as far as that goes. */
+    /** The region of a zone. Consecutive zones form regions of equal size, as far as the numbers allow. */
     public int regionOf(int zone) {
         return (int) ((long) zone * regions / zones.size());
     }
 
-    /** The mean work of a request in microseconds at speed 1. */
+    /** The mean work of a request in microseconds at speed 1, over all classes. */
     public double meanWork() {
         double all = classes.stream().mapToDouble(RpcClass::share).sum();
         return classes.stream().mapToDouble(c -> c.share() / all * c.work()).sum();
--- a/src/main/java/saffronferry/lab/scenario/ScenarioException.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A scenario that cannot be played; all that is wrong with it at once. */
+/** Thrown for an invalid scenario; carries all its problems. */
 public final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient List<Problem> problems;
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -16,7 +16,7 @@
 import saffronferry.lab.scenario.Scenario.Clients;
 import saffronferry.lab.scenario.Scenario.Discovery;
 import saffronferry.lab.scenario.Scenario.WorkerKind;
-import saffronferry.lab.scenario.Scenario.Link;
+import saffronferry.lab.scenario.Scenario.LinkFault;
 import saffronferry.lab.scenario.Scenario.Load;
 import saffronferry.lab.scenario.Scenario.Network;
 import saffronferry.lab.scenario.Scenario.Prices;
@@ -26,12 +26,12 @@
 import saffronferry.lab.scenario.Scenario.Tenant;
 import saffronferry.lab.scenario.Scenario.Fault;
 
-/** Reads scenarios. Every key has a default, a unit and bounds; all that is wrong is told at once. */
+/** Reads scenario files. Every key has a default, a unit and bounds; all problems are reported together. */
 public final class ScenarioReader {
     private static final Map<String, Effect> EFFECTS =
             Map.of("repeatable", Effect.SAFE, "by_key", Effect.KEYED, "once", Effect.UNSAFE);
     private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL);
-    /** Kinds of trouble; docs/operations/laboratory.md says what part and size mean for each. */
+    /** Kinds of faults; docs/operations/laboratory.md describes the meaning of part and size for each. */
     public static final List<String> FAULT_KINDS = List.of(
             "slow",
             "hung",
@@ -51,36 +51,36 @@
             "peer_cut",
             "rack_loss",
             "region_loss");
-    /** Between whom datagrams are troubled. */
-    public static final List<String> SHAPES = List.of("all", "half", "alone", "mute", "deaf", "regions");
+    /** Sets of links between dispatchers that a fault may affect. */
+    public static final List<String> LINK_SHAPES = List.of("all", "half", "alone", "mute", "deaf", "regions");
 
     private final List<Problem> problems = new ArrayList<>();
     private final List<Section.Value> values = new ArrayList<>();
     private final String file;
-    private final Map<String, Object> instead;
+    private final Map<String, Object> overrides;
 
-    private ScenarioReader(String file, Map<String, Object> instead) {
+    private ScenarioReader(String file, Map<String, Object> overrides) {
         this.file = file;
-        this.instead = instead;
+        this.overrides = overrides;
     }
 
-    /** Reads a file. */
+    /** Reads a scenario file. */
     public static Scenario read(Path path) throws IOException, ScenarioException {
         return parse(path.getFileName().toString(), Files.readString(path));
     }
 
     /**
-     * Reads a file with one value in another's place; {@code key} is a full one as {@code lab explain} prints
-     * it, {@code value} is written as in TOML.
+     * Reads a scenario file and overrides one value. {@code key} is a full key as printed by {@code lab explain},
+     * {@code value} is in TOML syntax.
      */
     public static Scenario read(Path path, String key, String value) throws IOException, ScenarioException {
         return read(path, List.of(key + "=" + value));
     }
 
-    /** The same with several values, each as KEY=VALUE. */
+    /** Reads a scenario file and overrides several values, each given as KEY=VALUE. */
     public static Scenario read(Path path, List<String> values) throws IOException, ScenarioException {
         String file = path.getFileName().toString();
-        Map<String, Object> instead = new HashMap<>();
+        Map<String, Object> overrides = new HashMap<>();
         for (String each : values) {
             int at = each.indexOf('=');
             String key = at < 0 ? each : each.substring(0, at).trim();
@@ -89,15 +89,15 @@
                 throw new ScenarioException(
                         List.of(new Problem(file, 0, 0, key, "no TOML value: " + each.substring(at + 1))));
             }
-            instead.put(key, parsed.get("value"));
+            overrides.put(key, parsed.get("value"));
         }
-        ScenarioReader reader = new ScenarioReader(file, instead);
+        ScenarioReader reader = new ScenarioReader(file, overrides);
         Scenario scenario = reader.scenario(Toml.parse(Files.readString(path)));
         List<String> keys = reader.values.stream().map(Section.Value::key).toList();
-        for (String key : instead.keySet()) {
+        for (String key : overrides.keySet()) {
             if (!keys.contains(key) && reader.problems.isEmpty()) {
                 reader.problems.add(
-                        new Problem(file, 0, 0, key, "is no key of this scenario" + Section.near(key, keys)));
+                        new Problem(file, 0, 0, key, "is no key of this scenario" + Section.suggestion(key, keys)));
             }
         }
         if (!reader.problems.isEmpty()) {
@@ -106,7 +106,7 @@
         return scenario;
     }
 
-    /** Reads a text; {@code file} is for messages. */
+    /** Parses the text of a scenario; {@code file} is used in error messages. */
     public static Scenario parse(String file, String text) throws ScenarioException {
         ScenarioReader reader = new ScenarioReader(file, Map.of());
         Scenario scenario = reader.scenario(Toml.parse(text));
@@ -116,7 +116,7 @@
         return scenario;
     }
 
-    /** Each value of a file as it counts, one a line, with its unit and whether it is the default. */
+    /** All effective values of a file, one per line, with the unit and a mark for defaults. */
     public static List<String> explain(Path path) throws IOException, ScenarioException {
         ScenarioReader reader = new ScenarioReader(path.getFileName().toString(), Map.of());
         reader.scenario(Toml.parse(Files.readString(path)));
@@ -124,11 +124,11 @@
             throw new ScenarioException(reader.problems);
         }
         return reader.values.stream()
-                .map(v -> v.key() + " = " + v.value() + "  # " + v.unit() + (v.given() ? "" : "; the default"))
+                .map(v -> v.key() + " = " + v.value() + "  # " + v.unit() + (v.explicit() ? "" : "; the default"))
                 .toList();
     }
 
-    private static long micros(double seconds) {
+    private static long secondsToMicros(double seconds) {
         return Math.round(seconds * 1e6);
     }
 
@@ -136,9 +136,9 @@
         for (TomlParseError e : toml.errors()) {
             problems.add(new Problem(file, e.position().line(), e.position().column(), "", e.getMessage()));
         }
-        Section top = new Section(file, "", toml, problems, values, instead);
+        Section top = new Section(file, "", toml, problems, values, overrides);
         String name = top.text("name", file.replaceFirst("\\.toml$", ""), List.of());
-        long length = micros(top.number("length_s", 50, 1, 36_000, "seconds"));
+        long length = secondsToMicros(top.number("length_s", 50, 1, 36_000, "seconds"));
         Section fleet = top.section("fleet");
         List<String> zones = fleet.texts("zones", List.of("dub-north", "dub-south"));
         int regions = fleet.whole("regions", 1, 1, zones.size(), "regions, each of as many zones");
@@ -148,13 +148,13 @@
         List<WorkerKind> kinds = new ArrayList<>();
         fleet.sections("kind").forEach(s -> kinds.add(kind(s)));
         if (kinds.isEmpty()) {
-            kinds.add(kind(new Section(file, "fleet.kind", null, problems, values, instead)));
+            kinds.add(kind(new Section(file, "fleet.kind", null, problems, values, overrides)));
         }
-        fleet.done();
+        fleet.rejectUnknownKeys();
         List<RpcClass> classes = new ArrayList<>();
         top.sections("class").forEach(s -> classes.add(rpcClass(s)));
         if (classes.isEmpty()) {
-            classes.add(rpcClass(new Section(file, "class", null, problems, values, instead)));
+            classes.add(rpcClass(new Section(file, "class", null, problems, values, overrides)));
         }
         List<Tenant> tenants = new ArrayList<>();
         top.sections("tenant").forEach(s -> tenants.add(tenant(s)));
@@ -183,7 +183,7 @@
                 bounds(top.section("bounds")),
                 regions,
                 limits(top.section("limits")));
-        top.done();
+        top.rejectUnknownKeys();
         return result;
     }
 
@@ -199,9 +199,9 @@
                 s.number("thrash_at", 8, 1, 100_000, "jobs held from which on it slows"),
                 s.number("thrash", 0.05, 0, 1, "speed lost for each job beyond"),
                 s.number("cold_from", 0.4, 0.01, 1, "share of capacity just after its start"),
-                micros(s.number("cold_s", 6, 0, 3_600, "seconds until warm at the latest")),
+                secondsToMicros(s.number("cold_s", 6, 0, 3_600, "seconds until warm at the latest")),
                 s.number("error_rate", 0, 0, 1, "share of jobs that fail"));
-        s.done();
+        s.rejectUnknownKeys();
         return k;
     }
 
@@ -209,17 +209,17 @@
         RpcClass c = new RpcClass(
                 s.text("name", "rpc", List.of()),
                 s.number("share", 1, 0, 1e6, "relative number"),
-                micros(s.number("aim_s", 0.25, 0.001, 3_600, "seconds wanted")),
+                secondsToMicros(s.number("aim_s", 0.25, 0.001, 3_600, "seconds wanted")),
                 s.number("stretch", 1.75, 0, 100, "of the job's own work, added to the aim"),
-                micros(s.number("deadline_s", 6, 0.01, 3_600, "seconds a client waits, all tries together")),
+                secondsToMicros(s.number("deadline_s", 6, 0.01, 3_600, "seconds a client waits, all tries together")),
                 s.number("worth", 1, 0, 1e6, "points"),
                 s.number("late_worth", 0.3, 0, 1, "of the worth when late"),
                 EFFECTS.get(s.text("effect", "repeatable", List.of("repeatable", "by_key", "once"))),
                 GROUPS.get(s.text("group", "all", List.of("all", "zone", "cell"))),
-                micros(s.number("key_ttl_s", 40, 0, 3_600, "seconds that repeats are dropped")),
-                micros(s.number("work_s", 0.2, 0.0001, 3_600, "seconds of work, mean")),
+                secondsToMicros(s.number("key_ttl_s", 40, 0, 3_600, "seconds that repeats are dropped")),
+                secondsToMicros(s.number("work_s", 0.2, 0.0001, 3_600, "seconds of work, mean")),
                 s.number("tail", 0.8, 0, 4, "sigma of the work's logarithm"));
-        s.done();
+        s.rejectUnknownKeys();
         return c;
     }
 
@@ -228,7 +228,7 @@
                 s.text("name", null, List.of()),
                 s.number("share", 1, 0, 1e6, "relative number of requests"),
                 s.number("entitled", 0, 0, 1, "share of the capacity; 0 as its share of the requests"));
-        s.done();
+        s.rejectUnknownKeys();
         return t;
     }
 
@@ -243,61 +243,61 @@
                         s.whole("loud", 0, 0, 1000, "dispatchers that are asked more"),
                         s.number("loud_times", 6, 0, 1000, "as much as the others"),
                         s.whole("silent", 0, 0, 1000, "dispatchers that are asked nothing")));
-        s.done();
+        s.rejectUnknownKeys();
         return l;
     }
 
     private Clients clients(Section s) {
         Clients c = new Clients(
                 s.whole("retries", 2, 0, 100, "tries after the first"),
-                micros(s.number("backoff_s", 0.05, 0, 60, "seconds before the next try, doubling")),
+                secondsToMicros(s.number("backoff_s", 0.05, 0, 60, "seconds before the next try, doubling")),
                 s.number("honour", 0.6, 0, 1, "share of clients that heeds Retry-After"));
-        s.done();
+        s.rejectUnknownKeys();
         return c;
     }
 
     private Network network(Section s) {
         Network n = new Network(
-                micros(s.number("same_s", 0.0002, 0, 10, "seconds one way in a zone")),
-                micros(s.number("cross_s", 0.0006, 0, 10, "seconds one way between zones")),
-                micros(s.number("client_s", 0.0007, 0, 10, "seconds one way from clients")),
+                secondsToMicros(s.number("same_s", 0.0002, 0, 10, "seconds one way in a zone")),
+                secondsToMicros(s.number("cross_s", 0.0006, 0, 10, "seconds one way between zones")),
+                secondsToMicros(s.number("client_s", 0.0007, 0, 10, "seconds one way from clients")),
                 s.number("jitter", 0.2, 0, 10, "relative"),
                 s.number("loss", 0.01, 0, 1, "of datagrams"),
-                micros(s.number("connect_timeout_s", 0.25, 0.001, 60, "seconds")),
-                micros(s.number("front_notice_s", 2.5, 0, 600, "seconds the front sends to a dead dispatcher")));
-        s.done();
+                secondsToMicros(s.number("connect_timeout_s", 0.25, 0.001, 60, "seconds")),
+                secondsToMicros(s.number("front_notice_s", 2.5, 0, 600, "seconds the front sends to a dead dispatcher")));
+        s.rejectUnknownKeys();
         return n;
     }
 
     private Discovery discovery(Section s) {
         Discovery d = new Discovery(
-                micros(s.number("notice_s", 2, 0, 600, "seconds until a drain or an end is listed")),
-                micros(s.number("silent_notice_s", 8, 0, 600, "seconds until a dead one is listed")),
-                micros(s.number("add_s", 1, 0, 600, "seconds until a new one is listed")),
-                micros(s.number("call_s", 0.05, 0.0001, 60, "seconds a call takes")),
+                secondsToMicros(s.number("notice_s", 2, 0, 600, "seconds until a drain or an end is listed")),
+                secondsToMicros(s.number("silent_notice_s", 8, 0, 600, "seconds until a dead one is listed")),
+                secondsToMicros(s.number("add_s", 1, 0, 600, "seconds until a new one is listed")),
+                secondsToMicros(s.number("call_s", 0.05, 0.0001, 60, "seconds a call takes")),
                 s.number("calls_per_s", 4, 0.01, 1e6, "calls a second; others wait their turn"));
-        s.done();
+        s.rejectUnknownKeys();
         return d;
     }
 
     private Reports reports(Section s) {
         Reports r = new Reports(
                 s.flag("on", true),
-                micros(s.number("period_s", 0.06, 0.0001, 60, "seconds")),
+                secondsToMicros(s.number("period_s", 0.06, 0.0001, 60, "seconds")),
                 s.number("noise", 0.05, 0, 1, "relative"));
-        s.done();
+        s.rejectUnknownKeys();
         return r;
     }
 
     private Rules rules(Section s) {
         Rules r = new Rules(
-                micros(s.number("slack_s", 0.02, 0, 10, "seconds after the deadline for an answer")),
-                micros(s.number("drain_s", 2, 0, 60, "seconds after the word until no fresh work comes")),
+                secondsToMicros(s.number("slack_s", 0.02, 0, 10, "seconds after the deadline for an answer")),
+                secondsToMicros(s.number("drain_s", 2, 0, 60, "seconds after the word until no fresh work comes")),
                 s.number("fall_multiple", 3, 0.1, 100, "of a cold one's capacity"),
-                micros(s.number("fall_s", 3, 0.1, 600, "seconds of the window")),
+                secondsToMicros(s.number("fall_s", 3, 0.1, 600, "seconds of the window")),
                 s.whole("most_tries", 4, 1, 100, "attempts"),
-                micros(s.number("max_retry_after_s", 2, 0, 60, "seconds")));
-        s.done();
+                secondsToMicros(s.number("max_retry_after_s", 2, 0, 60, "seconds")));
+        s.rejectUnknownKeys();
         return r;
     }
 
@@ -306,18 +306,18 @@
                 s.number("peer", 0.008, 0, 10, "points"),
                 s.number("probe", 0.01, 0, 10, "points"),
                 s.number("over_share", 0.05, 0, 1, "of the worth"));
-        s.done();
+        s.rejectUnknownKeys();
         return p;
     }
 
-    private static Link link(Section s) {
-        return new Link(
-                s.text("shape", "all", SHAPES),
+    private static LinkFault link(Section s) {
+        return new LinkFault(
+                s.text("shape", "all", LINK_SHAPES),
                 s.flag("one_way", false),
                 s.number("loss", 1, 0, 1, "of the datagrams concerned"),
                 s.number("doubled", 0, 0, 1, "of the datagrams concerned"),
-                micros(s.number("delay_s", 0, 0, 600, "seconds at most, so that they overtake each other")),
-                micros(s.number("flap_s", 0, 0, 600, "seconds it holds and rests, in turn; 0 it stays")));
+                secondsToMicros(s.number("delay_s", 0, 0, 600, "seconds at most, so that they overtake each other")),
+                secondsToMicros(s.number("flap_s", 0, 0, 600, "seconds it holds and rests, in turn; 0 it stays")));
     }
 
     private static Bounds bounds(Section s) {
@@ -327,7 +327,7 @@
                 s.number("cold_multiple", 100, 0, 100, "times what a cold worker can do"),
                 s.number("cold_used", 0, 0, 1, "of what cold workers can do while jobs wait, mean"),
                 s.number("cold_used_each", 0, 0, 1, "of what each cold worker can do while jobs wait"));
-        s.done();
+        s.rejectUnknownKeys();
         return b;
     }
 
@@ -340,7 +340,7 @@
                 stated.put(figure, limit);
             }
         });
-        s.done();
+        s.rejectUnknownKeys();
         return new Limits(stated);
     }
 
@@ -348,17 +348,17 @@
         RandomFaults d = new RandomFaults(
                 s.whole("troubles", 0, 0, 100, "troubles drawn from each play's seed"),
                 s.texts("kinds", List.of("peer_cut")),
-                micros(s.number("from_s", 0, 0, 36_000, "seconds")),
-                micros(s.number("until_s", length / 1e6, 0, 36_000, "seconds")));
+                secondsToMicros(s.number("from_s", 0, 0, 36_000, "seconds")),
+                secondsToMicros(s.number("until_s", length / 1e6, 0, 36_000, "seconds")));
         for (String kind : d.kinds()) {
             if (!FAULT_KINDS.contains(kind)) {
-                s.wrong("kinds", "names no kind of trouble: \"" + kind + "\"" + Section.near(kind, FAULT_KINDS));
+                s.addProblem("kinds", "names no kind of trouble: \"" + kind + "\"" + Section.suggestion(kind, FAULT_KINDS));
             }
         }
         if (d.from() >= d.until()) {
-            s.wrong("until_s", "is not after from_s");
+            s.addProblem("until_s", "is not after from_s");
         }
-        s.done();
+        s.rejectUnknownKeys();
         return d;
     }
 
@@ -368,8 +368,8 @@
             String kind = s.text("kind", null, FAULT_KINDS);
             Fault t = new Fault(
                     kind,
-                    micros(s.number("at_s", 10, 0, 36_000, "seconds")),
-                    micros(s.number("length_s", 15, 0.001, 36_000, "seconds")),
+                    secondsToMicros(s.number("at_s", 10, 0, 36_000, "seconds")),
+                    secondsToMicros(s.number("length_s", 15, 0.001, 36_000, "seconds")),
                     s.number("part", 0.2, 0, 1, "share of workers or dispatchers"),
                     s.number("size", 4, 0, 1e6, "how bad; depends on the kind"),
                     s.text("zone", zones.get(0), zones),
@@ -379,9 +379,9 @@
                             tenants.stream().map(Tenant::name).toList()),
                     link(s));
             if (t.at() > length) {
-                s.wrong("at_s", "is after the end of the day, " + length / 1e6 + " s");
+                s.addProblem("at_s", "is after the end of the day, " + length / 1e6 + " s");
             }
-            s.done();
+            s.rejectUnknownKeys();
             result.add(t);
         }
         return result;
--- a/src/main/java/saffronferry/lab/scenario/Section.java
+++ b/src/main/java/saffronferry/lab/scenario/Section.java
@@ -11,24 +11,24 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of a file. Each reading names the key, its default, unit and bounds: what is wrong goes to the
- * list of problems and the default stands in, so that one pass finds everything; and what was read can be
- * explained.
+ * A table of a scenario file. Each read names the key, its default, unit and bounds. An invalid value is added to
+ * the list of problems and replaced by the default, so that one pass finds all problems. Values that were read are
+ * recorded for {@code lab explain}.
  */
 final class Section {
-    /** A value as it counts: given, or the default. */
-    record Value(String key, Object value, String unit, boolean given) {}
+    /** An effective value: given in the file or overridden ({@code explicit}), or the default. */
+    record Value(String key, Object value, String unit, boolean explicit) {}
 
     private final String file;
     private final String path;
     private final TomlTable table;
     private final List<Problem> problems;
     private final List<Value> values;
-    private final Map<String, Object> instead;
-    private final Set<String> known = new LinkedHashSet<>();
+    private final Map<String, Object> overrides;
+    private final Set<String> knownKeys = new LinkedHashSet<>();
 
     /**
-     * {@code table} null: all is missing. {@code instead}: values by full key that stand in for the file's.
+     * A null {@code table} has no keys. {@code overrides} are values by full key that replace those of the file.
      */
     Section(
             String file,
@@ -36,13 +36,13 @@
             TomlTable table,
             List<Problem> problems,
             List<Value> values,
-            Map<String, Object> instead) {
+            Map<String, Object> overrides) {
         this.file = file;
         this.path = path;
         this.table = table;
         this.problems = problems;
         this.values = values;
-        this.instead = instead;
+        this.overrides = overrides;
     }
 
     private String full(String key) {
@@ -54,87 +54,87 @@
         problems.add(new Problem(file, at == null ? 0 : at.line(), at == null ? 0 : at.column(), full(key), text));
     }
 
-    private Object get(String key) {
-        known.add(key);
-        if (instead.containsKey(full(key))) {
-            return instead.get(full(key));
+    private Object read(String key) {
+        knownKeys.add(key);
+        if (overrides.containsKey(full(key))) {
+            return overrides.get(full(key));
         }
         return table == null ? null : table.get(List.of(key));
     }
 
-    private <T> T note(String key, T value, String unit, boolean given) {
-        values.add(new Value(full(key), value, unit, given));
+    private <T> T recordValue(String key, T value, String unit, boolean explicit) {
+        values.add(new Value(full(key), value, unit, explicit));
         return value;
     }
 
-    double number(String key, double otherwise, double least, double most, String unit) {
-        Object got = get(key);
+    double number(String key, double defaultValue, double min, double max, String unit) {
+        Object got = read(key);
         if (got == null) {
-            return note(key, otherwise, unit, false);
+            return recordValue(key, defaultValue, unit, false);
         }
         if (!(got instanceof Number n)) {
             problem(key, "expected a number (" + unit + "), got " + kind(got));
-            return otherwise;
+            return defaultValue;
         }
         double value = n.doubleValue();
-        if (!(value >= least && value <= most)) {
-            problem(key, "expected " + trim(least) + " to " + trim(most) + " (" + unit + "), got " + trim(value));
-            return otherwise;
+        if (!(value >= min && value <= max)) {
+            problem(key, "expected " + trim(min) + " to " + trim(max) + " (" + unit + "), got " + trim(value));
+            return defaultValue;
         }
-        return note(key, value, unit, true);
+        return recordValue(key, value, unit, true);
     }
 
-    int whole(String key, int otherwise, int least, int most, String unit) {
-        Object got = get(key);
+    int whole(String key, int defaultValue, int min, int max, String unit) {
+        Object got = read(key);
         if (got == null) {
-            return note(key, otherwise, unit, false);
+            return recordValue(key, defaultValue, unit, false);
         }
-        if (!(got instanceof Long n) || n < least || n > most) {
+        if (!(got instanceof Long n) || n < min || n > max) {
             problem(
                     key,
-                    "expected a whole number from " + least + " to " + most + " (" + unit + "), got "
+                    "expected a whole number from " + min + " to " + max + " (" + unit + "), got "
                             + (got instanceof Long ? got : kind(got)));
-            return otherwise;
+            return defaultValue;
         }
-        return note(key, (int) (long) n, unit, true);
+        return recordValue(key, (int) (long) n, unit, true);
     }
 
-    boolean flag(String key, boolean otherwise) {
-        Object got = get(key);
+    boolean flag(String key, boolean defaultValue) {
+        Object got = read(key);
         if (got == null) {
-            return note(key, otherwise, "true or false", false);
+            return recordValue(key, defaultValue, "true or false", false);
         }
         if (!(got instanceof Boolean b)) {
             problem(key, "expected true or false, got " + kind(got));
-            return otherwise;
+            return defaultValue;
         }
-        return note(key, b, "true or false", true);
+        return recordValue(key, b, "true or false", true);
     }
 
-    String text(String key, String otherwise, List<String> allowed) {
-        Object got = get(key);
+    String text(String key, String defaultValue, List<String> allowed) {
+        Object got = read(key);
         String unit = allowed.isEmpty() ? "text" : "one of " + String.join(", ", allowed);
         if (got == null) {
-            if (otherwise == null) {
+            if (defaultValue == null) {
                 problem(key, "is missing: expected " + unit);
                 return allowed.isEmpty() ? "" : allowed.get(0);
             }
-            return note(key, otherwise, unit, false);
+            return recordValue(key, defaultValue, unit, false);
         }
         if (!(got instanceof String s) || !allowed.isEmpty() && !allowed.contains(s)) {
             problem(
                     key,
                     "expected " + unit + ", got "
-                            + (got instanceof String s ? "\"" + s + "\"" + near(s, allowed) : kind(got)));
-            return otherwise != null ? otherwise : allowed.isEmpty() ? "" : allowed.get(0);
+                            + (got instanceof String s ? "\"" + s + "\"" + suggestion(s, allowed) : kind(got)));
+            return defaultValue != null ? defaultValue : allowed.isEmpty() ? "" : allowed.get(0);
         }
-        return note(key, s, unit, true);
+        return recordValue(key, s, unit, true);
     }
 
-    List<String> texts(String key, List<String> otherwise) {
-        Object got = get(key);
+    List<String> texts(String key, List<String> defaultValue) {
+        Object got = read(key);
         if (got == null) {
-            return note(key, otherwise, "list of texts", false);
+            return recordValue(key, defaultValue, "list of texts", false);
         }
         List<String> result = new ArrayList<>();
         if (got instanceof TomlArray array) {
@@ -144,28 +144,28 @@
                 }
             }
             if (result.size() == array.size() && !result.isEmpty()) {
-                return note(key, result, "list of texts", true);
+                return recordValue(key, result, "list of texts", true);
             }
         }
         problem(key, "expected a list of texts with one at least, got " + kind(got));
-        return otherwise;
+        return defaultValue;
     }
 
     Section section(String key) {
-        Object got = get(key);
+        Object got = read(key);
         if (got != null && !(got instanceof TomlTable)) {
             problem(key, "expected a table [" + full(key) + "], got " + kind(got));
         }
-        return new Section(file, full(key), got instanceof TomlTable t ? t : null, problems, values, instead);
+        return new Section(file, full(key), got instanceof TomlTable t ? t : null, problems, values, overrides);
     }
 
-    /** The tables of a list {@code [[key]]}. */
+    /** The tables of an array {@code [[key]]}. */
     List<Section> sections(String key) {
-        Object got = get(key);
+        Object got = read(key);
         List<Section> result = new ArrayList<>();
         if (got instanceof TomlArray array && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             for (int i = 0; i < array.size(); i++) {
-                result.add(new Section(file, full(key) + "[" + i + "]", array.getTable(i), problems, values, instead));
+                result.add(new Section(file, full(key) + "[" + i + "]", array.getTable(i), problems, values, overrides));
             }
         } else if (got != null) {
             problem(key, "expected tables [[" + full(key) + "]], got " + kind(got));
@@ -173,32 +173,32 @@
         return result;
     }
 
-    /** Something that no single reading can see is wrong with this key. */
-    void wrong(String key, String text) {
+    /** Reports a problem that involves more than the value of this key. */
+    void addProblem(String key, String text) {
         problem(key, text);
     }
 
-    /** To be called when all has been read: what else is there is unknown. */
-    void done() {
+    /** Reports all keys of the table that have not been read. Call it after the last read. */
+    void rejectUnknownKeys() {
         if (table != null) {
             for (String key : table.keySet()) {
-                if (!known.contains(key)) {
+                if (!knownKeys.contains(key)) {
                     problem(
                             key,
                             "is no key of " + (path.isEmpty() ? "a scenario" : "[" + path + "]")
-                                    + near(key, List.copyOf(known)));
+                                    + suggestion(key, List.copyOf(knownKeys)));
                 }
             }
         }
     }
 
-    static String near(String word, List<String> among) {
+    static String suggestion(String word, List<String> among) {
         String best = null;
-        int least = Math.max(2, word.length() / 2);
+        int min = Math.max(2, word.length() / 2);
         for (String candidate : among) {
             int distance = LevenshteinDistance.getDefaultInstance().apply(word, candidate);
-            if (distance <= least) {
-                least = distance - 1;
+            if (distance <= min) {
+                min = distance - 1;
                 best = candidate;
             }
         }
--- a/src/main/java/saffronferry/lab/world/Call.java
+++ b/src/main/java/saffronferry/lab/world/ClientRequest.java
@@ -1,35 +1,35 @@
 package saffronferry.lab.world;
 
-/** A client's request with all its tries; times in microseconds. */
-final class Call {
+/** A client's request with all its tries. Times and work are in microseconds. */
+final class ClientRequest {
     final long arrivedAt;
     final int rpcClass;
     final int tenant;
     final int zone;
     final double work;
     final long deadline;
-    final boolean inShare;
-    final boolean honours;
-    int tries;
+    final boolean withinTenantShare;
+    final boolean honoursRetryAfter;
+    int clientTries;
     int attempts;
-    boolean over;
+    boolean finished;
 
-    Call(
+    ClientRequest(
             long arrivedAt,
             int rpcClass,
             int tenant,
             int zone,
             double work,
             long deadline,
-            boolean inShare,
-            boolean honours) {
+            boolean withinTenantShare,
+            boolean honoursRetryAfter) {
         this.arrivedAt = arrivedAt;
         this.rpcClass = rpcClass;
         this.tenant = tenant;
         this.zone = zone;
         this.work = work;
         this.deadline = deadline;
-        this.inShare = inShare;
-        this.honours = honours;
+        this.withinTenantShare = withinTenantShare;
+        this.honoursRetryAfter = honoursRetryAfter;
     }
 }
--- a/src/main/java/saffronferry/lab/world/ClusterSimulation.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -21,12 +21,13 @@
 import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /**
- * One emulated day. Deterministic: the same scenario, policy and seed give the same day, to the last byte.
+ * Simulates one run of a scenario in virtual time. Deterministic: the same scenario, policy and seed give the
+ * same result, byte for byte.
  */
 public final class ClusterSimulation {
     /**
-     * What a day came to; {@code json} holds nothing that depends on the machine. {@code decisionUsPerRequest} is
-     * processor time a request, {@code startDecisionUs} that of all dispatchers before the first request.
+     * The result of a run. Nothing in {@code json} depends on the machine. {@code decisionUsPerRequest} is the
+     * CPU time of decisions per request, {@code startDecisionUs} that of all dispatchers before the first request.
      */
     public record RunResult(
             JSONObject json,
@@ -39,79 +40,79 @@
             double startDecisionUs,
             double wallSeconds) {}
 
-    static final Clients.Shape STEADY = shape(t -> 1, 1);
-    /** The module's clock: far from 0, which stands for long ago. */
-    private static final long START = 1_000_000_000;
+    static final ClientPopulation.RateShape STEADY_RATE = shape(t -> 1, 1);
+    /** Far from 0, because timestamps of 0 mean "long ago" to the dispatch logic. */
+    private static final long START_TIME_US = 1_000_000_000;
 
-    private static final long SETTLE = 2_000_000;
-    /** When clients begin to ask, by the clock that brains are handed. */
-    public static final long LOAD_START_US = START + SETTLE;
+    private static final long SETTLE_TIME_US = 2_000_000;
+    /** When clients send their first requests, on the clock that is passed to the dispatch logic. */
+    public static final long LOAD_START_US = START_TIME_US + SETTLE_TIME_US;
 
-    private static final long FALLEN = 5_000_000;
+    private static final long OVERLOAD_RESTART_US = 5_000_000;
 
     final Scenario scenario;
-    final Streams streams;
-    final Simulation sim = new Simulation(START);
+    final RandomStreams streams;
+    final EventScheduler scheduler = new EventScheduler(START_TIME_US);
     final RuleChecker checker;
-    final Wires wires;
+    final NetworkModel network;
     final Registry registry;
-    final Clients clients;
-    final Tally tally;
-    final ColdUse coldUse;
+    final ClientPopulation clients;
+    final RunStatistics statistics;
+    final ColdUtilization coldUtilization;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
-    private final List<Node> nodes = new ArrayList<>();
-    private final Map<Node, Long> downSince = new HashMap<>();
+    private final List<EmulatedDispatcher> dispatchers = new ArrayList<>();
+    private final Map<EmulatedDispatcher, Long> downSince = new HashMap<>();
     private final double capacity;
     private final long seed;
     private final LogicDecorator decorator;
-    private int successors;
-    private long busyAtStart;
+    private int replacementCount;
+    private long startDecisionNanos;
 
     private ClusterSimulation(Scenario scenario, Policy policy, long seed, LogicDecorator decorator) {
         this.scenario = scenario;
         this.seed = seed;
         this.decorator = decorator;
-        streams = new Streams(seed);
+        streams = new RandomStreams(seed);
         checker = new RuleChecker(scenario);
-        wires = new Wires(scenario.network(), streams.of("network", 0), new PeerLinks(scenario, START + SETTLE));
-        registry = new Registry(scenario.discovery(), sim);
-        tally = new Tally(scenario, START + SETTLE);
-        coldUse = new ColdUse(sim, scenario.zones().size());
-        makeWorkers();
+        network = new NetworkModel(scenario.network(), streams.of("network", 0), new PeerLinks(scenario, START_TIME_US + SETTLE_TIME_US));
+        registry = new Registry(scenario.discovery(), scheduler);
+        statistics = new RunStatistics(scenario, START_TIME_US + SETTLE_TIME_US);
+        coldUtilization = new ColdUtilization(scheduler, scenario.zones().size());
+        createWorkers();
         capacity = workers.values().stream().mapToDouble(Worker::fullCapacity).sum();
-        clients = new Clients(this, capacity);
+        clients = new ClientPopulation(this, capacity);
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            nodes.add(new Node(i, i % scenario.zones().size(), this, (d, life) -> createLogic(policy, d, life)));
+            dispatchers.add(new EmulatedDispatcher(i, i % scenario.zones().size(), this, (d, incarnation) -> createLogic(policy, d, incarnation)));
         }
     }
 
-    /** Plays a day. */
+    /** Runs a scenario. */
     public static RunResult run(Scenario scenario, Policy policy, long seed) {
         return run(scenario, policy, seed, (logic, dispatcher) -> logic);
     }
 
-    /** Plays a day with each brain wrapped, so that tests can sabotage it. */
+    /** Runs a scenario with each dispatch logic decorated, so that tests can inject wrong behaviour. */
     public static RunResult run(Scenario scenario, Policy policy, long seed, UnaryOperator<DispatchLogic> decorator) {
         return run(scenario, policy, seed, (logic, dispatcher) -> decorator.apply(logic));
     }
 
-    /** Stands between a dispatcher's brain, one for each of its lives, and its world. */
+    /** Decorates the dispatch logic of a dispatcher, once for each of its incarnations. */
     public interface LogicDecorator {
         DispatchLogic wrap(DispatchLogic logic, int dispatcher);
     }
 
-    /** Plays a day with each brain wrapped, so that what passes can be measured. */
+    /** Runs a scenario with each dispatch logic decorated, so that its calls can be measured. */
     public static RunResult run(Scenario scenario, Policy policy, long seed, LogicDecorator decorator) {
-        long begun = System.nanoTime();
-        ClusterSimulation world = new ClusterSimulation(scenario.withRandomFaults(seed), policy, seed, decorator);
-        world.runToEnd();
-        JSONObject json = world.tally
-                .json(world.sim.done())
-                .put("cold_multiple", Math.round(world.checker.maxColdMultiple() * 1e3) / 1e3)
-                .put("cold_used", Math.round(world.coldUse.mean() * 1e3) / 1e3)
-                .put("cold_used_least", Math.round(world.coldUse.least() * 1e3) / 1e3);
+        long startNanos = System.nanoTime();
+        ClusterSimulation simulation = new ClusterSimulation(scenario.withRandomFaults(seed), policy, seed, decorator);
+        simulation.runToEnd();
+        JSONObject json = simulation.statistics
+                .json(simulation.scheduler.executedCount())
+                .put("cold_multiple", Math.round(simulation.checker.maxColdMultiple() * 1e3) / 1e3)
+                .put("cold_used", Math.round(simulation.coldUtilization.mean() * 1e3) / 1e3)
+                .put("cold_used_least", Math.round(simulation.coldUtilization.min() * 1e3) / 1e3);
         JSONArray broken = new JSONArray();
-        world.checker
+        simulation.checker
                 .violations()
                 .forEach(b -> broken.put(new JSONObject()
                         .put("rule", b.rule())
@@ -121,72 +122,72 @@
                         .put("story", new JSONArray(b.history()))));
         json.put("seed", seed)
                 .put("policy", policy.label())
-                .put("rules_broken", world.checker.violationCount())
+                .put("rules_broken", simulation.checker.violationCount())
                 .put("broken", broken);
-        long busy = world.busyNanos() - world.busyAtStart;
+        long decisionNanos = simulation.decisionCpuNanos() - simulation.startDecisionNanos;
         return new RunResult(
                 json,
-                world.tally.goal(),
-                world.checker.violations(),
-                world.checker.violationCount(),
-                world.sim.done(),
-                world.tally.requests(),
-                busy / 1e3 / Math.max(1, world.tally.requests()),
-                world.busyAtStart / 1e3,
-                (System.nanoTime() - begun) / 1e9);
+                simulation.statistics.goal(),
+                simulation.checker.violations(),
+                simulation.checker.violationCount(),
+                simulation.scheduler.executedCount(),
+                simulation.statistics.requests(),
+                decisionNanos / 1e3 / Math.max(1, simulation.statistics.requests()),
+                simulation.startDecisionNanos / 1e3,
+                (System.nanoTime() - startNanos) / 1e9);
     }
 
-    private long busyNanos() {
-        return nodes.stream().mapToLong(Node::busyNanos).sum();
+    private long decisionCpuNanos() {
+        return dispatchers.stream().mapToLong(EmulatedDispatcher::decisionCpuNanos).sum();
     }
 
     private void runToEnd() {
         List<WorkerInfo> known = registry.all();
-        nodes.forEach(node -> node.start(known));
-        long start = START + SETTLE;
-        sim.after(SETTLE, () -> {
-            busyAtStart = busyNanos();
-            tally.settled();
+        dispatchers.forEach(dispatcher -> dispatcher.start(known));
+        long start = START_TIME_US + SETTLE_TIME_US;
+        scheduler.after(SETTLE_TIME_US, () -> {
+            startDecisionNanos = decisionCpuNanos();
+            statistics.loadStarted();
         });
         long end = start + scenario.length();
-        Clients.Shape shape = shapeOf(start, end);
-        clients.stream(
+        ClientPopulation.RateShape shape = rateShape(start, end);
+        clients.startArrivals(
                 "day", 0, capacity * scenario.load().share() / (scenario.meanWork() / 1e6), -1, start, end, shape);
-        new Troubles(this).plan(start);
-        look(end);
+        new FaultInjector(this).plan(start);
+        sampleColdUtilization(end);
         long longest = scenario.classes().stream()
                 .mapToLong(Scenario.RpcClass::deadline)
                 .max()
                 .orElse(0);
-        sim.run(end + longest + SETTLE);
+        scheduler.run(end + longest + SETTLE_TIME_US);
     }
 
-    private void look(long end) {
-        coldUse.look(workers.values(), nodes);
-        if (sim.now() < end) {
-            sim.after(ColdUse.LOOK, () -> look(end));
+    private void sampleColdUtilization(long end) {
+        coldUtilization.sample(workers.values(), dispatchers);
+        if (scheduler.now() < end) {
+            scheduler.after(ColdUtilization.SAMPLE_INTERVAL_US, () -> sampleColdUtilization(end));
         }
     }
 
-    private interface Factor {
+    private interface RateFunction {
         double at(long time);
     }
 
-    private static Clients.Shape shape(Factor factor, double most) {
-        return new Clients.Shape() {
+    private static ClientPopulation.RateShape shape(RateFunction function, double maxFactor) {
+        return new ClientPopulation.RateShape() {
             @Override
-            public double at(long time) {
-                return factor.at(time);
+            public double factorAt(long time) {
+                return function.at(time);
             }
 
             @Override
-            public double most() {
-                return most;
+            public double maxFactor() {
+                return maxFactor;
             }
         };
     }
 
-    private Clients.Shape shapeOf(long start, long end) {
+    private ClientPopulation.RateShape rateShape(long start, long end) {
         double swing = scenario.load().swing();
         return switch (scenario.load().shape()) {
             case "bursty" -> shape(t -> 1 + swing * Math.sin((t - start) / 17e6 * 2 * Math.PI), 1 + swing);
@@ -197,26 +198,26 @@
                             return x > 0.4 && x < 0.6 ? 1 + 4 * swing : 1;
                         },
                         1 + 4 * swing);
-            default -> STEADY;
+            default -> STEADY_RATE;
         };
     }
 
-    private void makeWorkers() {
+    private void createWorkers() {
         UniformRandomProvider random = streams.of("fleet", 0);
-        double[] owed = new double[scenario.kinds().size()];
+        double[] deficit = new double[scenario.kinds().size()];
         double shares = scenario.kinds().stream().mapToDouble(WorkerKind::share).sum();
         for (int i = 0; i < scenario.workers(); i++) {
             int kind = 0;
-            for (int k = 0; k < owed.length; k++) { // the one most in arrears: shares hold at any size
-                owed[k] += scenario.kinds().get(k).share() / shares;
-                kind = owed[k] > owed[kind] ? k : kind;
+            for (int k = 0; k < deficit.length; k++) { // the kind with the largest deficit, so that shares hold at any cluster size
+                deficit[k] += scenario.kinds().get(k).share() / shares;
+                kind = deficit[k] > deficit[kind] ? k : kind;
             }
-            owed[kind]--;
+            deficit[kind]--;
             int zone = i % scenario.zones().size();
             int cell = zone * 1_000_000 + i / scenario.zones().size() / scenario.cellSize();
-            Worker w = new Worker(address(0, i), zone, kind, cell, scenario, sim, random);
+            Worker w = new Worker(address(0, i), zone, kind, cell, scenario, scheduler, random);
             workers.put(w.address, w);
-            registry.know(w.info());
+            registry.register(w.info());
         }
     }
 
@@ -224,8 +225,8 @@
         return "10." + generation + "." + number / 256 + "." + number % 256 + ":9100";
     }
 
-    private DispatchLogic createLogic(Policy policy, int dispatcher, int life) {
-        UniformRandomProvider random = streams.of("brain " + dispatcher, life);
+    private DispatchLogic createLogic(Policy policy, int dispatcher, int incarnation) {
+        UniformRandomProvider random = streams.of("brain " + dispatcher, incarnation);
         return decorator.wrap(
                 policy.createLogic(settings(dispatcher, random.nextLong()), random, address -> {
                     Worker w = workers.get(address);
@@ -250,7 +251,7 @@
                 .toList();
         List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < scenario.tenants().size(); i++) {
-            tenants.add(new Tenant(scenario.tenants().get(i).name(), clients.allowance()[i]));
+            tenants.add(new Tenant(scenario.tenants().get(i).name(), clients.allowancePerSecond()[i]));
         }
         long cold = scenario.kinds().stream().mapToLong(WorkerKind::cold).max().orElse(0);
         double coldShare =
@@ -284,21 +285,21 @@
                 40_000_000);
     }
 
-    // ---- who is there ----
+    // ---- cluster members ----
 
     Worker worker(String address) {
         return workers.get(address);
     }
 
-    List<Node> nodes() {
-        return nodes;
+    List<EmulatedDispatcher> dispatchers() {
+        return dispatchers;
     }
 
-    List<Worker> serving() {
+    List<Worker> upWorkers() {
         return workers.values().stream().filter(Worker::up).toList();
     }
 
-    double askedPerSecond(int tenant) {
+    double requestsPerSecond(int tenant) {
         double shares =
                 scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).sum();
         return capacity
@@ -308,26 +309,26 @@
                 / shares;
     }
 
-    /** A machine that takes an old one's place, by a name of its own. */
-    Worker successor(Worker old) {
+    /** Adds a worker that replaces an old one under a new address. */
+    Worker addReplacement(Worker old) {
         Worker w = new Worker(
-                address(1, successors),
+                address(1, replacementCount),
                 old.zone,
                 old.kindIndex,
                 old.cell,
                 scenario,
-                sim,
-                streams.of("successor", successors));
-        successors++;
+                scheduler,
+                streams.of("successor", replacementCount));
+        replacementCount++;
         workers.put(w.address, w);
         return w;
     }
 
-    /** A cold worker that was sent too much: it is down for a while. */
-    void fallsOver(Worker w) {
+    /** Crashes an overloaded cold worker, which restarts after a delay. */
+    void overload(Worker w) {
         w.crash();
         registry.changed(w, registry.settings().silentNotice());
-        sim.after(FALLEN, () -> {
+        scheduler.after(OVERLOAD_RESTART_US, () -> {
             if (!w.up()) {
                 w.start(true);
                 registry.changed(w, registry.settings().add());
@@ -335,59 +336,62 @@
         });
     }
 
-    void restart(Node node, long down) {
-        if (!node.up()) {
+    void restartDispatcher(EmulatedDispatcher dispatcher, long down) {
+        if (!dispatcher.up()) {
             return;
         }
-        List<WorkerInfo> known = node.kill();
-        registry.stop(node);
-        downSince.put(node, sim.now());
-        sim.after(down, () -> {
-            downSince.remove(node);
-            node.start(known);
+        List<WorkerInfo> known = dispatcher.kill();
+        registry.cancelWatch(dispatcher);
+        downSince.put(dispatcher, scheduler.now());
+        scheduler.after(down, () -> {
+            downSince.remove(dispatcher);
+            dispatcher.start(known);
         });
     }
 
-    /** Whom the front sends a client of a zone to: it takes a while to notice that a dispatcher is dead. */
-    Node front(int zone, UniformRandomProvider random) {
-        List<Node> near = believedUp(zone);
-        List<Node> all = near.isEmpty() ? believedUp(-1) : near;
+    /**
+     * The dispatcher that the clients' front end picks for a client of a zone, or null if all are known to be
+     * dead. It still picks a dead dispatcher until it has noticed the failure.
+     */
+    EmulatedDispatcher chooseDispatcher(int zone, UniformRandomProvider random) {
+        List<EmulatedDispatcher> near = notKnownDead(zone);
+        List<EmulatedDispatcher> all = near.isEmpty() ? notKnownDead(-1) : near;
         return all.isEmpty()
                 ? null
                 : scenario.load().dispatcherSkew().isUniform()
                         ? all.get(random.nextInt(all.size()))
-                        : weighed(all, random.nextDouble());
+                        : weightedChoice(all, random.nextDouble());
     }
 
-    private Node weighed(List<Node> nodes, double at) {
-        double left = at * nodes.stream().mapToDouble(this::weight).sum();
-        for (Node node : nodes) {
-            left -= weight(node);
+    private EmulatedDispatcher weightedChoice(List<EmulatedDispatcher> dispatchers, double at) {
+        double left = at * dispatchers.stream().mapToDouble(this::weight).sum();
+        for (EmulatedDispatcher dispatcher : dispatchers) {
+            left -= weight(dispatcher);
             if (left < 0) {
-                return node;
+                return dispatcher;
             }
         }
-        return nodes.get(0);
+        return dispatchers.get(0);
     }
 
-    private double weight(Node node) {
-        return scenario.load().dispatcherSkew().weight(node.number, scenario.dispatchers());
+    private double weight(EmulatedDispatcher dispatcher) {
+        return scenario.load().dispatcherSkew().weight(dispatcher.number, scenario.dispatchers());
     }
 
-    private List<Node> believedUp(int zone) {
-        return nodes.stream()
+    private List<EmulatedDispatcher> notKnownDead(int zone) {
+        return dispatchers.stream()
                 .filter(n -> (zone < 0 || n.zone == zone)
-                        && sim.now() - downSince.getOrDefault(n, sim.now())
+                        && scheduler.now() - downSince.getOrDefault(n, scheduler.now())
                                 < scenario.network().frontNotice())
                 .toList();
     }
 
-    void tell(Node from, int to, byte[] bytes) {
-        tally.datagram(bytes.length);
-        if (to >= 0 && to < nodes.size()) {
-            Node peer = nodes.get(to);
-            for (long late : wires.datagram(sim.now(), from.number, to)) {
-                sim.after(wires.between(from.zone, peer.zone) + late, () -> peer.peerSaid(from.number, bytes));
+    void sendDatagram(EmulatedDispatcher from, int to, byte[] payload) {
+        statistics.datagram(payload.length);
+        if (to >= 0 && to < dispatchers.size()) {
+            EmulatedDispatcher peer = dispatchers.get(to);
+            for (long delay : network.datagramDelays(scheduler.now(), from.number, to)) {
+                scheduler.after(network.delayBetween(from.zone, peer.zone) + delay, () -> peer.peerMessageReceived(from.number, payload));
             }
         }
     }
--- a/src/main/java/saffronferry/lab/world/Job.java
+++ b/src/main/java/saffronferry/lab/world/Job.java
@@ -1,22 +1,22 @@
 package saffronferry.lab.world;
 
-/** One attempt's job at a worker. */
+/** The job of a call attempt at a worker. */
 final class Job {
-    final Node node;
-    final int life;
+    final EmulatedDispatcher dispatcher;
+    final int incarnation;
     final long rpc;
     final int attempt;
-    /** Work left, in microseconds at speed 1. */
-    double left;
+    /** Remaining work in microseconds at speed 1. */
+    double workLeft;
 
     boolean running;
-    boolean gone;
+    boolean finished;
 
-    Job(Node node, long rpc, int attempt, double work) {
-        this.node = node;
-        this.life = node.life();
+    Job(EmulatedDispatcher dispatcher, long rpc, int attempt, double work) {
+        this.dispatcher = dispatcher;
+        this.incarnation = dispatcher.incarnation();
         this.rpc = rpc;
         this.attempt = attempt;
-        this.left = work;
+        this.workLeft = work;
     }
 }
--- a/src/main/java/saffronferry/lab/world/Wires.java
+++ b/src/main/java/saffronferry/lab/world/NetworkModel.java
@@ -5,24 +5,24 @@
 import saffronferry.lab.scenario.PeerLinks;
 import saffronferry.lab.scenario.Scenario.Network;
 
-/** The network: how long a message is under way, and whether a datagram is lost. */
-final class Wires {
+/** Models network delays and the loss of datagrams. */
+final class NetworkModel {
     private final Network network;
     private final UniformRandomProvider random;
     private final PeerLinks links;
 
-    Wires(Network network, UniformRandomProvider random, PeerLinks links) {
+    NetworkModel(Network network, UniformRandomProvider random, PeerLinks links) {
         this.network = network;
         this.random = random;
         this.links = links;
     }
 
-    /** One way between two zones, in microseconds. */
-    long between(int a, int b) {
+    /** Draws a one-way delay between two zones, in microseconds. */
+    long delayBetween(int a, int b) {
         return jittered(a == b ? network.same() : network.cross());
     }
 
-    long toClient() {
+    long clientDelay() {
         return jittered(network.client());
     }
 
@@ -30,8 +30,8 @@
         return Math.round(delay * (1 + network.jitter() * random.nextDouble()));
     }
 
-    /** How much later than usual each copy of a datagram comes; none where it is lost. */
-    List<Long> datagram(long now, int from, int to) {
+    /** The extra delay of each delivered copy of a datagram; empty if it is lost. */
+    List<Long> datagramDelays(long now, int from, int to) {
         return random.nextDouble() < network.loss() ? List.of() : links.copies(now, from, to, random::nextDouble);
     }
 }
--- a/src/main/java/saffronferry/lab/world/Streams.java
+++ b/src/main/java/saffronferry/lab/world/RandomStreams.java
@@ -4,17 +4,17 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stream of random numbers for each purpose, all from one seed. What is drawn for one purpose shifts
- * nothing for another, so that two policies meet the same clients, work and troubles.
+ * Provides an independent random stream for each purpose, all derived from one seed. Draws for one purpose do
+ * not shift those for another, so that two policies are given the same clients, work and faults.
  */
-final class Streams {
+final class RandomStreams {
     private final long seed;
 
-    Streams(long seed) {
+    RandomStreams(long seed) {
         this.seed = seed;
     }
 
-    /** The stream of a purpose; {@code index} tells several of a kind apart. */
+    /** The stream of a purpose; {@code index} distinguishes several streams of the same purpose. */
     UniformRandomProvider of(String purpose, long index) {
         UniformRandomProvider mixer = RandomSource.MT_64.create(new long[] {seed, purpose.hashCode(), index});
         return RandomSource.XO_RO_SHI_RO_128_PP.create(new long[] {mixer.nextLong(), mixer.nextLong()});
--- a/src/main/java/saffronferry/lab/world/Registry.java
+++ b/src/main/java/saffronferry/lab/world/Registry.java
@@ -9,32 +9,32 @@
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.lab.scenario.Scenario.Discovery;
 
-/** Emulated discovery: a list that learns of changes late, serves few calls a second, and may be down. */
+/** Emulated service discovery: a worker list with delayed updates, a limited call rate, and outages. */
 final class Registry {
-    private static final long CALL_PATIENCE = 3_000_000;
+    private static final long CALL_TIMEOUT_US = 3_000_000;
 
     private final Discovery settings;
-    private final Simulation sim;
+    private final EventScheduler scheduler;
     private final Map<String, WorkerInfo> list = new LinkedHashMap<>();
-    private final Map<Node, Integer> watches = new LinkedHashMap<>();
-    private final Map<String, Long> changes = new HashMap<>();
+    private final Map<EmulatedDispatcher, Integer> watchNumbers = new LinkedHashMap<>();
+    private final Map<String, Long> latestChange = new HashMap<>();
     private boolean down;
-    private long freeAt;
-    private long counted;
-    private int withheldFrom;
+    private long serverFreeAt;
+    private long changeCount;
+    private int withheldDispatchers;
     private long withheldUntil;
-    private final Map<String, Long> notBefore = new HashMap<>();
-    private int disorderFrom;
-    private long disorder;
+    private final Map<String, Long> lastDelivery = new HashMap<>();
+    private int disorderedDispatchers;
+    private long maxDisorderUs;
     private long disorderUntil;
-    private UniformRandomProvider random;
+    private UniformRandomProvider disorderRandom;
 
-    Registry(Discovery settings, Simulation sim) {
+    Registry(Discovery settings, EventScheduler scheduler) {
         this.settings = settings;
-        this.sim = sim;
+        this.scheduler = scheduler;
     }
 
-    void know(WorkerInfo info) {
+    void register(WorkerInfo info) {
         list.put(info.address(), info);
     }
 
@@ -42,88 +42,88 @@
         return List.copyOf(list.values());
     }
 
-    /** A worker has changed; it is listed after so long, unless it has changed again by then. */
-    void changed(Worker worker, long notice) {
-        long mine = ++counted;
-        changes.put(worker.address, mine);
-        sim.after(notice, () -> {
-            if (changes.get(worker.address) == mine) {
+    /** Lists a changed worker after a delay, unless it changes again before that. */
+    void changed(Worker worker, long delayUs) {
+        long changeNumber = ++changeCount;
+        latestChange.put(worker.address, changeNumber);
+        scheduler.after(delayUs, () -> {
+            if (latestChange.get(worker.address) == changeNumber) {
                 list.put(worker.address, worker.info());
                 if (!down) {
-                    tell(List.of(worker.info()));
+                    notifyWatchers(List.of(worker.info()));
                 }
             }
         });
     }
 
-    private void tell(List<WorkerInfo> entries) {
-        watches.forEach((node, watch) -> {
-            long due = sim.now() + settings.call() / 2 + late(node, entries);
-            sim.at(
-                    Math.max(due, node.number < withheldFrom ? withheldUntil : 0),
-                    () -> node.listTells(watch, entries, ListKind.CHANGES));
+    private void notifyWatchers(List<WorkerInfo> entries) {
+        watchNumbers.forEach((dispatcher, watch) -> {
+            long due = scheduler.now() + settings.call() / 2 + extraDelay(dispatcher, entries);
+            scheduler.at(
+                    Math.max(due, dispatcher.number < withheldDispatchers ? withheldUntil : 0),
+                    () -> dispatcher.listReceived(watch, entries, ListKind.CHANGES));
         });
     }
 
-    /** A dispatcher asks for the whole list and then for changes; calls are served one after the other. */
-    void watch(Node node, int watch) {
-        stop(node);
+    /** A dispatcher requests the full list followed by changes. Calls are served one after another. */
+    void watch(EmulatedDispatcher dispatcher, int watch) {
+        cancelWatch(dispatcher);
         if (down) {
-            sim.after(CALL_PATIENCE, () -> node.watchLost(watch));
+            scheduler.after(CALL_TIMEOUT_US, () -> dispatcher.watchLost(watch));
             return;
         }
-        freeAt = Math.max(freeAt, sim.now()) + Math.round(1e6 / settings.perSecond());
-        long served = freeAt + settings.call();
-        if (served - sim.now() > CALL_PATIENCE) {
-            sim.after(CALL_PATIENCE, () -> node.watchLost(watch));
+        serverFreeAt = Math.max(serverFreeAt, scheduler.now()) + Math.round(1e6 / settings.perSecond());
+        long served = serverFreeAt + settings.call();
+        if (served - scheduler.now() > CALL_TIMEOUT_US) {
+            scheduler.after(CALL_TIMEOUT_US, () -> dispatcher.watchLost(watch));
             return;
         }
-        sim.at(served, () -> {
+        scheduler.at(served, () -> {
             if (down) {
-                node.watchLost(watch);
+                dispatcher.watchLost(watch);
             } else {
-                watches.put(node, watch);
-                node.listTells(watch, all(), ListKind.WHOLE);
+                watchNumbers.put(dispatcher, watch);
+                dispatcher.listReceived(watch, all(), ListKind.WHOLE);
             }
         });
     }
 
-    void stop(Node node) {
-        watches.remove(node);
+    void cancelWatch(EmulatedDispatcher dispatcher) {
+        watchNumbers.remove(dispatcher);
     }
 
     void outage(boolean on) {
         down = on;
         if (on) {
-            Map<Node, Integer> lost = new LinkedHashMap<>(watches);
-            watches.clear();
-            lost.forEach((node, watch) -> sim.after(settings.call(), () -> node.watchLost(watch)));
+            Map<EmulatedDispatcher, Integer> lost = new LinkedHashMap<>(watchNumbers);
+            watchNumbers.clear();
+            lost.forEach((dispatcher, watch) -> scheduler.after(settings.call(), () -> dispatcher.watchLost(watch)));
         }
     }
 
-    /** A worker's own changes keep their order: the next one comes after the one before. */
-    private long late(Node node, List<WorkerInfo> entries) {
-        if (random == null || node.number >= disorderFrom) {
+    /** Random delay of a delivery under {@link #disorder}. Changes of the same worker stay in order. */
+    private long extraDelay(EmulatedDispatcher dispatcher, List<WorkerInfo> entries) {
+        if (disorderRandom == null || dispatcher.number >= disorderedDispatchers) {
             return 0;
         }
-        String key = node.number + " " + entries.get(0).address();
-        long late = sim.now() < disorderUntil ? random.nextInt((int) disorder) : 0;
-        long due = Math.max(sim.now() + late, notBefore.getOrDefault(key, 0L) + 1);
-        notBefore.put(key, due);
-        return due - sim.now();
+        String key = dispatcher.number + " " + entries.get(0).address();
+        long delay = scheduler.now() < disorderUntil ? disorderRandom.nextInt((int) maxDisorderUs) : 0;
+        long due = Math.max(scheduler.now() + delay, lastDelivery.getOrDefault(key, 0L) + 1);
+        lastDelivery.put(key, due);
+        return due - scheduler.now();
     }
 
-    /** Tells the first so many dispatchers each change up to that much later, so that they overtake. */
-    void disorder(int first, long most, long until, UniformRandomProvider chance) {
-        disorderFrom = first;
-        disorder = Math.max(1, most);
+    /** Delays each change to the first dispatchers by a random time, so that changes overtake one another. */
+    void disorder(int dispatcherCount, long maxDelayUs, long until, UniformRandomProvider random) {
+        disorderedDispatchers = dispatcherCount;
+        maxDisorderUs = Math.max(1, maxDelayUs);
         disorderUntil = until;
-        random = chance;
+        disorderRandom = random;
     }
 
-    /** Tells the first so many dispatchers of changes only from that time on. */
-    void withhold(int first, long until) {
-        withheldFrom = first;
+    /** Withholds changes from the first dispatchers until a point in time. */
+    void withhold(int dispatcherCount, long until) {
+        withheldDispatchers = dispatcherCount;
         withheldUntil = until;
     }
 
--- a/src/main/java/saffronferry/lab/world/Worker.java
+++ b/src/main/java/saffronferry/lab/world/Worker.java
@@ -13,11 +13,12 @@
 import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /**
- * An emulated worker: jobs in its slots share its cores, others wait in order or are turned away; crowded it
- * slows down, just started it has a part of its capacity, which grows with time and with work done.
+ * An emulated worker. Jobs in its slots share its cores; further jobs wait in FIFO order, or are rejected when
+ * the queue is full. Its speed falls with the number of jobs it holds. A cold worker starts with a share of its
+ * capacity, which grows with time and with work done.
  */
 final class Worker {
-    private static final long COLD_STEP = 100_000;
+    private static final long COLD_UPDATE_INTERVAL_US = 100_000;
 
     final String address;
     final int zone;
@@ -25,7 +26,7 @@
     final int cell;
     final WorkerKind kind;
     private final double speed;
-    private final Simulation sim;
+    private final EventScheduler scheduler;
     private final Scenario.Reports reports;
     private final UniformRandomProvider random;
     private final List<Job> running = new ArrayList<>();
@@ -34,13 +35,13 @@
     private boolean draining;
     private boolean hung;
     private boolean frozenReports;
-    private double slowness = 1;
-    private long coldSince;
-    private double doneSince;
+    private double slowdownFactor = 1;
+    private long coldStartedAt;
+    private double workSinceStart;
     private long advancedAt;
-    private long version;
-    private Report snapshot;
-    private long snapshotAt = Long.MIN_VALUE / 2;
+    private long scheduleVersion;
+    private Report lastReport;
+    private long lastReportAt = Long.MIN_VALUE / 2;
 
     Worker(
             String address,
@@ -48,24 +49,24 @@
             int kindIndex,
             int cell,
             Scenario scenario,
-            Simulation sim,
+            EventScheduler scheduler,
             UniformRandomProvider random) {
         this.address = address;
         this.zone = zone;
         this.kindIndex = kindIndex;
         this.cell = cell;
         kind = scenario.kinds().get(kindIndex);
-        this.sim = sim;
+        this.scheduler = scheduler;
         this.random = random;
         reports = scenario.reports();
-        // even between the ends whose spread this is
+        // uniform distribution; its half width is sqrt(3) times the standard deviation
         speed = kind.speed() * (1 + kind.speedCv() * Math.sqrt(3) * (2 * random.nextDouble() - 1));
-        advancedAt = sim.now();
+        advancedAt = scheduler.now();
     }
 
     WorkerInfo info() {
         WorkerState state = !up ? WorkerState.GONE : draining ? WorkerState.DRAINING : WorkerState.IN_SERVICE;
-        return new WorkerInfo(address, state, kindIndex, zone, coldSince, cell);
+        return new WorkerInfo(address, state, kindIndex, zone, coldStartedAt, cell);
     }
 
     boolean up() {
@@ -77,197 +78,197 @@
     }
 
     boolean cold() {
-        return coldSince != 0 && coldShare() < 1;
+        return coldStartedAt != 0 && capacityShare() < 1;
     }
 
-    /** Work a second that it could do now, in seconds at speed 1. */
+    /** The work it can currently do per second, in seconds at speed 1. */
     double capacity() {
-        return up && !hung ? Math.min(kind.slots(), kind.cores()) * speed * coldShare() / slowness : 0;
+        return up && !hung ? Math.min(kind.slots(), kind.cores()) * speed * capacityShare() / slowdownFactor : 0;
     }
 
-    /** Work done since it started, in microseconds at speed 1; looking changes nothing. */
-    double done() {
-        return doneSince + rate() * (sim.now() - advancedAt) * running.size();
+    /** Work done since its start, in microseconds at speed 1. Does not change any state. */
+    double workDone() {
+        return workSinceStart + workRatePerJob() * (scheduler.now() - advancedAt) * running.size();
     }
 
-    /** Work a second of a warm one that nothing slows. */
+    /** The work it can do per second when it is warm and not slowed down. */
     double fullCapacity() {
         return Math.min(kind.slots(), kind.cores()) * speed;
     }
 
-    /** Jobs held, for each unit of capacity; what only a sighted policy may know. */
+    /** Jobs held per unit of capacity. Only {@code Policy.SIGHTED} may use it. */
     double load() {
         return (running.size() + queue.size() + 1) / Math.max(1e-6, capacity());
     }
 
-    private double coldShare() {
-        if (coldSince == 0 || kind.cold() == 0) {
+    private double capacityShare() {
+        if (coldStartedAt == 0 || kind.cold() == 0) {
             return 1;
         }
-        double byTime = (sim.now() - coldSince) / (double) kind.cold();
-        double byWork = doneSince / (fullCapacity() * kind.cold() * 0.5);
+        double byTime = (scheduler.now() - coldStartedAt) / (double) kind.cold();
+        double byWork = workSinceStart / (fullCapacity() * kind.cold() * 0.5);
         return Math.min(1, kind.coldFrom() + (1 - kind.coldFrom()) * Math.max(byTime, byWork));
     }
 
-    // ---- what happens to it ----
+    // ---- lifecycle and faults ----
 
     void start(boolean cold) {
-        touch();
+        advance();
         up = true;
         draining = false;
         hung = false;
-        coldSince = cold ? sim.now() : 0;
-        doneSince = 0;
-        plan();
+        coldStartedAt = cold ? scheduler.now() : 0;
+        workSinceStart = 0;
+        scheduleCompletion();
     }
 
-    /** Turns fresh work away and hands back what has not begun. */
+    /** Rejects new jobs from now on, and returns the queued ones to their dispatchers. */
     void drain() {
-        touch();
+        advance();
         draining = true;
         while (!queue.isEmpty()) {
-            end(queue.poll(), Outcome.FULL);
+            endJob(queue.poll(), Outcome.FULL);
         }
-        plan();
+        scheduleCompletion();
     }
 
-    /** The process ends: its connections break. */
+    /** Ends the process, which resets all its connections. */
     void crash() {
-        touch();
+        advance();
         up = false;
         List<Job> all = new ArrayList<>(running);
         all.addAll(queue);
         running.clear();
         queue.clear();
-        all.forEach(job -> end(job, Outcome.RESET));
-        plan();
+        all.forEach(job -> endJob(job, Outcome.RESET));
+        scheduleCompletion();
     }
 
     void hang(boolean on) {
-        touch();
+        advance();
         hung = on;
-        plan();
+        scheduleCompletion();
     }
 
     void slow(double factor) {
-        touch();
-        slowness = factor;
-        plan();
+        advance();
+        slowdownFactor = factor;
+        scheduleCompletion();
     }
 
     void freezeReports(boolean on) {
-        touch();
+        advance();
         frozenReports = on;
     }
 
     // ---- jobs ----
 
-    /** A job has come; the caller has seen that the process is up. */
+    /** Accepts or rejects a job. The caller has checked that the process is up. */
     void deliver(Job job) {
-        touch();
+        advance();
         if (draining || running.size() >= kind.slots() && queue.size() >= kind.queue()) {
-            end(job, Outcome.FULL);
+            endJob(job, Outcome.FULL);
         } else if (running.size() < kind.slots()) {
-            begin(job);
+            startJob(job);
         } else {
             queue.add(job);
         }
-        plan();
+        scheduleCompletion();
     }
 
-    private void begin(Job job) {
+    private void startJob(Job job) {
         job.running = true;
         running.add(job);
         if (!hung) {
-            job.node.hears(this, job.life, n -> n.moved(job.rpc, job.attempt));
+            job.dispatcher.deliverFromWorker(this, job.incarnation, n -> n.attemptMoved(job.rpc, job.attempt));
         }
     }
 
     void cancel(Job job) {
-        if (!job.gone && (running.contains(job) || queue.contains(job))) {
-            touch();
-            job.gone = true;
+        if (!job.finished && (running.contains(job) || queue.contains(job))) {
+            advance();
+            job.finished = true;
             running.remove(job);
             queue.remove(job);
-            refill();
-            plan();
+            startQueuedJobs();
+            scheduleCompletion();
         }
     }
 
-    private void end(Job job, Outcome outcome) {
-        job.gone = true;
+    private void endJob(Job job, Outcome outcome) {
+        job.finished = true;
         if (!hung || outcome == Outcome.RESET) {
-            job.node.hears(this, job.life, n -> n.ended(job.rpc, job.attempt, outcome));
+            job.dispatcher.deliverFromWorker(this, job.incarnation, n -> n.attemptEnded(job.rpc, job.attempt, outcome));
         }
     }
 
-    private void refill() {
+    private void startQueuedJobs() {
         while (running.size() < kind.slots() && !queue.isEmpty()) {
-            begin(queue.poll());
+            startJob(queue.poll());
         }
     }
 
-    /** Microseconds of work that each running job gets done in a microsecond. */
-    private double rate() {
+    /** Work done on each running job per unit of time. */
+    private double workRatePerJob() {
         if (!up || hung || running.isEmpty()) {
             return 0;
         }
-        double held = running.size() + queue.size();
-        double crowded = held > kind.thrashAt() ? 1 / (1 + kind.thrash() * (held - kind.thrashAt())) : 1;
-        return speed * Math.min(1, kind.cores() / (double) running.size()) * crowded * coldShare() / slowness;
+        double jobsHeld = running.size() + queue.size();
+        double contentionFactor = jobsHeld > kind.thrashAt() ? 1 / (1 + kind.thrash() * (jobsHeld - kind.thrashAt())) : 1;
+        return speed * Math.min(1, kind.cores() / (double) running.size()) * contentionFactor * capacityShare() / slowdownFactor;
     }
 
-    /** Brings work done and the report up to now; before each change. */
-    private void touch() {
-        long now = sim.now();
-        double each = rate() * (now - advancedAt);
+    /** Accounts for the work done up to now and refreshes the load report. Call it before each state change. */
+    private void advance() {
+        long now = scheduler.now();
+        double workPerJob = workRatePerJob() * (now - advancedAt);
         for (Job job : running) {
-            job.left -= each;
+            job.workLeft -= workPerJob;
         }
-        doneSince += each * running.size();
+        workSinceStart += workPerJob * running.size();
         advancedAt = now;
-        if (now - snapshotAt >= reports.period() && !frozenReports) {
+        if (now - lastReportAt >= reports.period() && !frozenReports) {
             double free = queue.isEmpty() ? kind.slots() - running.size() : 0;
-            double told = Math.max(0, Math.rint(free * (1 + reports.noise() * (2 * random.nextDouble() - 1))));
-            snapshot = new Report(Double.NaN, Double.NaN, told);
-            snapshotAt = now;
+            double reportedSlots = Math.max(0, Math.rint(free * (1 + reports.noise() * (2 * random.nextDouble() - 1))));
+            lastReport = new Report(Double.NaN, Double.NaN, reportedSlots);
+            lastReportAt = now;
         }
     }
 
-    /** Its last report, or null where it has had no time for one. */
+    /** The last load report, or null if there is none yet. */
     Report report() {
-        touch();
-        return snapshot;
+        advance();
+        return lastReport;
     }
 
-    private void plan() {
-        long mine = ++version;
-        double rate = rate();
-        if (rate <= 0) {
+    private void scheduleCompletion() {
+        long plannedVersion = ++scheduleVersion;
+        double ratePerJob = workRatePerJob();
+        if (ratePerJob <= 0) {
             return;
         }
-        double least = Double.MAX_VALUE;
+        double leastWorkLeft = Double.MAX_VALUE;
         for (Job job : running) {
-            least = Math.min(least, job.left);
+            leastWorkLeft = Math.min(leastWorkLeft, job.workLeft);
         }
-        long next = Math.max(1, (long) Math.ceil(least / rate));
-        sim.after(cold() ? Math.min(next, COLD_STEP) : next, () -> {
-            if (mine == version) {
-                finishDue();
+        long delayUs = Math.max(1, (long) Math.ceil(leastWorkLeft / ratePerJob));
+        scheduler.after(cold() ? Math.min(delayUs, COLD_UPDATE_INTERVAL_US) : delayUs, () -> {
+            if (plannedVersion == scheduleVersion) {
+                completeDueJobs();
             }
         });
     }
 
-    private void finishDue() {
-        touch();
+    private void completeDueJobs() {
+        advance();
         for (int i = running.size() - 1; i >= 0; i--) {
             Job job = running.get(i);
-            if (job.left <= 1e-6) {
+            if (job.workLeft <= 1e-6) {
                 running.remove(i);
-                end(job, random.nextDouble() < kind.errorRate() ? Outcome.ERROR : Outcome.OK);
+                endJob(job, random.nextDouble() < kind.errorRate() ? Outcome.ERROR : Outcome.OK);
             }
         }
-        refill();
-        plan();
+        startQueuedJobs();
+        scheduleCompletion();
     }
 }
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -29,15 +29,15 @@
 import saffronferry.lab.world.ClusterSimulation;
 import saffronferry.lab.world.ClusterSimulation.RunResult;
 
-/** The laboratory: equal days, rules that are caught when broken, and scenarios that cannot be played. */
+/** Tests of the simulator: reproducible runs, detection of rule violations, and validation of scenarios. */
 class LabTest {
     private static Scenario example(String name) throws Exception {
         return ScenarioReader.read(Path.of("examples/lab/" + name + ".toml"));
     }
 
-    /** The same seeds on one thread and on eight: the same result, to the last byte; other seeds, another. */
+    /** One thread and eight threads give the same result for the same seeds, byte for byte; other seeds differ. */
     @Test
-    void theSameSeedsGiveTheSameBytes() throws Exception {
+    void sameSeedsGiveIdenticalResults() throws Exception {
         Scenario s = example("alumni-zone-loss-in-deploy");
         List<Long> seeds = List.of(1L, 2L, 3L);
         String one = Lab.json(s, Policy.NETWORKED_QUEUES, Lab.run(s, Policy.NETWORKED_QUEUES, seeds, 1))
@@ -50,9 +50,9 @@
                 ClusterSimulation.run(s, Policy.RANDOM, 5).json().toString());
     }
 
-    /** Two policies meet the same requests: what one decides shifts nothing for the other. */
+    /** The decisions of a policy must not shift the random draws that generate requests. */
     @Test
-    void policiesMeetTheSameDay() throws Exception {
+    void allPoliciesReceiveTheSameRequests() throws Exception {
         Scenario s = example("alumni-slow");
         Set<Object> asked = new HashSet<>();
         for (Policy p : Policy.values()) {
@@ -61,106 +61,106 @@
         assertEquals(1, asked.size());
     }
 
-    /** Textbook policies may push a cold worker over where few are left; the program's own may not. */
+    /** Baseline policies may overload a cold worker where few workers are left; networked queues may not. */
     @Test
-    void networkedQueuesKeepTheRulesInEveryExample() throws Exception {
+    void networkedQueuesViolateNoRuleInAnyExample() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("examples/lab"))) {
             for (Path file : files.sorted().toList()) {
                 Scenario s = ScenarioReader.read(file);
                 for (Policy p : Policy.values()) {
-                    RunResult day = ClusterSimulation.run(s, p, 3);
-                    assertTrue(p != Policy.NETWORKED_QUEUES || day.violations().isEmpty(), file + ": " + day.violations());
-                    assertTrue(day.goal() > 0.2 && day.goal() <= 1, file + " with " + p.label() + ": " + day.goal());
+                    RunResult result = ClusterSimulation.run(s, p, 3);
+                    assertTrue(p != Policy.NETWORKED_QUEUES || result.violations().isEmpty(), file + ": " + result.violations());
+                    assertTrue(result.goal() > 0.2 && result.goal() <= 1, file + " with " + p.label() + ": " + result.goal());
                 }
             }
         }
     }
 
-    /** Client's tries times attempts: never beyond what the rule allows one request, and far below it in all. */
+    /** No request exceeds client tries times attempts per try, and the total is far below that bound. */
     @Test
-    void attemptsEndToEndAreBounded() throws Exception {
+    void attemptsPerRequestAreBounded() throws Exception {
         for (String name : List.of("alumni-hosting", "alumni-overload", "alumni-outage")) {
             Scenario s = example(name);
-            int most = (1 + s.clients().retries()) * s.rules().maxAttempts();
+            int maxAttempts = (1 + s.clients().retries()) * s.rules().maxAttempts();
             for (long seed = 1; seed <= 4; seed++) {
                 JSONObject path =
                         ClusterSimulation.run(s, Policy.NETWORKED_QUEUES, seed).json().getJSONObject("path");
                 for (String c : path.keySet()) {
-                    JSONObject p = path.getJSONObject(c);
-                    assertTrue(p.getLong("requests") > 50 && p.getLong("attempts") > 50, name + p);
-                    assertTrue(p.getLong("most_attempts") <= most, name + p);
-                    assertTrue(p.getLong("attempts") <= 1.3 * p.getLong("requests"), name + p);
+                    JSONObject counts = path.getJSONObject(c);
+                    assertTrue(counts.getLong("requests") > 50 && counts.getLong("attempts") > 50, name + counts);
+                    assertTrue(counts.getLong("most_attempts") <= maxAttempts, name + counts);
+                    assertTrue(counts.getLong("attempts") <= 1.3 * counts.getLong("requests"), name + counts);
                 }
             }
         }
     }
 
-    /** All dispatchers down at once while an association sends five times its traffic. */
+    /** All dispatchers restart at once while a tenant sends five times its traffic. */
     @Test
-    void allDispatchersRestartInASurge() throws Exception {
+    void simultaneousDispatcherRestartDuringBurstViolatesNoRule() throws Exception {
         String text = Files.readString(Path.of("examples/lab/alumni-hosting.toml"))
                 + "\n[[trouble]]\nkind = \"dispatcher_restart\"\nat_s = 15\nlength_s = 0.001\npart = 1\nsize = 1\n"
                 + "\n[[trouble]]\nkind = \"tenant_burst\"\nat_s = 12\nlength_s = 10\nsize = 5\n"
                 + "tenant = \"clonfert-old-boys\"\n";
-        RunResult day = ClusterSimulation.run(ScenarioReader.parse("surge.toml", text), Policy.NETWORKED_QUEUES, 1);
-        assertEquals(List.of(), day.violations());
-        assertTrue(day.goal() < 0.95, "it was felt: " + day.goal());
+        RunResult result = ClusterSimulation.run(ScenarioReader.parse("surge.toml", text), Policy.NETWORKED_QUEUES, 1);
+        assertEquals(List.of(), result.violations());
+        assertTrue(result.goal() < 0.95, "it was felt: " + result.goal());
     }
 
-    // ---- sabotage: each rule broken on purpose is caught by its name ----
+    // ---- fault injection: a deliberate violation of each rule is detected by its name ----
 
-    /** Changes what a brain says: steps in, steps out, with what it has been told at hand. */
-    private abstract static class Saboteur implements DispatchLogic {
+    /** Alters the actions of a dispatch logic; subclasses may use the worker lists it has received. */
+    private abstract static class FaultyLogic implements DispatchLogic {
         private final DispatchLogic logic;
-        final Set<WorkerInfo> told = new HashSet<>();
+        final Set<WorkerInfo> receivedWorkers = new HashSet<>();
 
-        Saboteur(DispatchLogic logic) {
+        FaultyLogic(DispatchLogic logic) {
             this.logic = logic;
         }
 
-        abstract List<Step> spoil(long now, List<Step> steps);
+        abstract List<Step> alter(long now, List<Step> steps);
 
-        List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
-            return spoil(now, steps);
+        List<Step> alterPick(long now, Request rpc, List<Step> steps) {
+            return alter(now, steps);
         }
 
         @Override
         public List<Step> pick(long now, Request rpc) {
-            return spoilPick(now, rpc, logic.pick(now, rpc));
+            return alterPick(now, rpc, logic.pick(now, rpc));
         }
 
         @Override
         public List<Step> report(long now, News news) {
             if (news instanceof News.Resolved r) {
-                told.addAll(r.entries());
+                receivedWorkers.addAll(r.entries());
             }
-            return spoil(now, logic.report(now, news));
+            return alter(now, logic.report(now, news));
         }
 
         @Override
         public List<Step> tick(long now, long token) {
-            return spoil(now, logic.tick(now, token));
+            return alter(now, logic.tick(now, token));
         }
     }
 
-    private static List<Violation> broken(String scenario, UnaryOperator<DispatchLogic> wrap) throws Exception {
-        return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, wrap).violations();
+    private static List<Violation> violations(String scenario, UnaryOperator<DispatchLogic> decorator) throws Exception {
+        return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, decorator).violations();
     }
 
-    private static void caught(List<Violation> broken, String rule, String storyHas) {
-        Violation b = broken.stream()
+    private static void assertDetected(List<Violation> violations, String rule, String historyContains) {
+        Violation violation = violations.stream()
                 .filter(x -> x.rule().equals(rule))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError(rule + " not caught, but " + broken));
-        assertTrue(storyHas.isEmpty() || b.toString().contains(storyHas), b.toString());
+                .orElseThrow(() -> new AssertionError(rule + " not caught, but " + violations));
+        assertTrue(historyContains.isEmpty() || violation.toString().contains(historyContains), violation.toString());
     }
 
     @Test
-    void answersThatAreDroppedAreCaught() throws Exception {
-        caught(
-                broken("alumni-overload", logic -> new Saboteur(logic) {
+    void droppedAnswersAreDetected() throws Exception {
+        assertDetected(
+                violations("alumni-overload", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
+                    List<Step> alter(long now, List<Step> steps) {
                         return steps.stream()
                                 .filter(s -> !(s instanceof Step.Refuse))
                                 .toList();
@@ -171,11 +171,11 @@
     }
 
     @Test
-    void answersGivenTwiceAreCaught() throws Exception {
-        caught(
-                broken("alumni-overload", logic -> new Saboteur(logic) {
+    void repeatedAnswersAreDetected() throws Exception {
+        assertDetected(
+                violations("alumni-overload", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
+                    List<Step> alter(long now, List<Step> steps) {
                         List<Step> all = new ArrayList<>(steps);
                         steps.stream().filter(Step.Refuse.class::isInstance).forEach(all::add);
                         return all;
@@ -186,16 +186,16 @@
     }
 
     @Test
-    void giftsSentTwiceAreCaught() throws Exception {
-        caught(
-                broken("alumni-hosting", logic -> new Saboteur(logic) {
+    void duplicateAttemptsOfKeyedRequestsAreDetected() throws Exception {
+        assertDetected(
+                violations("alumni-hosting", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
+                    List<Step> alter(long now, List<Step> steps) {
                         List<Step> all = new ArrayList<>(steps);
                         steps.stream()
                                 .filter(Step.StartAttempt.class::isInstance)
                                 .map(Step.StartAttempt.class::cast)
-                                .forEach(s -> told.stream()
+                                .forEach(s -> receivedWorkers.stream()
                                         .map(WorkerInfo::address)
                                         .filter(a -> !a.equals(s.subchannel()))
                                         .sorted()
@@ -209,17 +209,17 @@
     }
 
     @Test
-    void workSentToADrainedWorkerIsCaught() throws Exception {
-        caught(
-                broken("alumni-deploy", logic -> new Saboteur(logic) {
+    void requestsToADrainingWorkerAreDetected() throws Exception {
+        assertDetected(
+                violations("alumni-deploy", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
+                    List<Step> alter(long now, List<Step> steps) {
                         return steps;
                     }
 
                     @Override
-                    List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
-                        return told.stream()
+                    List<Step> alterPick(long now, Request rpc, List<Step> steps) {
+                        return receivedWorkers.stream()
                                 .filter(w -> w.state() == WorkerState.DRAINING)
                                 .map(WorkerInfo::address)
                                 .sorted()
@@ -233,17 +233,17 @@
     }
 
     @Test
-    void aColdWorkerThatIsFloodedIsCaught() throws Exception {
-        caught(
-                broken("alumni-deploy", logic -> new Saboteur(logic) {
+    void overloadOfAColdWorkerIsDetected() throws Exception {
+        assertDetected(
+                violations("alumni-deploy", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<Step> spoil(long now, List<Step> steps) {
+                    List<Step> alter(long now, List<Step> steps) {
                         return steps;
                     }
 
                     @Override
-                    List<Step> spoilPick(long now, Request rpc, List<Step> steps) {
-                        return told.stream()
+                    List<Step> alterPick(long now, Request rpc, List<Step> steps) {
+                        return receivedWorkers.stream()
                                 .filter(w -> w.startedAt() > 0
                                         && w.state() == WorkerState.IN_SERVICE
                                         && now - w.startedAt() < 4_000_000)
@@ -258,11 +258,11 @@
                 "falls over");
     }
 
-    // ---- scenarios that cannot be played ----
+    // ---- invalid scenarios ----
 
-    /** Forty faulty lines are told at once, each with its file, line, key and what was expected. */
+    /** Forty invalid lines are reported together, each with file, line, key and the expected value. */
     @Test
-    void allThatIsWrongWithAScenarioIsToldAtOnce() {
+    void allProblemsOfAScenarioAreReportedTogether() {
         StringBuilder text = new StringBuilder("lenght_s = 20\n[fleet]\nworkers = \"many\"\ndispatchers = 0\n[load]\n"
                 + "share = -1\nshape = \"burst\"\n");
         for (int i = 0; i < 35; i++) {
@@ -284,9 +284,9 @@
         }
     }
 
-    /** A seed draws the same troubles whoever plays it, within the times and kinds that the file names. */
+    /** A seed always gives the same faults, within the times and kinds that the scenario names. */
     @Test
-    void troublesAreDrawnFromTheSeed() throws Exception {
+    void randomFaultsDependOnlyOnTheSeed() throws Exception {
         Scenario s = example("alumni-cuts-drawn");
         Set<String> drawn = new HashSet<>();
         Set<String> kinds = new HashSet<>();
@@ -312,15 +312,15 @@
     }
 
     @Test
-    void whatIsNoTomlIsNamedByLineAndColumn() {
+    void tomlSyntaxErrorsCarryLineAndColumn() {
         ScenarioException e = assertThrows(
                 ScenarioException.class, () -> ScenarioReader.parse("bad.toml", "name = \"x\"\nlength_s = = 3\n"));
         assertTrue(e.getMessage().startsWith("bad.toml:2:"), e.getMessage());
     }
 
-    /** Figures of Student's t for 4 pairs: the half width is 3.182 standard errors. */
+    /** For 4 pairs the half width is 3.182 standard errors, by Student's t with 3 degrees of freedom. */
     @Test
-    void pairedDifferencesSayWhatTheyCanTell() {
+    void pairedDifferencesGiveMeanIntervalAndVerdict() {
         PairedDifference d = PairedDifference.of(0.1, 0.2, 0.1, 0.2);
         assertEquals(0.15, d.mean(), 1e-12);
         assertEquals(3.18245 * 0.0577350 / 2, d.halfWidth(), 1e-5);
