--- a/src/test/java/saffronferry/lab/check/Stage.java
+++ b/src/test/java/saffronferry/lab/check/DispatcherHarness.java
@@ -27,36 +27,38 @@
 import saffronferry.state.Ports;
 import saffronferry.state.RpcInfo;
 
-/** The program's own ledgers and balancers in virtual time; writes down what crosses their wires. */
-final class Stage {
-    private static final long START = 1_000_000_000;
+/** Runs the product's request state and balancers in virtual time and records all their inputs and outputs. */
+final class DispatcherHarness {
+    private static final long START_TIME_US = 1_000_000_000;
 
     final Scenario scenario;
-    private final StringBuilder written = new StringBuilder();
-    private final TreeMap<Long, Runnable> queue = new TreeMap<>(); // time in the upper bits, then order
-    private final Map<Integer, Front> fronts = new HashMap<>();
-    private final Map<String, Double> work = new HashMap<>();
-    private final SplittableRandom dice;
+    private final StringBuilder output = new StringBuilder();
+    /** Keyed by the time in the upper bits and a sequence number in the lower 20 bits. */
+    private final TreeMap<Long, Runnable> events = new TreeMap<>();
+
+    private final Map<Integer, TestDispatcher> dispatchers = new HashMap<>();
+    private final Map<String, Double> requestWork = new HashMap<>();
+    private final SplittableRandom random;
     private long now;
-    private int order;
+    private int sequence;
 
-    Stage(Scenario scenario, long seed) {
+    DispatcherHarness(Scenario scenario, long seed) {
         this.scenario = scenario;
-        dice = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
-    /** What has crossed the wires, in the form that {@link History} reads. */
-    String written() {
-        return written.toString();
+    /** The recorded events, in the format that {@link History} reads. */
+    String output() {
+        return output.toString();
     }
 
-    private void at(long time, Runnable what) {
-        queue.put(Math.max(time, now) << 20 | order++ & 0xFFFFF, what);
+    private void at(long time, Runnable action) {
+        events.put(Math.max(time, now) << 20 | sequence++ & 0xFFFFF, action);
     }
 
     private void run(long until) {
-        while (!queue.isEmpty() && queue.firstKey() >> 20 <= until) {
-            Map.Entry<Long, Runnable> next = queue.pollFirstEntry();
+        while (!events.isEmpty() && events.firstKey() >> 20 <= until) {
+            Map.Entry<Long, Runnable> next = events.pollFirstEntry();
             now = next.getKey() >> 20;
             next.getValue().run();
         }
@@ -64,162 +66,162 @@
     }
 
     private void write(String format, Object... values) {
-        written.append(String.format(Locale.ROOT, "%.6f ", now / 1e6))
+        output.append(String.format(Locale.ROOT, "%.6f ", now / 1e6))
                 .append(String.format(Locale.ROOT, format, values))
                 .append('\n');
     }
 
-    private Front front(int number) {
-        return fronts.computeIfAbsent(number, Front::new);
+    private TestDispatcher dispatcher(int number) {
+        return dispatchers.computeIfAbsent(number, TestDispatcher::new);
     }
 
-    // ---- a recorded history's clients, workers and discovery, played to the real code ----
+    // ---- replay of a recorded history ----
 
-    /** Plays what came in, at its times; what goes out is the real code's. */
-    void replay(History h) {
-        for (History.Line l : h.lines) {
-            switch (l.what()) {
-                case "list" -> at(l.at(), () -> front(l.whole(0)).told(l.workers(scenario), "whole".equals(l.text(1))));
+    /** Replays the inputs of a history at their times; the outputs are those of the code under test. */
+    void replay(History history) {
+        for (History.Line l : history.lines) {
+            switch (l.event()) {
+                case "list" -> at(l.at(), () -> dispatcher(l.whole(0)).receiveList(l.workers(scenario), "whole".equals(l.text(1))));
                 case "request" ->
-                    at(l.at(), () -> front(l.whole(0)).asked(l.text(1), l.text(2), l.micros(3), l.micros(4) / 1e6));
+                    at(l.at(), () -> dispatcher(l.whole(0)).receiveRequest(l.text(1), l.text(2), l.micros(3), l.micros(4) / 1e6));
                 case "worker" ->
                     at(
                             l.at(),
-                            () -> front(l.whole(0)).answered(l.text(1), l.whole(2), l.oneOf(Outcome.class, l.text(3))));
-                case "ban" -> at(l.at(), () -> front(l.whole(0)).ban(l.text(1), true));
-                case "back" -> at(l.at(), () -> front(l.whole(0)).ban(l.text(1), false));
-                case "gone" -> at(l.at(), () -> front(l.whole(0)).left(l.text(1)));
+                            () -> dispatcher(l.whole(0)).finishAttempt(l.text(1), l.whole(2), l.oneOf(Outcome.class, l.text(3))));
+                case "ban" -> at(l.at(), () -> dispatcher(l.whole(0)).ban(l.text(1), true));
+                case "back" -> at(l.at(), () -> dispatcher(l.whole(0)).ban(l.text(1), false));
+                case "gone" -> at(l.at(), () -> dispatcher(l.whole(0)).cancelRequest(l.text(1)));
                 case "capacity" -> at(l.at(), () -> write("capacity %s %s", l.text(0), l.text(1)));
                 default -> {}
             }
         }
-        run(h.lines.get(h.lines.size() - 1).at());
+        run(history.lines.get(history.lines.size() - 1).at());
         write("end");
     }
 
-    // ---- a seeded day ----
+    // ---- random load ----
 
-    private final Map<String, WorkerInfo> fleet = new HashMap<>();
+    private final Map<String, WorkerInfo> workers = new HashMap<>();
     private final Map<String, Long> coldSince = new HashMap<>();
-    private static final long COLD = 8_600_000;
+    private static final long COLD_DURATION_US = 8_600_000;
 
-    /** Clients, workers and discovery by the seed's dice, for so many seconds and a quiet end. */
-    void day(int dispatchers, int workers, double perSecond, int seconds) {
-        for (int i = 0; i < workers; i++) {
-            put("w" + i, WorkerState.IN_SERVICE, 0);
+    /** Simulates random clients, workers and discovery for some seconds, followed by a time without load. */
+    void runRandomLoad(int dispatcherCount, int workerCount, double perSecond, int seconds) {
+        for (int i = 0; i < workerCount; i++) {
+            setWorker("w" + i, WorkerState.IN_SERVICE, 0);
         }
-        for (int d = 0; d < dispatchers; d++) {
-            front(d).told(List.copyOf(fleet.values()), true);
+        for (int d = 0; d < dispatcherCount; d++) {
+            dispatcher(d).receiveList(List.copyOf(workers.values()), true);
         }
-        at(now, () -> clients(dispatchers, perSecond, seconds * 1_000_000L));
+        at(now, () -> clients(dispatcherCount, perSecond, seconds * 1_000_000L));
         for (int s = 1; s < seconds; s++) {
-            at(s * 1_000_000L, () -> discovery(workers));
+            at(s * 1_000_000L, () -> discovery(workerCount));
             at(s * 1_000_000L + 1, this::capacities);
             if (s % 3 == 0) {
-                at(s * 1_000_000L + 2, () -> operators(dispatchers, workers));
+                at(s * 1_000_000L + 2, () -> operators(dispatcherCount, workerCount));
             }
         }
         run(seconds * 1_000_000L + 40_000_000L);
         write("end");
     }
 
-    /** They take a worker out at each dispatcher, by hand and so not at once, and put it back later. */
-    private void operators(int dispatchers, int workers) {
-        String worker = "w" + dice.nextInt(workers);
-        for (int d = 0; d < dispatchers; d++) {
-            Front front = front(d);
-            long out = now + dice.nextLong(300_000);
-            at(out, () -> front.ban(worker, true));
-            at(out + 500_000 + dice.nextLong(3_000_000), () -> front.ban(worker, false));
+    /** Operators ban a worker at each dispatcher at different times, and lift the bans later. */
+    private void operators(int dispatcherCount, int workerCount) {
+        String worker = "w" + random.nextInt(workerCount);
+        for (int d = 0; d < dispatcherCount; d++) {
+            TestDispatcher dispatcher = dispatcher(d);
+            long out = now + random.nextLong(300_000);
+            at(out, () -> dispatcher.ban(worker, true));
+            at(out + 500_000 + random.nextLong(3_000_000), () -> dispatcher.ban(worker, false));
         }
     }
 
-    private WorkerInfo put(String name, WorkerState state, long startedAt) {
+    private WorkerInfo setWorker(String name, WorkerState state, long startedAt) {
         int n = Integer.parseInt(name.substring(1));
         int zone = n % scenario.zones().size();
         WorkerInfo w = new WorkerInfo(name, state, 0, zone, startedAt, zone * 100 + n / 4);
-        fleet.put(name, w);
+        workers.put(name, w);
         return w;
     }
 
-    private void clients(int dispatchers, double perSecond, long until) {
+    private void clients(int dispatcherCount, double perSecond, long until) {
         if (now < until) {
-            int d = dice.nextInt(dispatchers);
+            int d = random.nextInt(dispatcherCount);
             Scenario.RpcClass c =
-                    scenario.classes().get(dice.nextInt(scenario.classes().size()));
-            String rpc = Integer.toString(++order);
-            long valid = dice.nextInt(10) == 0 ? 1 + dice.nextLong(200_000) : c.deadline();
-            front(d).asked(rpc, c.name(), valid, c.work() / 1e6 * (0.3 + dice.nextDouble()));
-            if (dice.nextInt(50) == 0) {
-                at(now + dice.nextLong(2_000_000), () -> front(d).left(rpc));
+                    scenario.classes().get(random.nextInt(scenario.classes().size()));
+            String rpc = Integer.toString(++sequence);
+            long validFor = random.nextInt(10) == 0 ? 1 + random.nextLong(200_000) : c.deadline();
+            dispatcher(d).receiveRequest(rpc, c.name(), validFor, c.work() / 1e6 * (0.3 + random.nextDouble()));
+            if (random.nextInt(50) == 0) {
+                at(now + random.nextLong(2_000_000), () -> dispatcher(d).cancelRequest(rpc));
             }
             at(
-                    now + 1 + (long) (-Math.log(1 - dice.nextDouble()) / perSecond * 1e6),
-                    () -> clients(dispatchers, perSecond, until));
+                    now + 1 + (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e6),
+                    () -> clients(dispatcherCount, perSecond, until));
         }
     }
 
-    /** A worker drains, goes, or comes back cold; each dispatcher hears of it late, in order. */
-    private void discovery(int workers) {
-        String name = "w" + dice.nextInt(workers);
-        WorkerInfo old = fleet.get(name);
+    /** A worker drains, disappears, or returns cold; dispatchers learn of it after a delay, in order. */
+    private void discovery(int workerCount) {
+        String name = "w" + random.nextInt(workerCount);
+        WorkerInfo old = workers.get(name);
         WorkerInfo next = switch (old.state()) {
-            case IN_SERVICE -> put(name, dice.nextInt(3) == 0 ? WorkerState.GONE : WorkerState.DRAINING, 0);
-            case DRAINING -> put(name, WorkerState.GONE, 0);
+            case IN_SERVICE -> setWorker(name, random.nextInt(3) == 0 ? WorkerState.GONE : WorkerState.DRAINING, 0);
+            case DRAINING -> setWorker(name, WorkerState.GONE, 0);
             case GONE -> {
                 coldSince.put(name, now);
-                yield put(name, WorkerState.IN_SERVICE, START + now);
+                yield setWorker(name, WorkerState.IN_SERVICE, START_TIME_US + now);
             }
         };
         if (next.state() != WorkerState.DRAINING) {
-            fronts.values().forEach(f -> f.breaks(name));
+            dispatchers.values().forEach(d -> d.resetConnections(name));
         }
-        long late = dice.nextLong(900_000);
-        boolean whole = dice.nextInt(6) == 0;
+        long delay = random.nextLong(900_000);
+        boolean whole = random.nextInt(6) == 0;
         List<WorkerInfo> list = whole
-                ? fleet.values().stream()
+                ? workers.values().stream()
                         .filter(w -> w.state() != WorkerState.GONE)
                         .toList()
                 : List.of(next);
-        fronts.values().forEach(f -> at(now + late, () -> f.told(list, whole)));
+        dispatchers.values().forEach(d -> at(now + delay, () -> d.receiveList(list, whole)));
     }
 
     private double capacity(String worker) {
         long since = now - coldSince.getOrDefault(worker, Long.MIN_VALUE / 2);
-        return since < COLD ? 4 * (0.33 + 0.67 * since / COLD) : 0;
+        return since < COLD_DURATION_US ? 4 * (0.33 + 0.67 * since / COLD_DURATION_US) : 0;
     }
 
     private void capacities() {
         coldSince.keySet().forEach(w -> write("capacity %s %.3f", w, capacity(w)));
     }
 
-    /** What a worker makes of an attempt, and when. */
-    private void work(Front f, String rpc, int number, String worker, double jobs) {
-        if (fleet.get(worker).state() == WorkerState.GONE) {
-            at(now + 1_000, () -> f.answered(rpc, number, Outcome.CONNECT_FAILED));
+    /** Schedules the outcome of an attempt at a worker. */
+    private void simulateAttempt(TestDispatcher dispatcher, String rpc, int number, String worker, double jobs) {
+        if (workers.get(worker).state() == WorkerState.GONE) {
+            at(now + 1_000, () -> dispatcher.finishAttempt(rpc, number, Outcome.CONNECT_FAILED));
             return;
         }
-        int x = dice.nextInt(100);
-        Outcome outcome = fleet.get(worker).state() == WorkerState.DRAINING || x < 8
+        int percentile = random.nextInt(100);
+        Outcome outcome = workers.get(worker).state() == WorkerState.DRAINING || percentile < 8
                 ? Outcome.FULL
-                : x < 12 ? Outcome.ERROR : x < 15 ? Outcome.RESET : Outcome.OK;
-        if (x < 97) { // the others hang
-            at(now + 500 + (outcome == Outcome.FULL ? 0 : (long) (jobs * 1e6)), () -> f.answered(rpc, number, outcome));
+                : percentile < 12 ? Outcome.ERROR : percentile < 15 ? Outcome.RESET : Outcome.OK;
+        if (percentile < 97) { // the other attempts never end
+            at(now + 500 + (outcome == Outcome.FULL ? 0 : (long) (jobs * 1e6)), () -> dispatcher.finishAttempt(rpc, number, outcome));
         }
     }
 
-    /** One dispatcher: the real ledger and balancer behind ports of ours. */
-    private final class Front implements Ports<String> {
+    /** A dispatcher: the product's classes with simulated ports. */
+    private final class TestDispatcher implements Ports<String> {
         private final int number;
         private final Ledger<String> ledger;
         private final Map<Long, Long> timers = new HashMap<>();
         private final Map<String, Long> ids = new HashMap<>();
         private final Map<String, List<CallAttempt>> attempts = new HashMap<>();
-        private final Map<CallAttempt, String> places = new HashMap<>();
+        private final Map<CallAttempt, String> attemptAddresses = new HashMap<>();
         private long revision;
         private long lastTimer;
 
-        Front(int number) {
+        TestDispatcher(int number) {
             this.number = number;
             List<JobClass> classes = scenario.classes().stream()
                     .map(c -> new JobClass(
@@ -237,7 +239,7 @@
             Scenario.Rules r = scenario.rules();
             ledger = new Ledger<>(
                     new Balancer(new Settings(
-                            dice.nextLong(),
+                            random.nextLong(),
                             number,
                             scenario.dispatchers(),
                             number % scenario.zones().size(),
@@ -254,7 +256,7 @@
                             true,
                             true,
                             0,
-                            COLD,
+                            COLD_DURATION_US,
                             0.33,
                             r.coldOverloadMultiple(),
                             r.maxRetryAfter(),
@@ -264,7 +266,7 @@
                     new Clock() {
                         @Override
                         public long now() {
-                            return START + now;
+                            return START_TIME_US + now;
                         }
                     },
                     this,
@@ -276,7 +278,7 @@
             ledger.ban(out ? ledger.bans().with(worker) : ledger.bans().without(worker));
         }
 
-        void told(List<WorkerInfo> entries, boolean whole) {
+        void receiveList(List<WorkerInfo> entries, boolean whole) {
             StringBuilder text = new StringBuilder();
             entries.stream()
                     .sorted((a, b) -> a.address().compareTo(b.address()))
@@ -300,14 +302,14 @@
                     revision == 1);
         }
 
-        void asked(String rpc, String rpcClass, long valid, double jobs) {
-            write("request %d %s %s %.6f %.6f", number, rpc, rpcClass, valid / 1e6, jobs);
-            work.put(number + "/" + rpc, jobs);
+        void receiveRequest(String rpc, String rpcClass, long validFor, double jobs) {
+            write("request %d %s %s %.6f %.6f", number, rpc, rpcClass, validFor / 1e6, jobs);
+            requestWork.put(number + "/" + rpc, jobs);
             int c = scenario.classes().stream()
                     .map(Scenario.RpcClass::name)
                     .toList()
                     .indexOf(rpcClass);
-            ids.put(rpc, ledger.open(new RpcInfo(rpc, c, 0, valid, 1, false), rpc, new Channel() {
+            ids.put(rpc, ledger.open(new RpcInfo(rpc, c, 0, validFor, 1, false), rpc, new Channel() {
                 @Override
                 public void served(String result) {
                     write("answer %d %s served", number, rpc);
@@ -325,13 +327,13 @@
             }));
         }
 
-        void left(String rpc) {
+        void cancelRequest(String rpc) {
             write("gone %d %s", number, rpc);
             ledger.clientGone(ids.getOrDefault(rpc, 0L));
         }
 
-        /** A worker's word; none where the real code made no such attempt, or gave it up. */
-        void answered(String rpc, int attempt, Outcome outcome) {
+        /** Reports the outcome of an attempt, unless it was never made or has already ended. */
+        void finishAttempt(String rpc, int attempt, Outcome outcome) {
             List<CallAttempt> all = attempts.getOrDefault(rpc, List.of());
             if (attempt < all.size() && !all.get(attempt).over()) {
                 write("worker %d %s %d %s", number, rpc, attempt, outcome);
@@ -343,11 +345,11 @@
             }
         }
 
-        /** A worker's process ended. */
-        void breaks(String worker) {
+        /** A worker's process ended, which resets its connections. */
+        void resetConnections(String worker) {
             attempts.forEach((rpc, all) -> all.stream()
-                    .filter(a -> !a.over() && worker.equals(places.get(a)))
-                    .forEach(a -> at(now + 1, () -> answered(rpc, all.indexOf(a), Outcome.RESET))));
+                    .filter(a -> !a.over() && worker.equals(attemptAddresses.get(a)))
+                    .forEach(a -> at(now + 1, () -> finishAttempt(rpc, all.indexOf(a), Outcome.RESET))));
         }
 
         @Override
@@ -356,10 +358,10 @@
             attempt.begun();
             List<CallAttempt> all = attempts.computeIfAbsent(rpc, x -> new ArrayList<>());
             all.add(attempt);
-            places.put(attempt, address);
-            int mine = all.size() - 1;
-            if (!fleet.isEmpty()) {
-                work(this, rpc, mine, address, work.get(number + "/" + rpc));
+            attemptAddresses.put(attempt, address);
+            int attemptNumber = all.size() - 1;
+            if (!workers.isEmpty()) {
+                simulateAttempt(this, rpc, attemptNumber, address, requestWork.get(number + "/" + rpc));
             }
             return () -> {};
         }
@@ -369,15 +371,15 @@
             at(
                     now + 1_000,
                     () -> ledger.report(
-                            new News.Probed(worker, Outcome.OK, new Report(Double.NaN, 0, 1 + dice.nextInt(4)))));
+                            new News.Probed(worker, Outcome.OK, new Report(Double.NaN, 0, 1 + random.nextInt(4)))));
         }
 
         @Override
         public void tell(int peer, byte[] bytes) {
-            if (dice.nextInt(20) > 0) {
-                at(now + 1_000 + dice.nextLong(30_000), () -> {
-                    if (fronts.containsKey(peer)) {
-                        fronts.get(peer).ledger.report(new News.PeerSaid(number, bytes));
+            if (random.nextInt(20) > 0) {
+                at(now + 1_000 + random.nextLong(30_000), () -> {
+                    if (dispatchers.containsKey(peer)) {
+                        dispatchers.get(peer).ledger.report(new News.PeerSaid(number, bytes));
                     }
                 });
             }
@@ -385,23 +387,23 @@
 
         @Override
         public void watch(long from) {
-            if (dice.nextInt(4) == 0) {
+            if (random.nextInt(4) == 0) {
                 at(now + 300_000, () -> ledger.report(new News.WatchLost(WatchEnd.ENDED)));
             }
         }
 
         @Override
-        public long wake(long delay, Runnable what) {
+        public long wake(long delay, Runnable action) {
             long id = ++lastTimer;
-            long key = now + Math.max(1, delay) << 20 | order++ & 0xFFFFF;
+            long key = now + Math.max(1, delay) << 20 | sequence++ & 0xFFFFF;
             timers.put(id, key);
-            queue.put(key, what);
+            events.put(key, action);
             return id;
         }
 
         @Override
         public void unwake(long timer) {
-            queue.remove(timers.remove(timer));
+            events.remove(timers.remove(timer));
         }
 
         @Override
--- a/src/test/java/saffronferry/lab/check/History.java
+++ b/src/test/java/saffronferry/lab/check/History.java
@@ -15,9 +15,10 @@
 import saffronferry.lab.scenario.ScenarioReader;
 
 /**
- * What crossed the wires, line by line: what clients sent and got, what reached workers and came back, what
- * discovery wrote. A scenario's TOML says what the rules are; a line of three dashes ends it. Then, with the
- * time in seconds first, D a dispatcher, R its RPC and A the attempt's number:
+ * A recorded history, one event per line: messages between clients and dispatchers and between dispatchers and
+ * workers, and lists from discovery. It begins with a scenario in TOML that defines the rules, ended by a line of
+ * three dashes. Each event starts with the time in seconds; D is a dispatcher, R its RPC and A the number of the
+ * attempt:
  *
  * <pre>
  *   T list D whole|changes WORKER=STATE@ZONE/CELL[+STARTED] ...
@@ -30,18 +31,18 @@
  * </pre>
  */
 final class History {
-    /** What the checker found. */
-    record Verdict(List<RuleChecker.Violation> broken, int count, int judged) {}
+    /** The result of the rule checker. */
+    record Verdict(List<RuleChecker.Violation> violations, int violationCount, int checkCount) {}
 
-    /** One line, by its parts. */
-    record Line(String file, int number, long at, String what, List<String> parts) {
+    /** A parsed line. */
+    record Line(String file, int number, long at, String event, List<String> parts) {
         IllegalArgumentException malformed(String why) {
             return new IllegalArgumentException(file + ":" + number + ": " + why);
         }
 
         String text(int i) {
             if (i >= parts.size()) {
-                throw malformed(what + " lacks its part " + (i + 1));
+                throw malformed(event + " lacks its part " + (i + 1));
             }
             return parts.get(i);
         }
@@ -74,7 +75,7 @@
             }
         }
 
-        /** The workers of a list. */
+        /** Parses the workers of a list. */
         List<WorkerInfo> workers(Scenario s) {
             List<WorkerInfo> all = new ArrayList<>();
             for (String part : parts.subList(2, parts.size())) {
@@ -99,9 +100,9 @@
     final Scenario scenario;
     final List<Line> lines = new ArrayList<>();
     private final RuleChecker checker;
-    private final Map<Integer, Integer> lives = new HashMap<>();
+    private final Map<Integer, Integer> incarnations = new HashMap<>();
     private final Map<Id, Open> open = new LinkedHashMap<>();
-    private final Map<String, WorkerInfo> places = new HashMap<>();
+    private final Map<String, WorkerInfo> workers = new HashMap<>();
     private final Map<Integer, Map<String, WorkerInfo>> lists = new HashMap<>();
     private final Map<String, Double> capacities = new HashMap<>();
 
@@ -134,11 +135,11 @@
         }
     }
 
-    /** Judges all lines; a history in which nothing was judged is an error. */
+    /** Checks all lines. A history in which nothing was checked is an error. */
     Verdict judge() {
         lines.forEach(line -> {
-            overdue(line.at);
-            take(line);
+            reportPassedDeadlines(line.at);
+            apply(line);
         });
         if (checker.checkCount() == 0) {
             throw new IllegalArgumentException(
@@ -147,7 +148,7 @@
         return new Verdict(checker.violations(), checker.violationCount(), checker.checkCount());
     }
 
-    private void overdue(long now) {
+    private void reportPassedDeadlines(long now) {
         for (Open o : List.copyOf(open.values())) {
             if (o.due < now) {
                 checker.deadlinePassed(o.due, o.id);
@@ -157,11 +158,11 @@
     }
 
     private Id id(Line l) {
-        return new Id(l.whole(0), lives.getOrDefault(l.whole(0), 0), l.whole(1));
+        return new Id(l.whole(0), incarnations.getOrDefault(l.whole(0), 0), l.whole(1));
     }
 
-    private void take(Line l) {
-        switch (l.what) {
+    private void apply(Line l) {
+        switch (l.event) {
             case "list" -> list(l);
             case "request" -> request(l);
             case "reaches" -> reaches(l);
@@ -177,12 +178,12 @@
             case "back" -> checker.banLifted(l.whole(0), l.text(1));
             case "dies" -> {
                 checker.dispatcherStopped(l.whole(0));
-                lives.merge(l.whole(0), 1, Integer::sum);
+                incarnations.merge(l.whole(0), 1, Integer::sum);
                 open.keySet().removeIf(id -> id.dispatcher() == l.whole(0));
             }
             case "capacity" -> capacities.put(l.text(0), l.micros(1) / 1e6);
             case "end" -> {}
-            default -> throw l.malformed("nothing is called " + l.what);
+            default -> throw l.malformed("nothing is called " + l.event);
         }
     }
 
@@ -200,7 +201,7 @@
             held.clear();
         }
         for (WorkerInfo w : all) {
-            places.put(w.address(), w);
+            workers.put(w.address(), w);
             held.put(w.address(), w);
             checker.workerStateReceived(l.at, l.whole(0), w.address(), w.state());
         }
@@ -220,8 +221,8 @@
     }
 
     private void reaches(Line l) {
-        WorkerInfo place = places.get(l.text(2));
-        checker.attemptStarted(l.at, id(l), l.text(2), place == null ? -1 : place.zone(), place == null ? -1 : place.cell());
+        WorkerInfo worker = workers.get(l.text(2));
+        checker.attemptStarted(l.at, id(l), l.text(2), worker == null ? -1 : worker.zone(), worker == null ? -1 : worker.cell());
         Open o = open.get(id(l));
         double capacity = capacities.getOrDefault(l.text(2), 0.0);
         if (o != null && capacity > 0) {
--- a/src/test/java/saffronferry/lab/check/HistoryTest.java
+++ b/src/test/java/saffronferry/lab/check/HistoryTest.java
@@ -14,19 +14,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The brief's four rules, judged by what crosses the wires: recorded histories, and seeded ones of the real code. */
+/** Checks the four rules on recorded histories and on histories of the real code under random load. */
 class HistoryTest {
-    private static final Path FOLDER = Path.of("src/test/histories");
+    private static final Path HISTORIES = Path.of("src/test/histories");
 
     private static String text(String name) throws IOException {
-        return Files.readString(FOLDER.resolve(name + ".history"));
+        return Files.readString(HISTORIES.resolve(name + ".history"));
     }
 
     private static String header(String text) {
         return text.substring(0, text.indexOf("\n---\n") + 5);
     }
 
-    /** Each history is rejected by its rule's name; the real code, met by the same events, is not. */
+    /** Each history violates the named rule; the real code with the same inputs violates none. */
     @ParameterizedTest
     @CsvSource({
         "lost,lost",
@@ -43,46 +43,46 @@
         "cold,cold",
         "ban,ban"
     })
-    void theHistoryIsRejectedByName(String name, String rule) throws IOException {
+    void eachRecordedViolationIsDetectedAndTheRealCodeAvoidsIt(String name, String rule) throws IOException {
         History.Verdict verdict = new History(name + ".history", text(name)).judge();
-        assertTrue(verdict.count() > 0, "not rejected");
-        assertEquals(rule, verdict.broken().get(0).rule(), verdict.toString());
+        assertTrue(verdict.violationCount() > 0, "not rejected");
+        assertEquals(rule, verdict.violations().get(0).rule(), verdict.toString());
 
         History recorded = new History(name + ".history", text(name));
-        Stage stage = new Stage(recorded.scenario, 1);
-        stage.replay(recorded);
-        History.Verdict real = new History(name + " replayed", header(text(name)) + stage.written()).judge();
-        assertEquals(List.of(), real.broken(), stage.written());
+        DispatcherHarness harness = new DispatcherHarness(recorded.scenario, 1);
+        harness.replay(recorded);
+        History.Verdict real = new History(name + " replayed", header(text(name)) + harness.output()).judge();
+        assertEquals(List.of(), real.violations(), harness.output());
     }
 
-    /** Every history in the folder is named above. */
+    /** Every history file is listed above. */
     @Test
-    void noHistoryIsLeftOut() throws IOException {
-        try (var files = Files.list(FOLDER)) {
+    void allHistoryFilesAreCovered() throws IOException {
+        try (var files = Files.list(HISTORIES)) {
             assertEquals(
                     13, files.filter(f -> f.toString().endsWith(".history")).count());
         }
     }
 
-    /** Seeded days of the real ledgers and balancers: no rule breaks, and enough is judged to prove it. */
+    /** The real code violates no rule under random load, with enough checks and outcomes to be meaningful. */
     @Test
-    void theRealCodeKeepsTheRulesOnSeededDays() throws IOException {
+    void realDispatchersViolateNoRuleUnderRandomLoad() throws IOException {
         String header = header(text("lost"));
         TreeMap<String, Long> seen = new TreeMap<>();
-        int judged = 0;
+        int checkCount = 0;
         for (long seed = 1; seed <= 30; seed++) {
-            Stage stage = new Stage(new History("seeded", header).scenario, seed);
-            stage.day(2, 8, 10 + 5 * (seed % 7), 40);
-            History.Verdict verdict = new History("seed " + seed, header + stage.written()).judge();
-            assertEquals(List.of(), verdict.broken(), "seed " + seed);
-            judged += verdict.judged();
-            stage.written()
+            DispatcherHarness harness = new DispatcherHarness(new History("seeded", header).scenario, seed);
+            harness.runRandomLoad(2, 8, 10 + 5 * (seed % 7), 40);
+            History.Verdict verdict = new History("seed " + seed, header + harness.output()).judge();
+            assertEquals(List.of(), verdict.violations(), "seed " + seed);
+            checkCount += verdict.checkCount();
+            harness.output()
                     .lines()
                     .map(l -> l.split(" "))
                     .forEach(p -> seen.merge(
                             p[1].equals("answer") ? p[4] : p[1].equals("worker") ? p[5] : p[1], 1L, Long::sum));
         }
-        assertTrue(judged > 30_000, judged + " judged");
+        assertTrue(checkCount > 30_000, checkCount + " judged");
         for (String what : List.of(
                 "served",
                 "refused",
@@ -103,16 +103,16 @@
     @Test
     void equalSeedsGiveEqualHistories() throws IOException {
         String header = header(text("lost"));
-        Stage one = new Stage(new History("seeded", header).scenario, 7);
-        Stage two = new Stage(new History("seeded", header).scenario, 7);
-        one.day(2, 8, 20, 10);
-        two.day(2, 8, 20, 10);
-        assertEquals(one.written(), two.written());
+        DispatcherHarness one = new DispatcherHarness(new History("seeded", header).scenario, 7);
+        DispatcherHarness two = new DispatcherHarness(new History("seeded", header).scenario, 7);
+        one.runRandomLoad(2, 8, 20, 10);
+        two.runRandomLoad(2, 8, 20, 10);
+        assertEquals(one.output(), two.output());
     }
 
-    /** Guards against a checker that is content because it saw nothing. */
+    /** A checker that has checked nothing must not report success. */
     @Test
-    void aHistoryInWhichNothingWasJudgedIsAnError() throws IOException {
+    void aHistoryWithoutAnyCheckIsAnError() throws IOException {
         for (String lines : List.of(
                 "",
                 "0 list 0 whole a=IN_SERVICE@dub-north/1\n1 end\n",
@@ -139,7 +139,7 @@
                 "1 list 0 whole a=GONE@nowhere/1",
                 "1 end\n0 end"
             })
-    void whatIsMalformedIsNamedByFileAndLine(String lines) throws IOException {
+    void malformedLinesAreReportedWithFileAndLine(String lines) throws IOException {
         String header = header(text("lost"));
         IllegalArgumentException e = assertThrows(
                 IllegalArgumentException.class,
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aScenarioThatCannotBeReadIsNamedToo() {
+    void unreadableScenariosAreReportedWithFileAndLine() {
         assertTrue(assertThrows(IllegalArgumentException.class, () -> new History("x.history", "1 end\n"))
                 .getMessage()
                 .startsWith("x.history:1: "));
