--- a/src/main/java/saffronferry/lab/Lab.java
+++ b/src/main/java/saffronferry/lab/Lab.java
@@ -38,7 +38,7 @@
             if (e.getCause() instanceof IllegalArgumentException invalidScenario) {
                 throw invalidScenario;
             }
-            throw new IllegalStateException("a day failed: " + e.getCause(), e.getCause());
+            throw new IllegalStateException("a run failed: " + e.getCause(), e.getCause());
         } finally {
             pool.shutdownNow();
         }
--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -116,16 +116,16 @@
                 if (variant != Variant.CREDIT_BEFORE_DEBIT) {
                     lends.debitLender();
                 }
-                steps.add(new Transition<>("the lender lends a job's worth", lends));
+                steps.add(new Transition<>("the lender lends the budget of one job", lends));
             }
         }
         for (int i = 0; i < s.inFlight.size(); i++) {
             State lost = s.copy();
             lost.inFlight.remove(i);
-            String what = s.inFlight.get(i).returned ? "what comes back" : "what was lent";
+            String what = s.inFlight.get(i).returned ? "the return message" : "the offer";
             steps.add(new Transition<>(what + " is lost", lost));
             steps.add(new Transition<>(what + " arrives", deliver(lost.copy(), s.inFlight.get(i))));
-            steps.add(new Transition<>(what + " arrives, and will again", deliver(s.copy(), s.inFlight.get(i))));
+            steps.add(new Transition<>(what + " arrives, and a duplicate follows", deliver(s.copy(), s.inFlight.get(i))));
         }
         if (s.borrowerJobs > 0) {
             State sends = s.copy();
@@ -134,7 +134,7 @@
             if (variant == Variant.CREDIT_BEFORE_DEBIT) { // the lender learns of it, or does not
                 State heard = sends.copy();
                 heard.debitLender();
-                steps.add(new Transition<>("the borrower sends a job, and the lender hears of it", heard));
+                steps.add(new Transition<>("the borrower sends a job, and the lender learns of it", heard));
             }
             steps.add(new Transition<>("the borrower sends a job", sends));
         }
@@ -142,7 +142,7 @@
             State returns = s.copy();
             returns.inFlight.add(new Transfer(s.lastAcceptedAt, true));
             returns.borrowerJobs -= variant == Variant.BACK_AND_USED ? 0 : 1;
-            steps.add(new Transition<>("the borrower gives it back", returns));
+            steps.add(new Transition<>("the borrower returns the budget", returns));
         }
         State restarted = s.copy();
         restarted.borrowerStartedAt = s.now;
@@ -179,7 +179,7 @@
     @Override
     public String violation(State s) {
         double maxWork = RATE * (s.now - START_TIME_US) + JOB_COST;
-        return s.jobsSent * JOB_COST > maxWork ? s.jobsSent + " jobs are sent in " + (s.now - START_TIME_US) / 1e6 + " s" : null;
+        return s.jobsSent * JOB_COST > maxWork ? s.jobsSent + " jobs were sent in " + (s.now - START_TIME_US) / 1e6 + " s" : null;
     }
 
     @Override
--- a/src/main/java/saffronferry/lab/explore/SharesModel.java
+++ b/src/main/java/saffronferry/lab/explore/SharesModel.java
@@ -116,14 +116,14 @@
             if ((links & SELF_LINKS) == SELF_LINKS && links != s.links) {
                 State after = fault(s);
                 after.links = links;
-                steps.add(new Transition<>("heard are " + pairs(links), after));
+                steps.add(new Transition<>("working links: " + pairs(links), after));
             }
         }
         for (int pair = 0; pair < DISPATCHERS * DISPATCHERS; pair++) {
             if (pair / DISPATCHERS != pair % DISPATCHERS) {
                 String of = (char) ('A' + pair / DISPATCHERS) + " to " + (char) ('A' + pair % DISPATCHERS);
-                steps.add(new Transition<>(of + " comes late", tick(fault(s), pair, ARRIVES_LATE)));
-                steps.add(new Transition<>(of + " comes twice", tick(fault(s), pair, ARRIVES_TWICE)));
+                steps.add(new Transition<>(of + " arrives late", tick(fault(s), pair, ARRIVES_LATE)));
+                steps.add(new Transition<>(of + " arrives twice", tick(fault(s), pair, ARRIVES_TWICE)));
             }
         }
         for (int i = 0; i < DISPATCHERS; i++) {
@@ -137,7 +137,7 @@
                 steps.add(new Transition<>(name + " restarts", restarted));
                 State stopped = fault(s);
                 stopped.stopped = i;
-                steps.add(new Transition<>(name + " is stopped", stopped));
+                steps.add(new Transition<>(name + " is suspended", stopped));
             } else if (s.stopped == i) {
                 State on = fault(s);
                 on.stopped = -1;
@@ -145,7 +145,7 @@
                     updateShares(on, i); // the leases are checked before any use
                 }
                 countDoubleUse(on);
-                steps.add(new Transition<>(name + " goes on", on));
+                steps.add(new Transition<>(name + " resumes", on));
             }
         }
         return steps;
@@ -262,15 +262,15 @@
         for (int k = 0; k < DISPATCHERS; k++) {
             for (int i = 0; i < DISPATCHERS; i++) {
                 if (i != k && i != s.stopped && s.usesShare[i][k] && s.now - s.releasedAt[k][i] >= ColdShares.LEASE) {
-                    return (char) ('A' + i) + " uses " + (char) ('A' + k) + "'s part, left to it "
+                    return (char) ('A' + i) + " uses " + (char) ('A' + k) + "'s share, granted "
                             + (s.now - s.releasedAt[k][i]) / 1e6 + " s ago";
                 }
             }
             if (s.doubleUseTicks[k] > MAX_DOUBLE_USE_TICKS) {
-                return (char) ('A' + k) + "'s part is used by two for longer than a lease";
+                return (char) ('A' + k) + "'s share is used by two dispatchers for longer than a lease";
             }
             if (s.quietTicks == QUIET_TICKS && users(s, k) != 1) {
-                return (char) ('A' + k) + "'s part is used by " + users(s, k) + " after a quiet time";
+                return (char) ('A' + k) + "'s share is used by " + users(s, k) + " dispatchers after a time without faults";
             }
         }
         return null;
@@ -305,6 +305,6 @@
 
     @Override
     public String toString() {
-        return "parts of three, " + variant + ", " + faults + " faults";
+        return "shares of three dispatchers, " + variant + ", " + faults + " faults";
     }
 }
--- a/src/main/java/saffronferry/lab/scenario/Limits.java
+++ b/src/main/java/saffronferry/lab/scenario/Limits.java
@@ -26,13 +26,13 @@
     private static Map<String, String> figures() {
         Map<String, String> all = new LinkedHashMap<>();
         for (String event : new String[] {"pick", "report", "tick", "list", "datagram", "list_parse"}) {
-            all.put(event + "_us", "microseconds of processor time each, mean");
+            all.put(event + "_us", "microseconds of CPU time per event, mean");
         }
-        all.put("decision_us_per_request", "microseconds of processor time");
-        all.put("decision_core_percent", "percent of a core a dispatcher, mean, lists' reading included");
-        all.put("decision_core_worst_percent", "percent of a core of the one that spends most");
+        all.put("decision_us_per_request", "microseconds of CPU time");
+        all.put("decision_core_percent", "percent of a core per dispatcher, mean, including the parsing of lists");
+        all.put("decision_core_worst_percent", "percent of a core of the dispatcher that uses most");
         all.put("messages_per_request", "datagrams and probes");
-        all.put("requests_per_s", "first tries of clients, all dispatchers together");
+        all.put("requests_per_s", "first tries of clients, all dispatchers in total");
         for (String kind : new String[] {"datagrams_out", "probes_out", "lists_in"}) {
             all.put(kind + "_per_s", "messages a second a dispatcher");
         }
@@ -40,19 +40,19 @@
             all.put(kind + "_bytes_out_per_s", "bytes a second a dispatcher");
             all.put(kind + "_bytes_in_per_s", "bytes a second a dispatcher");
         }
-        all.put("whole_list_bytes_in_per_s", "bytes a second a dispatcher, a part of list_bytes_in_per_s");
-        all.put("settings_bytes_per_s", "bytes a second a dispatcher; nothing spreads settings yet");
+        all.put("whole_list_bytes_in_per_s", "bytes a second a dispatcher, included in list_bytes_in_per_s");
+        all.put("settings_bytes_per_s", "bytes a second a dispatcher; settings are not distributed yet");
         all.put("control_bytes_per_s", "bytes a second a dispatcher, in and out, all kinds");
-        all.put("control_bytes_worst_per_s", "bytes of one dispatcher in its worst second");
-        all.put("start_control_bytes", "bytes a dispatcher before the first request and its first list");
-        all.put("start_decision_ms", "milliseconds of processor time a dispatcher, of the same");
-        all.put("heap_mb_per_dispatcher", "megabytes of heap: the module and the list beside it");
+        all.put("control_bytes_worst_per_s", "bytes of a dispatcher in its busiest second");
+        all.put("start_control_bytes", "bytes per dispatcher before the first request, including the first list");
+        all.put("start_decision_ms", "milliseconds of CPU time per dispatcher before the first request, including the first list");
+        all.put("heap_mb_per_dispatcher", "megabytes of heap: the module and the worker list");
         all.put("module_heap_mb_per_dispatcher", "megabytes of heap: the module alone");
-        all.put("list_heap_mb_per_dispatcher", "megabytes of heap: the list beside the module");
-        all.put("goal_share", "the laboratory's goal");
+        all.put("list_heap_mb_per_dispatcher", "megabytes of heap: the worker list alone");
+        all.put("goal_share", "the goal of the simulation");
         all.put("served_share", "of the worth asked");
-        all.put("cold_used_share", "of what cold workers can do while requests wait, mean");
-        all.put("cold_multiple", "times what a cold worker can do, in the rule's window");
+        all.put("cold_used_share", "share of the capacity of cold workers used while requests wait, mean");
+        all.put("cold_multiple", "multiple of a cold worker's capacity, within the rule's window");
         return all;
     }
 }
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -141,7 +141,7 @@
         long length = secondsToMicros(top.number("length_s", 50, 1, 36_000, "seconds"));
         Section fleet = top.section("fleet");
         List<String> zones = fleet.texts("zones", List.of("dub-north", "dub-south"));
-        int regions = fleet.whole("regions", 1, 1, zones.size(), "regions, each of as many zones");
+        int regions = fleet.whole("regions", 1, 1, zones.size(), "regions with equal numbers of zones");
         int workers = fleet.whole("workers", 8, 1, 100_000, "workers");
         int cell = fleet.whole("cell_size", 8, 1, 100_000, "workers in a cell");
         int dispatchers = fleet.whole("dispatchers", 2, 1, 1_000, "dispatchers");
@@ -192,13 +192,13 @@
                 s.text("name", "box", List.of()),
                 s.number("share", 1, 0, 1e6, "relative number of workers"),
                 s.whole("cores", 4, 1, 1024, "cores"),
-                s.number("speed", 1, 0.01, 100, "work done a second and core"),
-                s.number("speed_cv", 0.1, 0, 1, "spread of speeds, relative"),
+                s.number("speed", 1, 0.01, 100, "work done per second and core"),
+                s.number("speed_cv", 0.1, 0, 1, "standard deviation of speeds, relative"),
                 s.whole("slots", 4, 1, 4096, "jobs at once"),
-                s.whole("queue", 8, 0, 100_000, "jobs that may wait"),
-                s.number("thrash_at", 8, 1, 100_000, "jobs held from which on it slows"),
-                s.number("thrash", 0.05, 0, 1, "speed lost for each job beyond"),
-                s.number("cold_from", 0.4, 0.01, 1, "share of capacity just after its start"),
+                s.whole("queue", 8, 0, 100_000, "jobs that may be queued"),
+                s.number("thrash_at", 8, 1, 100_000, "number of jobs held above which it slows down"),
+                s.number("thrash", 0.05, 0, 1, "share of speed lost for each job above thrash_at"),
+                s.number("cold_from", 0.4, 0.01, 1, "share of capacity just after a start"),
                 secondsToMicros(s.number("cold_s", 6, 0, 3_600, "seconds until warm at the latest")),
                 s.number("error_rate", 0, 0, 1, "share of jobs that fail"));
         s.rejectUnknownKeys();
@@ -209,16 +209,16 @@
         RpcClass c = new RpcClass(
                 s.text("name", "rpc", List.of()),
                 s.number("share", 1, 0, 1e6, "relative number"),
-                secondsToMicros(s.number("aim_s", 0.25, 0.001, 3_600, "seconds wanted")),
-                s.number("stretch", 1.75, 0, 100, "of the job's own work, added to the aim"),
-                secondsToMicros(s.number("deadline_s", 6, 0.01, 3_600, "seconds a client waits, all tries together")),
+                secondsToMicros(s.number("aim_s", 0.25, 0.001, 3_600, "seconds, target latency")),
+                s.number("stretch", 1.75, 0, 100, "multiple of the job's own work that is added to aim_s"),
+                secondsToMicros(s.number("deadline_s", 6, 0.01, 3_600, "seconds a client waits, all tries in total")),
                 s.number("worth", 1, 0, 1e6, "points"),
-                s.number("late_worth", 0.3, 0, 1, "of the worth when late"),
+                s.number("late_worth", 0.3, 0, 1, "share of the worth that a late answer keeps"),
                 EFFECTS.get(s.text("effect", "repeatable", List.of("repeatable", "by_key", "once"))),
                 GROUPS.get(s.text("group", "all", List.of("all", "zone", "cell"))),
-                secondsToMicros(s.number("key_ttl_s", 40, 0, 3_600, "seconds that repeats are dropped")),
+                secondsToMicros(s.number("key_ttl_s", 40, 0, 3_600, "seconds for which repeated requests are deduplicated")),
                 secondsToMicros(s.number("work_s", 0.2, 0.0001, 3_600, "seconds of work, mean")),
-                s.number("tail", 0.8, 0, 4, "sigma of the work's logarithm"));
+                s.number("tail", 0.8, 0, 4, "standard deviation of the logarithm of the work"));
         s.rejectUnknownKeys();
         return c;
     }
@@ -227,22 +227,22 @@
         Tenant t = new Tenant(
                 s.text("name", null, List.of()),
                 s.number("share", 1, 0, 1e6, "relative number of requests"),
-                s.number("entitled", 0, 0, 1, "share of the capacity; 0 as its share of the requests"));
+                s.number("entitled", 0, 0, 1, "share of the capacity; 0 means its share of the requests"));
         s.rejectUnknownKeys();
         return t;
     }
 
     private Load load(Section s) {
         Load l = new Load(
-                s.number("share", 0.6, 0.001, 20, "of the fleet's capacity"),
+                s.number("share", 0.6, 0.001, 20, "share of the fleet's capacity"),
                 s.text("shape", "steady", List.of("steady", "bursty", "surge")),
-                s.number("swing", 0.25, 0, 1, "relative height of the swing"),
-                s.number("zone_skew", 0, 0, 0.9, "how unevenly zones are asked"),
-                (long) s.number("most_requests", 2e6, 1, 1e9, "first tries; a longer day is cut"),
+                s.number("swing", 0.25, 0, 1, "relative amplitude of the variation"),
+                s.number("zone_skew", 0, 0, 0.9, "relative excess of requests in the first zone"),
+                (long) s.number("most_requests", 2e6, 1, 1e9, "first tries; arrivals stop after that many"),
                 new Scenario.DispatcherSkew(
-                        s.whole("loud", 0, 0, 1000, "dispatchers that are asked more"),
-                        s.number("loud_times", 6, 0, 1000, "as much as the others"),
-                        s.whole("silent", 0, 0, 1000, "dispatchers that are asked nothing")));
+                        s.whole("loud", 0, 0, 1000, "dispatchers that receive more requests"),
+                        s.number("loud_times", 6, 0, 1000, "multiple of the requests of other dispatchers"),
+                        s.whole("silent", 0, 0, 1000, "dispatchers that receive no requests")));
         s.rejectUnknownKeys();
         return l;
     }
@@ -251,7 +251,7 @@
         Clients c = new Clients(
                 s.whole("retries", 2, 0, 100, "tries after the first"),
                 secondsToMicros(s.number("backoff_s", 0.05, 0, 60, "seconds before the next try, doubling")),
-                s.number("honour", 0.6, 0, 1, "share of clients that heeds Retry-After"));
+                s.number("honour", 0.6, 0, 1, "share of clients that honour Retry-After"));
         s.rejectUnknownKeys();
         return c;
     }
@@ -262,20 +262,20 @@
                 secondsToMicros(s.number("cross_s", 0.0006, 0, 10, "seconds one way between zones")),
                 secondsToMicros(s.number("client_s", 0.0007, 0, 10, "seconds one way from clients")),
                 s.number("jitter", 0.2, 0, 10, "relative"),
-                s.number("loss", 0.01, 0, 1, "of datagrams"),
+                s.number("loss", 0.01, 0, 1, "share of datagrams lost"),
                 secondsToMicros(s.number("connect_timeout_s", 0.25, 0.001, 60, "seconds")),
-                secondsToMicros(s.number("front_notice_s", 2.5, 0, 600, "seconds the front sends to a dead dispatcher")));
+                secondsToMicros(s.number("front_notice_s", 2.5, 0, 600, "seconds until the front end notices a dead dispatcher")));
         s.rejectUnknownKeys();
         return n;
     }
 
     private Discovery discovery(Section s) {
         Discovery d = new Discovery(
-                secondsToMicros(s.number("notice_s", 2, 0, 600, "seconds until a drain or an end is listed")),
-                secondsToMicros(s.number("silent_notice_s", 8, 0, 600, "seconds until a dead one is listed")),
-                secondsToMicros(s.number("add_s", 1, 0, 600, "seconds until a new one is listed")),
+                secondsToMicros(s.number("notice_s", 2, 0, 600, "seconds until a drain or a shutdown is listed")),
+                secondsToMicros(s.number("silent_notice_s", 8, 0, 600, "seconds until a crashed worker is listed")),
+                secondsToMicros(s.number("add_s", 1, 0, 600, "seconds until a new worker is listed")),
                 secondsToMicros(s.number("call_s", 0.05, 0.0001, 60, "seconds a call takes")),
-                s.number("calls_per_s", 4, 0.01, 1e6, "calls a second; others wait their turn"));
+                s.number("calls_per_s", 4, 0.01, 1e6, "calls per second; further calls are queued"));
         s.rejectUnknownKeys();
         return d;
     }
@@ -291,10 +291,10 @@
 
     private Rules rules(Section s) {
         Rules r = new Rules(
-                secondsToMicros(s.number("slack_s", 0.02, 0, 10, "seconds after the deadline for an answer")),
-                secondsToMicros(s.number("drain_s", 2, 0, 60, "seconds after the word until no fresh work comes")),
-                s.number("fall_multiple", 3, 0.1, 100, "of a cold one's capacity"),
-                secondsToMicros(s.number("fall_s", 3, 0.1, 600, "seconds of the window")),
+                secondsToMicros(s.number("slack_s", 0.02, 0, 10, "seconds after the deadline in which an answer is accepted")),
+                secondsToMicros(s.number("drain_s", 2, 0, 60, "seconds after the notice of a drain in which new work may still arrive")),
+                s.number("fall_multiple", 3, 0.1, 100, "multiple of a cold worker's capacity"),
+                secondsToMicros(s.number("fall_s", 3, 0.1, 600, "seconds, length of the window")),
                 s.whole("most_tries", 4, 1, 100, "attempts"),
                 secondsToMicros(s.number("max_retry_after_s", 2, 0, 60, "seconds")));
         s.rejectUnknownKeys();
@@ -305,7 +305,7 @@
         Prices p = new Prices(
                 s.number("peer", 0.008, 0, 10, "points"),
                 s.number("probe", 0.01, 0, 10, "points"),
-                s.number("over_share", 0.05, 0, 1, "of the worth"));
+                s.number("over_share", 0.05, 0, 1, "share of the worth"));
         s.rejectUnknownKeys();
         return p;
     }
@@ -316,17 +316,17 @@
                 s.flag("one_way", false),
                 s.number("loss", 1, 0, 1, "of the datagrams concerned"),
                 s.number("doubled", 0, 0, 1, "of the datagrams concerned"),
-                secondsToMicros(s.number("delay_s", 0, 0, 600, "seconds at most, so that they overtake each other")),
-                secondsToMicros(s.number("flap_s", 0, 0, 600, "seconds it holds and rests, in turn; 0 it stays")));
+                secondsToMicros(s.number("delay_s", 0, 0, 600, "seconds, largest random delay of a datagram")),
+                secondsToMicros(s.number("flap_s", 0, 0, 600, "seconds for which it is active and inactive in turn; 0: always active")));
     }
 
     private static Bounds bounds(Section s) {
         Bounds b = new Bounds(
                 s.number("refused", 1, 0, 1, "share of requests"),
                 s.number("failed", 1, 0, 1, "share of requests"),
-                s.number("cold_multiple", 100, 0, 100, "times what a cold worker can do"),
-                s.number("cold_used", 0, 0, 1, "of what cold workers can do while jobs wait, mean"),
-                s.number("cold_used_each", 0, 0, 1, "of what each cold worker can do while jobs wait"));
+                s.number("cold_multiple", 100, 0, 100, "multiple of a cold worker's capacity"),
+                s.number("cold_used", 0, 0, 1, "share of the capacity of cold workers used while jobs wait, mean"),
+                s.number("cold_used_each", 0, 0, 1, "share of the capacity of each cold worker used while jobs wait"));
         s.rejectUnknownKeys();
         return b;
     }
@@ -346,7 +346,7 @@
 
     private RandomFaults randomFaults(Section s, long length) {
         RandomFaults d = new RandomFaults(
-                s.whole("troubles", 0, 0, 100, "troubles drawn from each play's seed"),
+                s.whole("troubles", 0, 0, 100, "troubles drawn from the seed of each run"),
                 s.texts("kinds", List.of("peer_cut")),
                 secondsToMicros(s.number("from_s", 0, 0, 36_000, "seconds")),
                 secondsToMicros(s.number("until_s", length / 1e6, 0, 36_000, "seconds")));
@@ -371,7 +371,7 @@
                     secondsToMicros(s.number("at_s", 10, 0, 36_000, "seconds")),
                     secondsToMicros(s.number("length_s", 15, 0.001, 36_000, "seconds")),
                     s.number("part", 0.2, 0, 1, "share of workers or dispatchers"),
-                    s.number("size", 4, 0, 1e6, "how bad; depends on the kind"),
+                    s.number("size", 4, 0, 1e6, "severity; its meaning depends on the kind"),
                     s.text("zone", zones.get(0), zones),
                     s.text(
                             "tenant",
@@ -379,7 +379,7 @@
                             tenants.stream().map(Tenant::name).toList()),
                     link(s));
             if (t.at() > length) {
-                s.addProblem("at_s", "is after the end of the day, " + length / 1e6 + " s");
+                s.addProblem("at_s", "is after the end of the run, " + length / 1e6 + " s");
             }
             s.rejectUnknownKeys();
             result.add(t);
--- a/src/main/java/saffronferry/lab/world/FaultInjector.java
+++ b/src/main/java/saffronferry/lab/world/FaultInjector.java
@@ -29,7 +29,7 @@
         for (int i = 0; i < all.size(); i++) {
             Fault fault = all.get(i);
             if (SIGNAL_FAULTS.contains(fault.kind())) {
-                throw new IllegalArgumentException("trouble " + fault.kind() + " is for processes: play it with rig fleet");
+                throw new IllegalArgumentException("trouble " + fault.kind() + " sends a signal to a process, which cannot be simulated; use rig fleet");
             }
             UniformRandomProvider random = simulation.streams.of("trouble", i);
             int index = i;
@@ -92,7 +92,7 @@
             case "dispatcher_term" -> restartDispatchers(fault, random);
             case "list_disorder" ->
                 simulation.registry.disorder(affectedDispatchers(fault), Math.round(fault.size() * 1e6), scheduler.now() + fault.length(), random);
-            default -> throw new IllegalStateException("no trouble " + fault.kind());
+            default -> throw new IllegalStateException("unknown kind of trouble: " + fault.kind());
         }
     }
 
