--- a/src/main/java/saffronferry/lab/scenario/Scenario.java
+++ b/src/main/java/saffronferry/lab/scenario/Scenario.java
@@ -72,18 +72,20 @@
     public record Load(double share, String shape, double swing, double zoneSkew, long maxRequests, DispatcherSkew dispatcherSkew) {}
 
     /**
-     * Uneven distribution of requests: the first {@code loud} dispatchers receive {@code times} as many as others, the
-     * last {@code silent} ones none.
+     * Uneven distribution of requests: the first {@code loadedDispatchers} receive {@code factor} times as many as
+     * others, the last {@code idleDispatchers} none.
      */
-    public record DispatcherSkew(int loud, double times, int silent) {
-        /** The relative weight of a dispatcher among {@code of} dispatchers. */
-        public double weight(int dispatcher, int of) {
-            return dispatcher < loud ? times : dispatcher >= of - silent ? 0 : 1;
+    public record DispatcherSkew(int loadedDispatchers, double factor, int idleDispatchers) {
+        /** The relative weight of a dispatcher among {@code dispatcherCount} dispatchers. */
+        public double weight(int dispatcher, int dispatcherCount) {
+            return dispatcher < loadedDispatchers
+                    ? factor
+                    : dispatcher >= dispatcherCount - idleDispatchers ? 0 : 1;
         }
 
         /** Whether all dispatchers have the same weight. */
         public boolean isUniform() {
-            return loud == 0 && silent == 0;
+            return loadedDispatchers == 0 && idleDispatchers == 0;
         }
     }
 
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -104,7 +104,7 @@
                 + "tenant = \"clonfert-old-boys\"\n";
         RunResult result = ClusterSimulation.run(ScenarioReader.parse("surge.toml", text), Policy.NETWORKED_QUEUES, 1);
         assertEquals(List.of(), result.violations());
-        assertTrue(result.goal() < 0.95, "it was felt: " + result.goal());
+        assertTrue(result.goal() < 0.95, "the restart lowers the goal: " + result.goal());
     }
 
     // ---- fault injection: a deliberate violation of each rule is detected by its name ----
@@ -151,7 +151,7 @@
         Violation violation = violations.stream()
                 .filter(x -> x.rule().equals(rule))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError(rule + " not caught, but " + violations));
+                .orElseThrow(() -> new AssertionError(rule + " not detected, but " + violations));
         assertTrue(historyContains.isEmpty() || violation.toString().contains(historyContains), violation.toString());
     }
 
--- a/src/test/java/saffronferry/lab/check/History.java
+++ b/src/test/java/saffronferry/lab/check/History.java
@@ -42,7 +42,7 @@
 
         String text(int i) {
             if (i >= parts.size()) {
-                throw malformed(event + " lacks its part " + (i + 1));
+                throw malformed(event + " lacks field " + (i + 1));
             }
             return parts.get(i);
         }
@@ -143,7 +143,7 @@
         });
         if (checker.checkCount() == 0) {
             throw new IllegalArgumentException(
-                    lines.isEmpty() ? "a history without a line" : lines.get(0).file + ": nothing in it was judged");
+                    lines.isEmpty() ? "the history has no events" : lines.get(0).file + ": no event was checked");
         }
         return new Verdict(checker.violations(), checker.violationCount(), checker.checkCount());
     }
@@ -169,7 +169,7 @@
             case "worker" -> checker.attemptEnded(l.at, id(l), l.whole(2), l.oneOf(Outcome.class, l.text(3)));
             case "answer" -> {
                 if (!List.of("served", "refused", "failed").contains(l.text(2))) {
-                    throw l.malformed("no answer is called " + l.text(2));
+                    throw l.malformed("unknown answer " + l.text(2));
                 }
                 checker.requestCompleted(l.at, id(l), l.text(2), "refused".equals(l.text(2)));
             }
@@ -183,7 +183,7 @@
             }
             case "capacity" -> capacities.put(l.text(0), l.micros(1) / 1e6);
             case "end" -> {}
-            default -> throw l.malformed("nothing is called " + l.event);
+            default -> throw l.malformed("unknown event " + l.event);
         }
     }
 
@@ -213,7 +213,7 @@
                 .toList()
                 .indexOf(l.text(2));
         if (c < 0) {
-            throw l.malformed("no class " + l.text(2));
+            throw l.malformed("unknown class " + l.text(2));
         }
         long valid = l.at + l.micros(3);
         checker.requestAccepted(l.at, id(l), c, valid);
