--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -1,5 +1,6 @@
 package saffronferry.cli;
 
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -27,7 +28,6 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioException;
 import saffronferry.lab.scenario.ScenarioReader;
-import saffronferry.lab.world.World.Day;
 
 /** The command {@code lab}: simulates scenarios in virtual time. */
 @Command(name = "lab", description = "Simulates scenarios in virtual time and compares policies.")
@@ -58,7 +58,7 @@
             throws Exception {
         Scenario scenario = readScenario(file, set);
         Policy chosen = Policy.of(policy);
-        List<Day> days = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
+        List<RunResult> days = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
         printTable(Map.of(chosen.label(), days));
         writeResult(dir, Lab.json(scenario, chosen, days).toString(1));
         return reportViolations(days);
@@ -77,12 +77,12 @@
                     Integer threads)
             throws Exception {
         Scenario scenario = readScenario(file, set);
-        Map<Policy, List<Day>> all = new LinkedHashMap<>();
+        Map<Policy, List<RunResult>> all = new LinkedHashMap<>();
         for (String label : policies == null ? Policy.labels() : policies) {
             Policy policyToRun = Policy.of(label);
             all.put(policyToRun, Lab.run(scenario, policyToRun, parseSeeds(seeds), threadCount(threads)));
         }
-        Map<String, List<Day>> byLabel = new LinkedHashMap<>();
+        Map<String, List<RunResult>> byLabel = new LinkedHashMap<>();
         all.forEach((policyToRun, days) -> byLabel.put(policyToRun.label(), days));
         printTable(byLabel);
         List<Policy> compared = List.copyOf(all.keySet());
@@ -120,18 +120,18 @@
                     Path result)
             throws Exception {
         Policy chosen = Policy.of(policy);
-        Map<String, List<Day>> all = new LinkedHashMap<>();
+        Map<String, List<RunResult>> all = new LinkedHashMap<>();
         JSONArray plays = new JSONArray();
-        List<List<String>> combinations = Sweep.together(set);
+        List<List<String>> combinations = Sweep.parseSteps(set);
         if (result != null) {
             // Warm up the JIT compiler: otherwise the decisions of the first size would be timed before compilation.
             Lab.run(readScenario(file, combinations.get(0)), chosen, parseSeeds(seeds).subList(0, 1), 1);
         }
         for (List<String> values : combinations) {
             Scenario scenario = readScenario(file, values);
-            List<Day> days = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
+            List<RunResult> days = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
             all.put(String.join(" ", values), days);
-            days.forEach(day -> plays.put(Sweep.play(scenario, day)));
+            days.forEach(day -> plays.put(Sweep.runEntry(scenario, day)));
         }
         printTable(all);
         if (result != null) {
@@ -171,12 +171,12 @@
                         model,
                         result.states(),
                         result.depth(),
-                        result.whole() ? "" : " not whole",
+                        result.complete() ? "" : " not whole",
                         (System.nanoTime() - startNs) / 1e9,
-                        result.broken() == null ? "held" : result.broken());
-        result.story().forEach(step -> out().println("  " + step));
+                        result.violation() == null ? "held" : result.violation());
+        result.trace().forEach(step -> out().println("  " + step));
         out().flush();
-        return asBuilt == (result.broken() == null);
+        return asBuilt == (result.violation() == null);
     }
 
     @Command(name = "explain", description = "Prints every value of a scenario with its unit, defaults included.")
@@ -224,7 +224,7 @@
         return given == null ? Runtime.getRuntime().availableProcessors() : Math.max(1, given);
     }
 
-    private void printTable(Map<String, List<Day>> all) {
+    private void printTable(Map<String, List<RunResult>> all) {
         out().printf(
                         Locale.ROOT,
                         "%-24s %5s %6s %6s %6s %6s %9s %8s %8s %9s %10s %6s %6s %7s%n",
@@ -258,9 +258,9 @@
                                 .orElse(0),
                         sum(days, "attempts") / sum(days, "requests"),
                         (sum(days, "datagrams") + sum(days, "probes")) / sum(days, "requests"),
-                        days.stream().mapToDouble(Day::decisionMicros).average().orElse(0),
+                        days.stream().mapToDouble(RunResult::decisionUsPerRequest).average().orElse(0),
                         days.stream()
-                                .mapToDouble(d -> d.events() / d.seconds())
+                                .mapToDouble(d -> d.events() / d.wallSeconds())
                                 .average()
                                 .orElse(0),
                         days.stream()
@@ -268,14 +268,14 @@
                                 .max()
                                 .orElse(0),
                         mean(days, "cold_used"),
-                        days.stream().mapToInt(Day::brokenInAll).sum()));
+                        days.stream().mapToInt(RunResult::violationCount).sum()));
     }
 
-    private static double mean(List<Day> days, String key) {
+    private static double mean(List<RunResult> days, String key) {
         return days.stream().mapToDouble(d -> d.json().getDouble(key)).average().orElse(0);
     }
 
-    private static double sum(List<Day> days, String key) {
+    private static double sum(List<RunResult> days, String key) {
         return days.stream().mapToDouble(d -> d.json().getDouble(key)).sum();
     }
 
@@ -288,9 +288,9 @@
     }
 
     /** Prints the first violated rules, and returns the exit code. */
-    private int reportViolations(List<Day> days) {
-        List<RuleChecker.Broken> all =
-                days.stream().flatMap(d -> d.broken().stream()).toList();
+    private int reportViolations(List<RunResult> days) {
+        List<RuleChecker.Violation> all =
+                days.stream().flatMap(d -> d.violations().stream()).toList();
         all.stream().limit(3).forEach(violation -> spec.commandLine().getErr().println(violation));
         return all.isEmpty() ? 0 : Main.EXIT_CHECK_FAILED;
     }
--- a/src/main/java/saffronferry/lab/policy/Brain.java
+++ b/src/main/java/saffronferry/lab/policy/DispatchLogic.java
@@ -1,27 +1,30 @@
 package saffronferry.lab.policy;
 
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import java.util.List;
 import saffronferry.Balancer;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.Settings;
-import saffronferry.BalancerEvent;
-import saffronferry.BalancerAction;
 
-/** The facade's shape: whoever decides in an emulated dispatcher. Clock in microseconds, never backwards. */
-public interface Brain {
-    /** Picks what to do with a new RPC, which awaits exactly one final answer. */
+/**
+ * The decisions of an emulated dispatcher, with the methods of the facade {@link Balancer}. Times are in
+ * microseconds and never go backwards.
+ */
+public interface DispatchLogic {
+    /** Handles a new RPC, which must be given exactly one final answer. */
     List<BalancerAction> pick(long now, Request rpc);
 
-    /** Takes news in. */
+    /** Handles an event. */
     List<BalancerAction> report(long now, BalancerEvent news);
 
-    /** A {@link BalancerAction.WakeAfter} has fallen due. */
+    /** Handles the timer of a {@link BalancerAction.WakeAfter}. */
     List<BalancerAction> tick(long now, long token);
 
-    /** The program's own decisions, through the facade that {@code serve} uses. */
-    static Brain networkedQueues(Settings settings) {
+    /** The decisions of the product, through the facade that {@code serve} uses. */
+    static DispatchLogic networkedQueues(Settings settings) {
         Balancer balancer = new Balancer(settings);
-        return new Brain() {
+        return new DispatchLogic() {
             @Override
             public List<BalancerAction> pick(long now, Request rpc) {
                 return balancer.pick(now, rpc);
--- a/src/main/java/saffronferry/rig/Settings.java
+++ b/src/main/java/saffronferry/rig/Settings.java
@@ -50,7 +50,7 @@
         double cold =
                 s.kinds().stream().mapToDouble(k -> seconds(k.cold())).max().orElse(0);
         double from =
-                s.kinds().stream().mapToDouble(Scenario.Kind::coldFrom).min().orElse(1);
+                s.kinds().stream().mapToDouble(Scenario.WorkerKind::coldFrom).min().orElse(1);
         return new JSONObject()
                 .put("clients", new JSONObject(Map.of("marksRetry", false)))
                 .put(
@@ -77,7 +77,7 @@
                                 .put("connIdle", 60.0)
                                 .put("connectTimeout", seconds(s.network().connectTimeout()))
                                 .put("maxRetryAfter", seconds(s.rules().maxRetryAfter()))
-                                .put("mostTries", s.rules().mostTries())
+                                .put("mostTries", s.rules().maxAttempts())
                                 .put("parallelTries", true)
                                 .put("peers", true)
                                 .put("probes", true)
@@ -100,8 +100,8 @@
                                 .put("askWithin", 10.0)
                                 .put("cold", cold)
                                 .put("coldShare", from)
-                                .put("fall", seconds(s.rules().fall()))
-                                .put("fallMultiple", s.rules().fallMultiple())
+                                .put("fall", seconds(s.rules().coldWindow()))
+                                .put("fallMultiple", s.rules().coldOverloadMultiple())
                                 .put("stopSendingWithin", seconds(s.rules().drain())))
                 .put("slotNo", number)
                 .put("weights", "off")
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -1,5 +1,6 @@
 package saffronferry;
 
+import saffronferry.lab.world.ClusterSimulation;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +14,6 @@
 import saffronferry.Contract.Group;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.ScenarioReader;
-import saffronferry.lab.world.World;
 
 /**
  * The open findings of docs/review-findings.md. Each test asserts the right behaviour and is expected to fail; once the
@@ -30,8 +30,8 @@
         var scenario = ScenarioReader.read(
                 Path.of("examples/lab/alumni-deploy-deaf.toml"),
                 List.of("fleet.workers=48", "fleet.dispatchers=48", "load.share=0.75", "length_s=25"));
-        World.Day day = World.play(scenario, Policy.NETWORKED_QUEUES, 1);
-        assertEquals(List.of(), day.broken());
+        ClusterSimulation.RunResult day = ClusterSimulation.run(scenario, Policy.NETWORKED_QUEUES, 1);
+        assertEquals(List.of(), day.violations());
         // when dispatchers took turns by the clock, cold workers stood nearly idle: 0.2 to 0.4
         assertTrue(
                 day.json().getDouble("cold_multiple") > 1,
--- a/src/test/java/saffronferry/scale/ScaleTest.java
+++ b/src/test/java/saffronferry/scale/ScaleTest.java
@@ -1,5 +1,7 @@
 package saffronferry.scale;
 
+import saffronferry.lab.policy.DispatchLogic;
+import saffronferry.lab.world.ClusterSimulation;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -24,12 +26,10 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.BalancerEvent;
 import saffronferry.BalancerAction;
-import saffronferry.lab.policy.Brain;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Limits;
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioReader;
-import saffronferry.lab.world.World;
 
 /** Hollow dispatchers: what they read is bytes, what is counted is what was said, and limits are judged. */
 class ScaleTest {
@@ -88,7 +88,7 @@
     }
 
     /** Takes down what a module is told; says one datagram for each thing it is told. */
-    private static final class Scribe implements Brain {
+    private static final class Scribe implements DispatchLogic {
         final List<BalancerEvent> news = new ArrayList<>();
 
         @Override
@@ -112,9 +112,9 @@
     void theModuleIsToldWhatWasReadAndWhatIsSaidIsCounted() throws Exception {
         Meter meter = new Meter(small(""), now -> {});
         Scribe scribe = new Scribe();
-        Brain hollow = meter.wrap(scribe, 0);
+        DispatchLogic hollow = meter.wrap(scribe, 0);
         List<WorkerInfo> told = workers();
-        long now = World.DAY_STARTS + 1_500_000;
+        long now = ClusterSimulation.LOAD_START_US + 1_500_000;
         hollow.report(now, new BalancerEvent.Resolved(ListKind.CHANGES, told));
         byte[] datagram = {1, 2, 3};
         hollow.report(now, new BalancerEvent.PeerSaid(4, datagram));
@@ -140,13 +140,13 @@
     @Test
     void theFirstWholeListIsTheStartsAndNoOther() throws Exception {
         Meter meter = new Meter(small(""), now -> {});
-        Brain hollow = meter.wrap(new Scribe(), 0);
+        DispatchLogic hollow = meter.wrap(new Scribe(), 0);
         Meter.Account account = meter.accounts.get(0);
         int whole = meter.lines.line(workers(), ListKind.WHOLE).length;
         for (int time = 0; time < 2; time++) {
             assertEquals(0, account.bytes[Meter.Kind.LIST_IN.ordinal()]);
             hollow = time == 0 ? hollow : meter.wrap(new Scribe(), 0); // a restart
-            hollow.report(World.DAY_STARTS + 1, new BalancerEvent.Resolved(ListKind.WHOLE, workers()));
+            hollow.report(ClusterSimulation.LOAD_START_US + 1, new BalancerEvent.Resolved(ListKind.WHOLE, workers()));
         }
         assertEquals(whole, account.bytes[Meter.Kind.LIST_IN.ordinal()]);
         assertEquals(whole, account.wholeListBytes);
@@ -160,9 +160,9 @@
     @Test
     void onlyTheDayCounts() throws Exception {
         Meter meter = new Meter(small(""), now -> {});
-        Brain hollow = meter.wrap(new Scribe(), 0);
-        hollow.report(World.DAY_STARTS - 1, new BalancerEvent.PeerSaid(1, new byte[10]));
-        hollow.report(World.DAY_STARTS + 3_000_000, new BalancerEvent.PeerSaid(1, new byte[10]));
+        DispatchLogic hollow = meter.wrap(new Scribe(), 0);
+        hollow.report(ClusterSimulation.LOAD_START_US - 1, new BalancerEvent.PeerSaid(1, new byte[10]));
+        hollow.report(ClusterSimulation.LOAD_START_US + 3_000_000, new BalancerEvent.PeerSaid(1, new byte[10]));
         Meter.Account account = meter.accounts.get(0);
         assertEquals(0, account.controlBytes());
         assertTrue(account.startBytes > 10, "told apart: " + account.startBytes);
@@ -189,7 +189,7 @@
             assertTrue(one.get(figure) > 0, figure + " in " + one);
         }
         assertEquals(
-                World.play(small(""), Policy.NETWORKED_QUEUES, 1).goal(),
+                ClusterSimulation.run(small(""), Policy.NETWORKED_QUEUES, 1).goal(),
                 play(small("")).figures().get("goal_share"),
                 0.0001);
     }
