--- a/src/main/java/saffronferry/cli/RigCommand.java
+++ b/src/main/java/saffronferry/cli/RigCommand.java
@@ -19,7 +19,7 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.rig.FleetUse;
 import saffronferry.rig.IdleDispatcher;
-import saffronferry.rig.Rig;
+import saffronferry.rig.FaultRig;
 
 /** The fault rig: real processes in real time. */
 @Command(name = "rig", description = "Plays scenarios with several real dispatchers and faults between them.")
@@ -52,7 +52,7 @@
         List<JSONObject> all = new ArrayList<>();
         head();
         for (long seed : LabCommand.seeds(seeds)) {
-            JSONObject seen = Rig.play(scenario, seed, logs == null ? null : logs.resolve("seed-" + seed));
+            JSONObject seen = FaultRig.run(scenario, seed, logs == null ? null : logs.resolve("seed-" + seed));
             all.add(seen);
             row(seen);
         }
@@ -119,7 +119,7 @@
         for (int n : workers == null ? List.of(scenario.workers()) : workers) {
             List<String> values = new ArrayList<>(set == null ? List.of() : set);
             values.add("fleet.workers=" + n);
-            JSONObject play = IdleDispatcher.play(LabCommand.read(file, values), seed, options);
+            JSONObject play = IdleDispatcher.run(LabCommand.read(file, values), seed, options);
             plays.put(play);
             JSONObject f = play.getJSONObject("figures");
             out().printf(
@@ -181,7 +181,7 @@
             throw new IllegalArgumentException(
                     "--settle: is not before the end of the day, " + scenario.length() / 1e6 + " s: " + settle);
         }
-        JSONObject seen = Rig.play(scenario, seed, logs, new Rig.Measured(run(deploy), settle));
+        JSONObject seen = FaultRig.run(scenario, seed, logs, new FaultRig.UsageOptions(run(deploy), settle));
         JSONObject figures = FleetUse.summary(seen.getJSONArray("processes"));
         for (String name : List.of("requests", "served", "refused", "failed", "datagrams", "rules_broken")) {
             figures.put(name, seen.getInt(name));
--- a/src/main/java/saffronferry/rig/Rig.java
+++ b/src/main/java/saffronferry/rig/FaultRig.java
@@ -33,9 +33,9 @@
 
 /**
  * Plays one scenario with real processes, in real time, on addresses of this machine's loopback that it
- * chooses itself. All that it starts has ended, and its folder is gone, when {@link #play} returns.
+ * chooses itself. All that it starts has ended, and its folder is gone, when {@link #run} returns.
  */
-public final class Rig {
+public final class FaultRig {
     /** So long a fleet may take until each of it serves, on a machine that is busy. */
     private static final long START_MS = 90_000;
 
@@ -57,7 +57,7 @@
     private final Front front;
     private final HttpClient prober;
     private final long epoch = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
-    private final Measured measured; // null: nothing is
+    private final UsageOptions measured; // null: nothing is
     private final FleetUse use;
     private final double capacity;
     private JSONArray processes;
@@ -70,9 +70,9 @@
      * @param run a deployment's line that starts a dispatcher; null: the program that this one is part of
      * @param settle seconds from the start of the day to the first look
      */
-    public record Measured(String run, double settle) {}
+    public record UsageOptions(String run, double settle) {}
 
-    private Rig(Scenario scenario, long seed, Measured measured) throws IOException {
+    private FaultRig(Scenario scenario, long seed, UsageOptions measured) throws IOException {
         this.scenario = scenario;
         this.measured = measured;
         random = new SplittableRandom(seed);
@@ -186,19 +186,19 @@
      * @return what was seen; {@code held} says whether every rule and bound held
      * @throws IOException if processes or sockets cannot be had
      */
-    public static JSONObject play(Scenario scenario, long seed, Path keepLogs)
+    public static JSONObject run(Scenario scenario, long seed, Path keepLogs)
             throws IOException, InterruptedException {
-        return play(scenario, seed, keepLogs, null);
+        return run(scenario, seed, keepLogs, null);
     }
 
     /** The same; where something is measured {@code processes} has what each dispatcher spent. */
-    public static JSONObject play(Scenario scenario, long seed, Path keepLogs, Measured measured)
+    public static JSONObject run(Scenario scenario, long seed, Path keepLogs, UsageOptions measured)
             throws IOException, InterruptedException {
-        Rig rig = new Rig(scenario.drawn(seed), seed, measured);
+        FaultRig rig = new FaultRig(scenario.drawn(seed), seed, measured);
         Thread hook = new Thread(rig::closeQuietly);
         Runtime.getRuntime().addShutdownHook(hook);
         try {
-            return rig.run()
+            return rig.execute()
                     .put("scenario", scenario.name())
                     .put("seed", seed)
                     .put(
@@ -234,7 +234,7 @@
         return promise.future();
     }
 
-    private JSONObject run() throws IOException, InterruptedException {
+    private JSONObject execute() throws IOException, InterruptedException {
         await(
                 onLoop(() -> {
                     List<Future<?>> all = new ArrayList<>();
--- a/src/main/java/saffronferry/rig/Faults.java
+++ b/src/main/java/saffronferry/rig/Faults.java
@@ -18,12 +18,12 @@
     private static final long TERM_KILL_MS = 3_700;
     private static final long LOOK_UP_MS = 100;
 
-    private final Rig rig;
+    private final FaultRig rig;
     private final Front front;
     private final Vertx vertx;
     private final Scenario scenario;
 
-    Faults(Rig rig, Front front) {
+    Faults(FaultRig rig, Front front) {
         this.rig = rig;
         this.front = front;
         vertx = rig.vertx;
--- a/src/main/java/saffronferry/rig/IdleDispatcher.java
+++ b/src/main/java/saffronferry/rig/IdleDispatcher.java
@@ -26,7 +26,7 @@
 /**
  * One real dispatcher that nobody asks anything, beside a discovery whose list changes: what it spends then.
  * All entries of the list have the address of one stand-in worker, which answers probes. What it starts has
- * ended, and its folder is gone, when {@link #play} returns.
+ * ended, and its folder is gone, when {@link #run} returns.
  */
 public final class IdleDispatcher {
     /**
@@ -46,7 +46,7 @@
     private final SplittableRandom random;
     private final Vertx vertx = Vertx.vertx(
             new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
-    private final String host = Rig.block() + "1";
+    private final String host = FaultRig.block() + "1";
     private final Path folder = Files.createTempDirectory("saffronferry-idle");
     private final Guardian guardian = new Guardian();
     private final DispatcherProcess dispatcher;
@@ -64,7 +64,7 @@
         this.options = options;
         random = new SplittableRandom(seed);
         dispatcher = new DispatcherProcess(
-                0, host, Rig.freePort(host), Rig.freePort(host), Rig.freePort(host), folder, options.run());
+                0, host, FaultRig.freePort(host), FaultRig.freePort(host), FaultRig.freePort(host), folder, options.run());
         discovery = new StandInDiscovery(vertx, 0, (d, update) -> {});
         worker = new StandInWorker(
                 vertx,
@@ -99,20 +99,20 @@
      * @return the play's sizes and its {@code figures}, units in their names
      * @throws IOException if processes or sockets cannot be had, or the dispatcher ends
      */
-    public static JSONObject play(Scenario scenario, long seed, Options options)
+    public static JSONObject run(Scenario scenario, long seed, Options options)
             throws IOException, InterruptedException {
         IdleDispatcher idle = new IdleDispatcher(scenario, seed, options);
         Thread hook = new Thread(idle::closeQuietly);
         Runtime.getRuntime().addShutdownHook(hook);
         try {
-            return idle.run();
+            return idle.execute();
         } finally {
             idle.close();
             Runtime.getRuntime().removeShutdownHook(hook);
         }
     }
 
-    private JSONObject run() throws IOException, InterruptedException {
+    private JSONObject execute() throws IOException, InterruptedException {
         await(Future.all(discovery.listen(host), worker.listen(host)));
         onLoop(() -> {
             for (int i = 0; i < scenario.workers(); i++) {
--- a/src/test/java/saffronferry/rig/RigTest.java
+++ b/src/test/java/saffronferry/rig/FaultRigTest.java
@@ -116,7 +116,7 @@
                 """);
         long before = ProcessHandle.current().children().count();
         Path logs = Files.createTempDirectory("rig-logs");
-        JSONObject seen = Rig.play(s, 1, logs);
+        JSONObject seen = FaultRig.run(s, 1, logs);
         assertEquals(before, ProcessHandle.current().children().count());
         String log = Files.readString(logs.resolve("dispatcher-0.log"));
         assertEquals(
--- a/src/test/java/saffronferry/rig/FleetUseTest.java
+++ b/src/test/java/saffronferry/rig/FleetUseTest.java
@@ -13,7 +13,7 @@
     @Test
     public void eachProcessIsMeasuredBetweenTwoLooks() throws Exception {
         long before = ProcessHandle.current().children().count();
-        JSONObject seen = Rig.play(ScenarioReader.parse("small.toml", """
+        JSONObject seen = FaultRig.run(ScenarioReader.parse("small.toml", """
                 length_s = 4
                 [fleet]
                 zones = ["a"]
@@ -21,7 +21,7 @@
                 dispatchers = 2
                 [load]
                 share = 0.3
-                """), 1, null, new Rig.Measured(null, 1));
+                """), 1, null, new FaultRig.UsageOptions(null, 1));
         assertEquals(before, ProcessHandle.current().children().count());
         assertTrue(seen.toString(), seen.getInt("served") > 5);
         JSONArray each = seen.getJSONArray("processes");
--- a/src/test/java/saffronferry/rig/HardCasesTest.java
+++ b/src/test/java/saffronferry/rig/HardCasesTest.java
@@ -104,7 +104,7 @@
                         Stream.of(values))
                 .toArray(String[]::new));
         long before = ProcessHandle.current().children().count();
-        JSONObject seen = Rig.play(s, 1, null);
+        JSONObject seen = FaultRig.run(s, 1, null);
         assertEquals(
                 "processes are left", before, ProcessHandle.current().children().count());
         assertTrue(
--- a/src/test/java/saffronferry/rig/IdleDispatcherTest.java
+++ b/src/test/java/saffronferry/rig/IdleDispatcherTest.java
@@ -16,7 +16,7 @@
     @Test
     public void anIdleDispatcherIsMeasuredAndNothingIsLeft() throws Exception {
         long before = ProcessHandle.current().children().count();
-        JSONObject play = IdleDispatcher.play(
+        JSONObject play = IdleDispatcher.run(
                 ScenarioReader.parse("small.toml", """
                 length_s = 2
                 [fleet]
