--- a/src/main/java/saffronferry/cli/RigCommand.java
+++ b/src/main/java/saffronferry/cli/RigCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.rig.FleetUse;
+import saffronferry.rig.FleetResourceUsage;
 import saffronferry.rig.IdleDispatcher;
 import saffronferry.rig.FaultRig;
 
@@ -182,7 +182,7 @@
                     "--settle: is not before the end of the day, " + scenario.length() / 1e6 + " s: " + settle);
         }
         JSONObject seen = FaultRig.run(scenario, seed, logs, new FaultRig.UsageOptions(run(deploy), settle));
-        JSONObject figures = FleetUse.summary(seen.getJSONArray("processes"));
+        JSONObject figures = FleetResourceUsage.summary(seen.getJSONArray("processes"));
         for (String name : List.of("requests", "served", "refused", "failed", "datagrams", "rules_broken")) {
             figures.put(name, seen.getInt(name));
         }
--- a/src/main/java/saffronferry/rig/FaultRig.java
+++ b/src/main/java/saffronferry/rig/FaultRig.java
@@ -58,7 +58,7 @@
     private final HttpClient prober;
     private final long epoch = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
     private final UsageOptions measured; // null: nothing is
-    private final FleetUse use;
+    private final FleetResourceUsage use;
     private final double capacity;
     private JSONArray processes;
     private int successors;
@@ -106,7 +106,7 @@
                 random.split());
         prober = vertx.createHttpClient(
                 new HttpClientOptions().setKeepAlive(false).setConnectTimeout(1_000));
-        use = new FleetUse(dispatchers, prober);
+        use = new FleetResourceUsage(dispatchers, prober);
     }
 
     /** Microseconds since 1970, from a clock that never goes back. */
--- a/src/main/java/saffronferry/rig/FleetUse.java
+++ b/src/main/java/saffronferry/rig/FleetResourceUsage.java
@@ -14,7 +14,7 @@
 import org.json.JSONObject;
 
 /** What each process of a fleet spends between two looks, as the system and its own console tell. */
-public final class FleetUse {
+public final class FleetResourceUsage {
     private static final String COUNTED = "console_bytes_";
 
     /** One process at one look; {@code at} in nanoseconds. */
@@ -24,7 +24,7 @@
     private final HttpClient client;
     private List<Look> first;
 
-    FleetUse(List<DispatcherProcess> dispatchers, HttpClient client) {
+    FleetResourceUsage(List<DispatcherProcess> dispatchers, HttpClient client) {
         this.dispatchers = dispatchers;
         this.client = client;
     }
--- a/src/test/java/saffronferry/rig/FleetUseTest.java
+++ b/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
@@ -41,7 +41,7 @@
             assertTrue("discovery says that it is there: " + p, p.getDouble("bytes_per_s_lists_in") > 0);
             assertTrue("what is no count is no rate: " + p, !p.has("bytes_per_s_per_second"));
         }
-        JSONObject sum = FleetUse.summary(new JSONArray("[{\"dispatcher\":0,\"x\":1},{\"dispatcher\":1,\"x\":4}]"));
+        JSONObject sum = FleetResourceUsage.summary(new JSONArray("[{\"dispatcher\":0,\"x\":1},{\"dispatcher\":1,\"x\":4}]"));
         assertEquals(2.5, sum.getDouble("x_mean"), 1e-9);
         assertEquals(4, sum.getDouble("x_most"), 1e-9);
         assertEquals(2, sum.length());
