--- a/src/main/java/saffronferry/cli/ScaleCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleCommand.java
@@ -18,8 +18,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.scale.Scale;
-import saffronferry.scale.Scale.Play;
+import saffronferry.scale.ScaleSimulation;
+import saffronferry.scale.ScaleSimulation.Run;
 
 /** Hollow dispatchers: what each of a large fleet costs. */
 @Command(
@@ -63,15 +63,15 @@
                             .toList()));
         }
         head();
-        List<Play> plays = new ArrayList<>();
+        List<Run> plays = new ArrayList<>();
         for (int i = 0; i < scenarios.size(); i++) {
             Map<String, String> other = new LinkedHashMap<>(settings.get(i));
             other.keySet().removeAll(TOLD);
             String play = "play " + (i + 1) + " of " + scenarios.size();
-            plays.add(Scale.play(scenarios.get(i), other, seed, progress(play, scenarios.get(i))));
+            plays.add(ScaleSimulation.run(scenarios.get(i), other, seed, progress(play, scenarios.get(i))));
             row(plays.get(i));
             if (out != null) { // after each: a long sweep that is ended keeps what it has
-                Files.writeString(out, Scale.json(file.toString(), seed, plays).toString(1) + "\n");
+                Files.writeString(out, ScaleSimulation.json(file.toString(), seed, plays).toString(1) + "\n");
             }
         }
         plays.forEach(play -> play.broken()
@@ -156,7 +156,7 @@
         out().flush();
     }
 
-    private void row(Play play) {
+    private void row(Run play) {
         Map<String, Double> f = play.figures();
         if (System.console() != null) {
             spec.commandLine().getErr().print(CLEAR);
--- a/src/main/java/saffronferry/scale/Scale.java
+++ b/src/main/java/saffronferry/scale/ScaleSimulation.java
@@ -20,11 +20,11 @@
 import saffronferry.scale.Meter.Kind;
 
 /** Plays a scenario with hollow dispatchers and says what each of them costs. */
-public final class Scale {
+public final class ScaleSimulation {
     /** Rules that were broken, told in full. */
     private static final int MOST_TOLD = 3;
 
-    private Scale() {}
+    private ScaleSimulation() {}
 
     /**
      * A play and its figures, by name.
@@ -32,7 +32,7 @@
      * @param set the keys that a sweep has set other than the numbers of dispatchers and workers, as written
      * @param broken the limits and rules that were broken, a line each
      */
-    public record Play(Scenario scenario, Map<String, String> set, Map<String, Double> figures, List<String> broken) {
+    public record Run(Scenario scenario, Map<String, String> set, Map<String, Double> figures, List<String> broken) {
         /** As the result file has it. */
         public JSONObject json() {
             JSONObject json = new JSONObject()
@@ -48,7 +48,7 @@
     }
 
     /** A sweep's result. */
-    public static JSONObject json(String scenario, long seed, List<Play> plays) {
+    public static JSONObject json(String scenario, long seed, List<Run> plays) {
         JSONArray all = new JSONArray();
         plays.forEach(play -> all.put(play.json()));
         return new JSONObject().put("scenario", scenario).put("seed", seed).put("plays", all);
@@ -59,13 +59,13 @@
      *
      * @param progress told the seconds of the day reached; below 0 before the first request
      */
-    public static Play play(Scenario scenario, Map<String, String> set, long seed, LongConsumer progress) {
+    public static Run run(Scenario scenario, Map<String, String> set, long seed, LongConsumer progress) {
         Meter meter = new Meter(scenario, now -> progress.accept((now - World.DAY_STARTS) / 1_000_000));
         Day day = World.play(scenario, Policy.NETWORKED_QUEUES, seed, meter);
         Map<String, Double> figures = figures(scenario, meter, day);
         weigh(meter, figures);
         figures.replaceAll((name, value) -> rounded(value));
-        return new Play(scenario, set, figures, broken(scenario, figures, day));
+        return new Run(scenario, set, figures, broken(scenario, figures, day));
     }
 
     private static double rounded(double value) {
--- a/src/test/java/saffronferry/scale/ScaleTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -49,8 +49,8 @@
         return ScenarioReader.parse("small.toml", SMALL + more);
     }
 
-    private static Scale.Play play(Scenario scenario) {
-        return Scale.play(scenario, Map.of(), 1, second -> {});
+    private static ScaleSimulation.Run play(Scenario scenario) {
+        return ScaleSimulation.run(scenario, Map.of(), 1, second -> {});
     }
 
     private static List<WorkerInfo> workers() {
@@ -178,7 +178,7 @@
         Map<String, Double> one = seedsOwn(play(scenario).figures());
         assertEquals(one, seedsOwn(play(scenario).figures()));
         assertNotEquals(
-                one, seedsOwn(Scale.play(scenario, Map.of(), 2, second -> {}).figures()));
+                one, seedsOwn(ScaleSimulation.run(scenario, Map.of(), 2, second -> {}).figures()));
         for (String figure : List.of(
                 "datagram_bytes_out_per_s",
                 "datagram_bytes_in_per_s",
@@ -213,7 +213,7 @@
 
     @Test
     void limitsAreJudgedFromTheirSide() throws Exception {
-        Scale.Play play = play(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
+        ScaleSimulation.Run play = play(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
         assertEquals(2, play.broken().size(), play.broken().toString());
         assertTrue(
                 play.broken().get(0).matches("control_bytes_per_s [0-9.]+ over 10"),
@@ -221,7 +221,7 @@
         assertTrue(
                 play.broken().get(1).matches("goal_share 0\\.\\d+ under 1"),
                 play.broken().get(1));
-        JSONObject json = Scale.json("small.toml", 1, List.of(play));
+        JSONObject json = ScaleSimulation.json("small.toml", 1, List.of(play));
         JSONObject first = json.getJSONArray("plays").getJSONObject(0);
         assertEquals(10, first.getJSONObject("limits").getInt("control_bytes_per_s"));
         assertEquals(6, first.getInt("dispatchers"));
@@ -257,7 +257,7 @@
                     fewer.add("trouble[" + i + "].at_s=1");
                     fewer.add("trouble[" + i + "].length_s=2");
                 }
-                Scale.Play play = play(ScenarioReader.read(file, fewer));
+                ScaleSimulation.Run play = play(ScenarioReader.read(file, fewer));
                 assertEquals(
                         List.of(),
                         play.broken().stream().filter(b -> b.startsWith("rule")).toList(),
