--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Spec;
 import saffronferry.scale.fit.Comparison;
 import saffronferry.scale.fit.Fit;
-import saffronferry.scale.fit.Form;
+import saffronferry.scale.fit.GrowthModel;
 import saffronferry.scale.fit.Point;
 import saffronferry.scale.fit.ResultFile;
 import saffronferry.scale.fit.Source;
@@ -67,7 +67,7 @@
 
     private void table(Comparison comparison) {
         PrintWriter to = spec.commandLine().getOut();
-        Fit line = comparison.of(Form.LINE);
+        Fit line = comparison.of(GrowthModel.LINE);
         to.printf(
                 Locale.ROOT,
                 "%s over %s, %d plays from %s to %s; forecast at %s%s%n",
@@ -125,7 +125,7 @@
                     .put("forecast", f.at(at))
                     .put("half_width_95", f.halfWidth(at)));
         }
-        Fit line = comparison.of(Form.LINE);
+        Fit line = comparison.of(GrowthModel.LINE);
         return new JSONObject()
                 .put("file", file.getFileName().toString())
                 .put("figure", figure)
--- a/src/main/java/saffronferry/scale/fit/Comparison.java
+++ b/src/main/java/saffronferry/scale/fit/Comparison.java
@@ -18,7 +18,7 @@
      */
     public static Comparison of(List<Point> points) {
         List<Fit> fits =
-                Arrays.stream(Form.values()).map(form -> Fit.of(form, points)).toList();
+                Arrays.stream(GrowthModel.values()).map(form -> Fit.of(form, points)).toList();
         double least = fits.stream().mapToDouble(Fit::errorLeftOut).min().orElseThrow();
         double largest =
                 points.stream().mapToDouble(p -> Math.abs(p.figure())).max().orElseThrow();
@@ -30,7 +30,7 @@
         return new Comparison(fits, best);
     }
 
-    public Fit of(Form form) {
+    public Fit of(GrowthModel form) {
         return fits.get(form.ordinal());
     }
 }
--- a/src/main/java/saffronferry/scale/fit/Fit.java
+++ b/src/main/java/saffronferry/scale/fit/Fit.java
@@ -19,11 +19,11 @@
     /** Fewer sizes leave nothing by which a form could be told from another. */
     static final int LEAST_SIZES = 3;
 
-    private final Form form;
+    private final GrowthModel form;
     private final List<Point> points;
     private final SimpleRegression regression;
 
-    private Fit(Form form, List<Point> points) {
+    private Fit(GrowthModel form, List<Point> points) {
         this.form = form;
         this.points = List.copyOf(points);
         regression = new SimpleRegression();
@@ -35,7 +35,7 @@
      *
      * @throws IllegalArgumentException with fewer than three sizes
      */
-    public static Fit of(Form form, List<Point> points) {
+    public static Fit of(GrowthModel form, List<Point> points) {
         int sizes = sizes(points).size();
         if (sizes < LEAST_SIZES) {
             throw new IllegalArgumentException("too few sizes: " + sizes + ", needed " + LEAST_SIZES);
@@ -47,21 +47,21 @@
         return points.stream().map(Point::size).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    public Form form() {
+    public GrowthModel form() {
         return form;
     }
 
     public double intercept() {
-        return form == Form.CONSTANT ? mean() : regression.getIntercept();
+        return form == GrowthModel.CONSTANT ? mean() : regression.getIntercept();
     }
 
     /** 0 for a constant. */
     public double slope() {
-        return form == Form.CONSTANT ? 0 : regression.getSlope();
+        return form == GrowthModel.CONSTANT ? 0 : regression.getSlope();
     }
 
     public double slopeStandardError() {
-        return form == Form.CONSTANT ? 0 : regression.getSlopeStdErr();
+        return form == GrowthModel.CONSTANT ? 0 : regression.getSlopeStdErr();
     }
 
     public double at(double size) {
@@ -75,7 +75,7 @@
     public double halfWidth(double size) {
         double x = form.regressor(size);
         double n = points.size();
-        double spread = form == Form.CONSTANT ? 0 : square(x - meanRegressor()) / regression.getXSumSquares();
+        double spread = form == GrowthModel.CONSTANT ? 0 : square(x - meanRegressor()) / regression.getXSumSquares();
         return new TDistribution(freedom()).inverseCumulativeProbability((1 + CONFIDENCE) / 2)
                 * residualError()
                 * Math.sqrt(1 + 1 / n + spread);
--- a/src/main/java/saffronferry/scale/fit/Form.java
+++ b/src/main/java/saffronferry/scale/fit/GrowthModel.java
@@ -3,7 +3,7 @@
 import java.util.function.DoubleUnaryOperator;
 
 /** How a figure may grow with a size n, simplest first: a + b times what is named here. */
-public enum Form {
+public enum GrowthModel {
     CONSTANT("constant", n -> 0),
     LINE("line", n -> n),
     N_LOG_N("n log n", n -> n > 0 ? n * Math.log(n) : 0),
@@ -12,7 +12,7 @@
     private final String label;
     private final DoubleUnaryOperator regressor;
 
-    Form(String label, DoubleUnaryOperator regressor) {
+    GrowthModel(String label, DoubleUnaryOperator regressor) {
         this.label = label;
         this.regressor = regressor;
     }
--- a/src/main/java/saffronferry/scale/fit/Source.java
+++ b/src/main/java/saffronferry/scale/fit/Source.java
@@ -22,11 +22,11 @@
     private final String figure;
     private final String over;
     private final double at;
-    private final Form form;
+    private final GrowthModel form;
     private final Map<String, String> where;
 
     private Source(
-            String kind, String file, String figure, String over, double at, Form form, Map<String, String> where) {
+            String kind, String file, String figure, String over, double at, GrowthModel form, Map<String, String> where) {
         this.kind = kind;
         this.file = file;
         this.figure = figure;
@@ -42,14 +42,14 @@
         Matcher fitted = FITTED.matcher(text);
         if (play.matches()) {
             Map<String, String> where = where(play.group(3));
-            return new Source("play", play.group(1), play.group(2), "", 0, Form.LINE, where);
+            return new Source("play", play.group(1), play.group(2), "", 0, GrowthModel.LINE, where);
         }
         if (!fitted.matches() || fitted.group(1).equals("slope") != (fitted.group(5) == null)) {
             throw new IllegalArgumentException(
                     "expected FILE FIGURE @ KEY=VALUE, or fit FILE FIGURE " + "over KEY at SIZE, got " + text);
         }
-        Form form = Form.LINE;
-        for (Form each : Form.values()) {
+        GrowthModel form = GrowthModel.LINE;
+        for (GrowthModel each : GrowthModel.values()) {
             form = each.label().equals(fitted.group(6)) ? each : form;
         }
         double at = fitted.group(5) == null ? 0 : Double.parseDouble(fitted.group(5));
@@ -93,7 +93,7 @@
         return !kind.equals("play");
     }
 
-    public Form form() {
+    public GrowthModel form() {
         return form;
     }
 
--- a/src/test/java/saffronferry/scale/fit/FitTest.java
+++ b/src/test/java/saffronferry/scale/fit/FitTest.java
@@ -27,7 +27,7 @@
     void aLineHasItsSlopeSpreadAndForecast() {
         List<Point> points =
                 List.of(new Point(1, 2.2), new Point(2, 2.8), new Point(3, 3.6), new Point(4, 4.5), new Point(5, 5.1));
-        Fit fit = Fit.of(Form.LINE, points);
+        Fit fit = Fit.of(GrowthModel.LINE, points);
         assertEquals(1.39, fit.intercept(), 1e-12);
         assertEquals(0.75, fit.slope(), 1e-12);
         assertEquals(0.09486832980505153, fit.residualError(), 1e-12);
@@ -40,14 +40,14 @@
 
     @Test
     void eachFormIsToldFromTheOthersWhereNothingIsLeftToChance() {
-        Map<Form, DoubleUnaryOperator> exact = Map.of(
-                Form.CONSTANT,
+        Map<GrowthModel, DoubleUnaryOperator> exact = Map.of(
+                GrowthModel.CONSTANT,
                 n -> 7,
-                Form.LINE,
+                GrowthModel.LINE,
                 n -> 3 + 0.002 * n,
-                Form.N_LOG_N,
+                GrowthModel.N_LOG_N,
                 n -> 3 + 0.0001 * n * Math.log(n),
-                Form.N_SQUARED,
+                GrowthModel.N_SQUARED,
                 n -> 3 + 1e-8 * n * n);
         exact.forEach((form, figure) -> {
             Comparison c = Comparison.of(series(figure, SIZES));
@@ -71,9 +71,9 @@
                 straight.add(new Point(n, line.applyAsDouble(n) + off));
                 bent.add(new Point(n, square.applyAsDouble(n) + off));
             }
-            assertEquals(Form.N_SQUARED, Comparison.of(bent).best().form(), "seed " + seed);
-            assertEquals(Form.LINE, Comparison.of(straight).best().form(), "seed " + seed);
-            Fit fit = Fit.of(Form.LINE, straight);
+            assertEquals(GrowthModel.N_SQUARED, Comparison.of(bent).best().form(), "seed " + seed);
+            assertEquals(GrowthModel.LINE, Comparison.of(straight).best().form(), "seed " + seed);
+            Fit fit = Fit.of(GrowthModel.LINE, straight);
             within += Math.abs(fit.at(384) - line.applyAsDouble(384)) <= fit.halfWidth(384) ? 1 : 0;
         }
         assertTrue(within >= 36, within + " of 40");
@@ -83,7 +83,7 @@
     @Test
     void scatterAloneIsNoGrowth() {
         assertEquals(
-                Form.CONSTANT,
+                GrowthModel.CONSTANT,
                 Comparison.of(List.of(
                                 new Point(24, 5.1),
                                 new Point(48, 4.9),
@@ -100,7 +100,7 @@
         List<Point> points = List.of(new Point(1, 1), new Point(2, 2), new Point(1, 1.1), new Point(2, 2.1));
         assertEquals(
                 "too few sizes: 2, needed 3",
-                assertThrows(IllegalArgumentException.class, () -> Fit.of(Form.LINE, points))
+                assertThrows(IllegalArgumentException.class, () -> Fit.of(GrowthModel.LINE, points))
                         .getMessage());
     }
 }
