--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import saffronferry.scale.fit.Comparison;
+import saffronferry.scale.fit.ModelComparison;
 import saffronferry.scale.fit.Fit;
 import saffronferry.scale.fit.GrowthModel;
 import saffronferry.scale.fit.Point;
@@ -52,9 +52,9 @@
     public Integer call() throws IOException {
         ResultFile result = new ResultFile(file.toString(), Files.readString(file));
         List<Point> points = result.points(figure, over, Source.where(where));
-        Comparison comparison;
+        ModelComparison comparison;
         try {
-            comparison = Comparison.of(points);
+            comparison = ModelComparison.of(points);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(file + ": " + figure + " over " + over + ": " + e.getMessage());
         }
@@ -65,7 +65,7 @@
         return 0;
     }
 
-    private void table(Comparison comparison) {
+    private void table(ModelComparison comparison) {
         PrintWriter to = spec.commandLine().getOut();
         Fit line = comparison.of(GrowthModel.LINE);
         to.printf(
@@ -111,7 +111,7 @@
         return size == Math.rint(size) ? Long.toString((long) size) : Double.toString(size);
     }
 
-    private JSONObject json(Comparison comparison) {
+    private JSONObject json(ModelComparison comparison) {
         JSONArray forms = new JSONArray();
         for (Fit f : comparison.fits()) {
             forms.put(new JSONObject()
--- a/src/main/java/saffronferry/scale/fit/Comparison.java
+++ b/src/main/java/saffronferry/scale/fit/ModelComparison.java
@@ -7,7 +7,7 @@
  * All forms fitted to the same points, and the one that fits best: the least error at sizes left out, or a
  * simpler form whose error is within a tenth of it, or beyond what a double can tell.
  */
-public record Comparison(List<Fit> fits, Fit best) {
+public record ModelComparison(List<Fit> fits, Fit best) {
     private static final double ALIKE = 1.1;
     private static final double ROUNDING = 1e-9;
 
@@ -16,7 +16,7 @@
      *
      * @throws IllegalArgumentException with fewer than three sizes
      */
-    public static Comparison of(List<Point> points) {
+    public static ModelComparison of(List<Point> points) {
         List<Fit> fits =
                 Arrays.stream(GrowthModel.values()).map(form -> Fit.of(form, points)).toList();
         double least = fits.stream().mapToDouble(Fit::errorLeftOut).min().orElseThrow();
@@ -27,7 +27,7 @@
                 .filter(f -> f.errorLeftOut() <= enough)
                 .findFirst()
                 .orElseThrow();
-        return new Comparison(fits, best);
+        return new ModelComparison(fits, best);
     }
 
     public Fit of(GrowthModel form) {
--- a/src/main/java/saffronferry/scale/fit/Source.java
+++ b/src/main/java/saffronferry/scale/fit/Source.java
@@ -85,8 +85,8 @@
     }
 
     /** All forms over the same points; of a fit alone. */
-    public Comparison comparison(Function<String, ResultFile> files) {
-        return Comparison.of(files.apply(file).points(figure, over, where));
+    public ModelComparison comparison(Function<String, ResultFile> files) {
+        return ModelComparison.of(files.apply(file).points(figure, over, where));
     }
 
     public boolean isFit() {
--- a/src/test/java/saffronferry/scale/fit/CapacityPage.java
+++ b/src/test/java/saffronferry/scale/fit/CapacityPage.java
@@ -134,7 +134,7 @@
     }
 
     private void fit(String name, Map<String, String> row, String[] value, Source from) {
-        Comparison all = from.comparison(results);
+        ModelComparison all = from.comparison(results);
         Fit fit = all.of(from.form());
         expect(name + " best form", row.get("best form"), all.best().form().label());
         expect(name + " measured over", row.get("measured over"), plain(fit.least()) + " to " + plain(fit.most()));
--- a/src/test/java/saffronferry/scale/fit/FitTest.java
+++ b/src/test/java/saffronferry/scale/fit/FitTest.java
@@ -50,7 +50,7 @@
                 GrowthModel.N_SQUARED,
                 n -> 3 + 1e-8 * n * n);
         exact.forEach((form, figure) -> {
-            Comparison c = Comparison.of(series(figure, SIZES));
+            ModelComparison c = ModelComparison.of(series(figure, SIZES));
             assertEquals(form, c.best().form());
             assertEquals(figure.applyAsDouble(50_000), c.best().at(50_000), 1e-6, form.label());
         });
@@ -71,8 +71,8 @@
                 straight.add(new Point(n, line.applyAsDouble(n) + off));
                 bent.add(new Point(n, square.applyAsDouble(n) + off));
             }
-            assertEquals(GrowthModel.N_SQUARED, Comparison.of(bent).best().form(), "seed " + seed);
-            assertEquals(GrowthModel.LINE, Comparison.of(straight).best().form(), "seed " + seed);
+            assertEquals(GrowthModel.N_SQUARED, ModelComparison.of(bent).best().form(), "seed " + seed);
+            assertEquals(GrowthModel.LINE, ModelComparison.of(straight).best().form(), "seed " + seed);
             Fit fit = Fit.of(GrowthModel.LINE, straight);
             within += Math.abs(fit.at(384) - line.applyAsDouble(384)) <= fit.halfWidth(384) ? 1 : 0;
         }
@@ -84,7 +84,7 @@
     void scatterAloneIsNoGrowth() {
         assertEquals(
                 GrowthModel.CONSTANT,
-                Comparison.of(List.of(
+                ModelComparison.of(List.of(
                                 new Point(24, 5.1),
                                 new Point(48, 4.9),
                                 new Point(96, 5.05),
