--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -17,7 +17,7 @@
 import saffronferry.scale.fit.ModelComparison;
 import saffronferry.scale.fit.Fit;
 import saffronferry.scale.fit.GrowthModel;
-import saffronferry.scale.fit.Point;
+import saffronferry.scale.fit.DataPoint;
 import saffronferry.scale.fit.ResultFile;
 import saffronferry.scale.fit.Source;
 
@@ -51,7 +51,7 @@
     @Override
     public Integer call() throws IOException {
         ResultFile result = new ResultFile(file.toString(), Files.readString(file));
-        List<Point> points = result.points(figure, over, Source.where(where));
+        List<DataPoint> points = result.points(figure, over, Source.where(where));
         ModelComparison comparison;
         try {
             comparison = ModelComparison.of(points);
--- a/src/main/java/saffronferry/scale/fit/Fit.java
+++ b/src/main/java/saffronferry/scale/fit/Fit.java
@@ -20,10 +20,10 @@
     static final int LEAST_SIZES = 3;
 
     private final GrowthModel form;
-    private final List<Point> points;
+    private final List<DataPoint> points;
     private final SimpleRegression regression;
 
-    private Fit(GrowthModel form, List<Point> points) {
+    private Fit(GrowthModel form, List<DataPoint> points) {
         this.form = form;
         this.points = List.copyOf(points);
         regression = new SimpleRegression();
@@ -35,7 +35,7 @@
      *
      * @throws IllegalArgumentException with fewer than three sizes
      */
-    public static Fit of(GrowthModel form, List<Point> points) {
+    public static Fit of(GrowthModel form, List<DataPoint> points) {
         int sizes = sizes(points).size();
         if (sizes < LEAST_SIZES) {
             throw new IllegalArgumentException("too few sizes: " + sizes + ", needed " + LEAST_SIZES);
@@ -43,8 +43,8 @@
         return new Fit(form, points);
     }
 
-    private static TreeSet<Double> sizes(Collection<Point> points) {
-        return points.stream().map(Point::size).collect(Collectors.toCollection(TreeSet::new));
+    private static TreeSet<Double> sizes(Collection<DataPoint> points) {
+        return points.stream().map(DataPoint::size).collect(Collectors.toCollection(TreeSet::new));
     }
 
     public GrowthModel form() {
@@ -129,7 +129,7 @@
     }
 
     private double mean() {
-        return points.stream().mapToDouble(Point::figure).average().orElseThrow();
+        return points.stream().mapToDouble(DataPoint::figure).average().orElseThrow();
     }
 
     private double meanRegressor() {
--- a/src/main/java/saffronferry/scale/fit/ModelComparison.java
+++ b/src/main/java/saffronferry/scale/fit/ModelComparison.java
@@ -16,7 +16,7 @@
      *
      * @throws IllegalArgumentException with fewer than three sizes
      */
-    public static ModelComparison of(List<Point> points) {
+    public static ModelComparison of(List<DataPoint> points) {
         List<Fit> fits =
                 Arrays.stream(GrowthModel.values()).map(form -> Fit.of(form, points)).toList();
         double least = fits.stream().mapToDouble(Fit::errorLeftOut).min().orElseThrow();
--- a/src/main/java/saffronferry/scale/fit/ResultFile.java
+++ b/src/main/java/saffronferry/scale/fit/ResultFile.java
@@ -38,13 +38,13 @@
      * @param over a key of a play, another one of its figures, or a key that a sweep has set
      * @param where keys and the values they must have
      */
-    public List<Point> points(String figure, String over, Map<String, String> where) {
-        List<Point> points = new ArrayList<>();
+    public List<DataPoint> points(String figure, String over, Map<String, String> where) {
+        List<DataPoint> points = new ArrayList<>();
         for (int i = 0; i < plays.length(); i++) {
             JSONObject play = play(i);
             if (meets(play, where)) {
                 double measured = number(figures(play, i), i, figure);
-                points.add(new Point(number(play, i, over), measured));
+                points.add(new DataPoint(number(play, i, over), measured));
             }
         }
         if (points.isEmpty()) {
@@ -57,7 +57,7 @@
     public double mean(String figure, Map<String, String> where) {
         // a size is of no concern here, and each play has figures
         return points(figure, figure, where).stream()
-                .mapToDouble(Point::figure)
+                .mapToDouble(DataPoint::figure)
                 .average()
                 .orElseThrow();
     }
--- a/src/test/java/saffronferry/scale/fit/FitTest.java
+++ b/src/test/java/saffronferry/scale/fit/FitTest.java
@@ -16,17 +16,17 @@
 class FitTest {
     private static final double[] SIZES = {200, 2000, 8000, 21000};
 
-    private static List<Point> series(DoubleUnaryOperator figure, double... sizes) {
+    private static List<DataPoint> series(DoubleUnaryOperator figure, double... sizes) {
         return DoubleStream.of(sizes)
-                .mapToObj(n -> new Point(n, figure.applyAsDouble(n)))
+                .mapToObj(n -> new DataPoint(n, figure.applyAsDouble(n)))
                 .toList();
     }
 
     /** Worked out by the formulas of least squares, apart from the library. */
     @Test
     void aLineHasItsSlopeSpreadAndForecast() {
-        List<Point> points =
-                List.of(new Point(1, 2.2), new Point(2, 2.8), new Point(3, 3.6), new Point(4, 4.5), new Point(5, 5.1));
+        List<DataPoint> points =
+                List.of(new DataPoint(1, 2.2), new DataPoint(2, 2.8), new DataPoint(3, 3.6), new DataPoint(4, 4.5), new DataPoint(5, 5.1));
         Fit fit = Fit.of(GrowthModel.LINE, points);
         assertEquals(1.39, fit.intercept(), 1e-12);
         assertEquals(0.75, fit.slope(), 1e-12);
@@ -64,12 +64,12 @@
         int within = 0;
         for (int seed = 0; seed < 40; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            List<Point> straight = new ArrayList<>();
-            List<Point> bent = new ArrayList<>();
+            List<DataPoint> straight = new ArrayList<>();
+            List<DataPoint> bent = new ArrayList<>();
             for (double n : new double[] {24, 48, 96, 192, 24, 48, 96, 192, 24, 48, 96, 192}) {
                 double off = 8 * random.nextDouble() - 4;
-                straight.add(new Point(n, line.applyAsDouble(n) + off));
-                bent.add(new Point(n, square.applyAsDouble(n) + off));
+                straight.add(new DataPoint(n, line.applyAsDouble(n) + off));
+                bent.add(new DataPoint(n, square.applyAsDouble(n) + off));
             }
             assertEquals(GrowthModel.N_SQUARED, ModelComparison.of(bent).best().form(), "seed " + seed);
             assertEquals(GrowthModel.LINE, ModelComparison.of(straight).best().form(), "seed " + seed);
@@ -85,11 +85,11 @@
         assertEquals(
                 GrowthModel.CONSTANT,
                 ModelComparison.of(List.of(
-                                new Point(24, 5.1),
-                                new Point(48, 4.9),
-                                new Point(96, 5.05),
-                                new Point(192, 4.95),
-                                new Point(384, 5.02)))
+                                new DataPoint(24, 5.1),
+                                new DataPoint(48, 4.9),
+                                new DataPoint(96, 5.05),
+                                new DataPoint(192, 4.95),
+                                new DataPoint(384, 5.02)))
                         .best()
                         .form());
     }
@@ -97,7 +97,7 @@
     /** More plays at the same sizes are no more sizes. */
     @Test
     void twoSizesAreTooFew() {
-        List<Point> points = List.of(new Point(1, 1), new Point(2, 2), new Point(1, 1.1), new Point(2, 2.1));
+        List<DataPoint> points = List.of(new DataPoint(1, 1), new DataPoint(2, 2), new DataPoint(1, 1.1), new DataPoint(2, 2.1));
         assertEquals(
                 "too few sizes: 2, needed 3",
                 assertThrows(IllegalArgumentException.class, () -> Fit.of(GrowthModel.LINE, points))
