--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -19,7 +19,7 @@
 import saffronferry.scale.fit.GrowthModel;
 import saffronferry.scale.fit.DataPoint;
 import saffronferry.scale.fit.ResultFile;
-import saffronferry.scale.fit.Source;
+import saffronferry.scale.fit.FigureSource;
 
 /** A straight line through what was measured, its spread, a forecast, and whether a line is the form. */
 @Command(
@@ -51,7 +51,7 @@
     @Override
     public Integer call() throws IOException {
         ResultFile result = new ResultFile(file.toString(), Files.readString(file));
-        List<DataPoint> points = result.points(figure, over, Source.where(where));
+        List<DataPoint> points = result.points(figure, over, FigureSource.where(where));
         ModelComparison comparison;
         try {
             comparison = ModelComparison.of(points);
--- a/src/main/java/saffronferry/scale/fit/Source.java
+++ b/src/main/java/saffronferry/scale/fit/FigureSource.java
@@ -12,7 +12,7 @@
  * over KEY at SIZE by FORM @ KEY=VALUE}, where {@code slope} in place of {@code fit} stands for the slope
  * and {@code half} for half of the forecast's 95 % interval. Without {@code by} it is a line.
  */
-public final class Source {
+public final class FigureSource {
     private static final Pattern PLAY = Pattern.compile("(\\S+\\.json) (\\w+)(?: @ (.+))?");
     private static final Pattern FITTED = Pattern.compile("(fit|half|slope) (\\S+\\.json) (\\w+) over (\\w+)"
             + "(?: at (\\S+))?(?: by (constant|line|n log n|n squared))?(?: @ (.+))?");
@@ -25,7 +25,7 @@
     private final GrowthModel form;
     private final Map<String, String> where;
 
-    private Source(
+    private FigureSource(
             String kind, String file, String figure, String over, double at, GrowthModel form, Map<String, String> where) {
         this.kind = kind;
         this.file = file;
@@ -37,12 +37,12 @@
     }
 
     /** Reads a source; {@link IllegalArgumentException} says what it should have been. */
-    public static Source parse(String text) {
+    public static FigureSource parse(String text) {
         Matcher play = PLAY.matcher(text);
         Matcher fitted = FITTED.matcher(text);
         if (play.matches()) {
             Map<String, String> where = where(play.group(3));
-            return new Source("play", play.group(1), play.group(2), "", 0, GrowthModel.LINE, where);
+            return new FigureSource("play", play.group(1), play.group(2), "", 0, GrowthModel.LINE, where);
         }
         if (!fitted.matches() || fitted.group(1).equals("slope") != (fitted.group(5) == null)) {
             throw new IllegalArgumentException(
@@ -53,7 +53,7 @@
             form = each.label().equals(fitted.group(6)) ? each : form;
         }
         double at = fitted.group(5) == null ? 0 : Double.parseDouble(fitted.group(5));
-        return new Source(
+        return new FigureSource(
                 fitted.group(1), fitted.group(2), fitted.group(3), fitted.group(4), at, form, where(fitted.group(7)));
     }
 
--- a/src/test/java/saffronferry/scale/fit/CapacityPage.java
+++ b/src/test/java/saffronferry/scale/fit/CapacityPage.java
@@ -119,7 +119,7 @@
             values.put(name, constant(inCode.group(1), inCode.group(2)));
             same(name, value[0], values.get(name));
         } else if (source.startsWith("`")) {
-            Source from = Source.parse(unquoted(source));
+            FigureSource from = FigureSource.parse(unquoted(source));
             values.put(name, from.value(results));
             same(name, value[0], values.get(name));
             if (from.isFit()) {
@@ -133,7 +133,7 @@
         }
     }
 
-    private void fit(String name, Map<String, String> row, String[] value, Source from) {
+    private void fit(String name, Map<String, String> row, String[] value, FigureSource from) {
         ModelComparison all = from.comparison(results);
         Fit fit = all.of(from.form());
         expect(name + " best form", row.get("best form"), all.best().form().label());
--- a/src/test/java/saffronferry/scale/fit/SourceTest.java
+++ b/src/test/java/saffronferry/scale/fit/FigureSourceTest.java
@@ -19,7 +19,7 @@
             """;
 
     private static double value(String source) {
-        return Source.parse(source).value(name -> new ResultFile(name, RESULT));
+        return FigureSource.parse(source).value(name -> new ResultFile(name, RESULT));
     }
 
     @Test
@@ -49,7 +49,7 @@
         for (String bad :
                 new String[] {"r.json", "fit r.json pick_us over workers", "6.7", "slope r.json a over b at 3"}) {
             assertTrue(
-                    assertThrows(IllegalArgumentException.class, () -> Source.parse(bad))
+                    assertThrows(IllegalArgumentException.class, () -> FigureSource.parse(bad))
                             .getMessage()
                             .startsWith("expected FILE FIGURE @ KEY=VALUE"),
                     bad);
