--- a/src/main/java/saffronferry/rig/ControlFigures.java
+++ b/src/main/java/saffronferry/rig/ControlMetrics.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /** Reads from a console's text the figures of what a dispatcher spends on control. */
-final class ControlFigures {
+final class ControlMetrics {
     private static final String PREFIX = "app_control_";
 
-    private ControlFigures() {}
+    private ControlMetrics() {}
 
     /** Those that the console tells, by their names; none of a program that has none. */
     static Map<String, Object> of(String text) {
--- a/src/main/java/saffronferry/rig/Relay.java
+++ b/src/main/java/saffronferry/rig/DatagramRelay.java
@@ -16,7 +16,7 @@
  * Carries datagrams between dispatchers over a socket for each pair, so that each link can be troubled alone
  * and each dispatcher sees every other one at one address.
  */
-final class Relay {
+final class DatagramRelay {
     private final Vertx vertx;
     private final int dispatchers;
     private final LongSupplier clock;
@@ -32,7 +32,7 @@
     long bytes;
     long tooLong;
 
-    Relay(Vertx vertx, int dispatchers, LongSupplier clock, SplittableRandom random) {
+    DatagramRelay(Vertx vertx, int dispatchers, LongSupplier clock, SplittableRandom random) {
         this.vertx = vertx;
         this.dispatchers = dispatchers;
         this.clock = clock;
--- a/src/main/java/saffronferry/rig/Faults.java
+++ b/src/main/java/saffronferry/rig/FaultInjector.java
@@ -10,8 +10,8 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.Scenario.Trouble;
 
-/** Makes go wrong what the scenario says; datagrams are {@link Relay}'s. */
-final class Faults {
+/** Makes go wrong what the scenario says; datagrams are {@link DatagramRelay}'s. */
+final class FaultInjector {
     /** How long new connections still come after SIGTERM, and until SIGKILL, as on the platform. */
     private static final long TERM_NEW_MS = 300;
 
@@ -19,11 +19,11 @@
     private static final long LOOK_UP_MS = 100;
 
     private final FaultRig rig;
-    private final Front front;
+    private final LoadGenerator front;
     private final Vertx vertx;
     private final Scenario scenario;
 
-    Faults(FaultRig rig, Front front) {
+    FaultInjector(FaultRig rig, LoadGenerator front) {
         this.rig = rig;
         this.front = front;
         vertx = rig.vertx;
@@ -113,11 +113,11 @@
         }
     }
 
-    private interface Deed {
+    private interface DispatcherAction {
         void to(DispatcherProcess d);
     }
 
-    private void spread(Trouble t, Deed deed) {
+    private void spread(Trouble t, DispatcherAction deed) {
         List<DispatcherProcess> all = dispatchers(t);
         for (int i = 0; i < all.size(); i++) {
             DispatcherProcess d = all.get(i);
--- a/src/main/java/saffronferry/rig/FaultRig.java
+++ b/src/main/java/saffronferry/rig/FaultRig.java
@@ -47,14 +47,14 @@
     final List<DispatcherProcess> dispatchers = new ArrayList<>();
     final List<StandInDiscovery> discoveries = new ArrayList<>();
     final Map<String, StandInWorker> workers = new LinkedHashMap<>();
-    final Judge judge;
+    final RunVerifier judge;
     final SplittableRandom random;
     private final Context context;
-    private final Guardian guardian;
+    private final ProcessReaper guardian;
     private final Path folder;
     private final String block;
-    private final Relay relay;
-    private final Front front;
+    private final DatagramRelay relay;
+    private final LoadGenerator front;
     private final HttpClient prober;
     private final long epoch = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
     private final UsageOptions measured; // null: nothing is
@@ -80,10 +80,10 @@
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
         context = vertx.getOrCreateContext();
         folder = Files.createTempDirectory("saffronferry-rig");
-        guardian = new Guardian();
+        guardian = new ProcessReaper();
         block = block();
-        judge = new Judge(scenario, workers, this::now);
-        relay = new Relay(vertx, scenario.dispatchers(), this::now, random.split());
+        judge = new RunVerifier(scenario, workers, this::now);
+        relay = new DatagramRelay(vertx, scenario.dispatchers(), this::now, random.split());
         for (int i = 0; i < scenario.dispatchers(); i++) {
             String host = block + (i + 1);
             Path own = Files.createDirectory(folder.resolve("dispatcher-" + i));
@@ -96,7 +96,7 @@
         }
         makeWorkers();
         capacity = workers.values().stream().mapToDouble(w -> w.model.full()).sum();
-        front = new Front(
+        front = new LoadGenerator(
                 vertx,
                 scenario,
                 dispatchers,
@@ -297,7 +297,7 @@
                 .put("peer_listen", d.host + ":" + d.peerPort)
                 .put("peers", peers)
                 .put("known", discoveries.get(d.number).whole())
-                .put("settings", Settings.of(scenario, d.number, capacity / (scenario.meanWork() / 1e6)));
+                .put("settings", ScenarioSettings.of(scenario, d.number, capacity / (scenario.meanWork() / 1e6)));
     }
 
     /** Whether it answers that it serves. */
@@ -315,7 +315,7 @@
             listed(w, "DELETED", scenario.discovery().silentNotice());
         });
         relay.trouble(new PeerLinks(scenario, start));
-        new Faults(this, front).plan();
+        new FaultInjector(this, front).plan();
         front.load(start + scenario.length());
         if (measured != null) {
             vertx.setTimer(
--- a/src/main/java/saffronferry/rig/FleetResourceUsage.java
+++ b/src/main/java/saffronferry/rig/FleetResourceUsage.java
@@ -18,11 +18,11 @@
     private static final String COUNTED = "console_bytes_";
 
     /** One process at one look; {@code at} in nanoseconds. */
-    private record Look(long at, ProcessUse use, Map<String, Object> console) {}
+    private record Snapshot(long at, ProcessUsage use, Map<String, Object> console) {}
 
     private final List<DispatcherProcess> dispatchers;
     private final HttpClient client;
-    private List<Look> first;
+    private List<Snapshot> first;
 
     FleetResourceUsage(List<DispatcherProcess> dispatchers, HttpClient client) {
         this.dispatchers = dispatchers;
@@ -45,7 +45,7 @@
         });
     }
 
-    private static JSONObject between(Look first, Look last) {
+    private static JSONObject between(Snapshot first, Snapshot last) {
         double seconds = (last.at - first.at) / 1e9;
         JSONObject figures = new JSONObject()
                 .put("seconds", rounded(seconds))
@@ -70,8 +70,8 @@
         return Math.round(value * 1000) / 1000.0;
     }
 
-    private Future<List<Look>> look() {
-        List<Future<Look>> all = new ArrayList<>();
+    private Future<List<Snapshot>> look() {
+        List<Future<Snapshot>> all = new ArrayList<>();
         for (DispatcherProcess d : dispatchers) {
             all.add(client.request(HttpMethod.GET, d.consolePort, d.host, "/ops/stats")
                     .compose(HttpClientRequest::send)
@@ -81,10 +81,10 @@
         return Future.all(all).map(done -> done.list());
     }
 
-    private static Future<Look> look(DispatcherProcess d, Buffer text) {
+    private static Future<Snapshot> look(DispatcherProcess d, Buffer text) {
         try {
             return Future.succeededFuture(
-                    new Look(System.nanoTime(), ProcessUse.of(d.process().pid()), ControlFigures.of(text.toString())));
+                    new Snapshot(System.nanoTime(), ProcessUsage.of(d.process().pid()), ControlMetrics.of(text.toString())));
         } catch (IOException e) {
             return Future.failedFuture(e);
         }
--- a/src/main/java/saffronferry/rig/IdleDispatcher.java
+++ b/src/main/java/saffronferry/rig/IdleDispatcher.java
@@ -48,7 +48,7 @@
             new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
     private final String host = FaultRig.block() + "1";
     private final Path folder = Files.createTempDirectory("saffronferry-idle");
-    private final Guardian guardian = new Guardian();
+    private final ProcessReaper guardian = new ProcessReaper();
     private final DispatcherProcess dispatcher;
     private final StandInDiscovery discovery;
     private final StandInWorker worker;
@@ -130,7 +130,7 @@
             }
             Thread.sleep(50);
         }
-        startSeconds = ProcessUse.of(dispatcher.process().pid()).cpuSeconds();
+        startSeconds = ProcessUsage.of(dispatcher.process().pid()).cpuSeconds();
         if (options.changesPerS() > 0) {
             vertx.setPeriodic(Math.max(1, Math.round(1000 / options.changesPerS())), t -> change());
         }
@@ -141,12 +141,12 @@
     private JSONObject measured() throws IOException, InterruptedException {
         long pid = dispatcher.process().pid();
         long begun = System.nanoTime();
-        Seen before = onLoop(this::seen);
-        ProcessUse first = ProcessUse.of(pid);
+        ControlTraffic before = onLoop(this::seen);
+        ProcessUsage first = ProcessUsage.of(pid);
         Thread.sleep(scenario.length() / 1000);
-        ProcessUse last = ProcessUse.of(pid);
+        ProcessUsage last = ProcessUsage.of(pid);
         double seconds = (System.nanoTime() - begun) / 1e9;
-        Seen after = onLoop(this::seen);
+        ControlTraffic after = onLoop(this::seen);
         JSONObject figures = new JSONObject()
                 .put("core_percent", rounded(last.corePercent(first, seconds)))
                 .put("start_cpu_s", startSeconds)
@@ -172,10 +172,10 @@
     }
 
     /** What the stand-ins have seen until now. */
-    private record Seen(long list, long whole, int changes, long probes) {}
+    private record ControlTraffic(long list, long whole, int changes, long probes) {}
 
-    private Seen seen() {
-        return new Seen(discovery.written(), discovery.whole().toString().length(), changes, worker.probes());
+    private ControlTraffic seen() {
+        return new ControlTraffic(discovery.written(), discovery.whole().toString().length(), changes, worker.probes());
     }
 
     /** The dispatcher's own figures of its control, as its console tells them. */
@@ -184,7 +184,7 @@
                         .compose(q -> q.send())
                         .compose(a -> a.body()))
                 .toString();
-        return ControlFigures.of(text);
+        return ControlMetrics.of(text);
     }
 
     private static double rounded(double value) {
@@ -203,7 +203,7 @@
                 .put("peer_listen", host + ":" + dispatcher.peerPort)
                 .put("peers", new JSONArray().put(host + ":" + dispatcher.peerPort))
                 .put("known", whole)
-                .put("settings", Settings.of(scenario, 0, scenario.workers() / (scenario.meanWork() / 1e6)));
+                .put("settings", ScenarioSettings.of(scenario, 0, scenario.workers() / (scenario.meanWork() / 1e6)));
     }
 
     private void add(int number, long startedAt) {
--- a/src/main/java/saffronferry/rig/Front.java
+++ b/src/main/java/saffronferry/rig/LoadGenerator.java
@@ -16,7 +16,7 @@
 import saffronferry.lab.scenario.Scenario;
 
 /** The clients and the front that spreads them; it notices late that a dispatcher has died. */
-final class Front {
+final class LoadGenerator {
     private static final int MOST_CONNECTIONS = 2_000;
     /** So long after its time a client gives up for good: what comes later is judged as lost. */
     private static final long PATIENCE = 500_000;
@@ -24,7 +24,7 @@
     private final Vertx vertx;
     private final Scenario scenario;
     private final List<DispatcherProcess> dispatchers;
-    private final Judge judge;
+    private final RunVerifier judge;
     private final LongSupplier clock;
     private final SplittableRandom arrivals;
     private final SplittableRandom spread;
@@ -33,11 +33,11 @@
     private final double perSecond;
     private long sent;
 
-    Front(
+    LoadGenerator(
             Vertx vertx,
             Scenario scenario,
             List<DispatcherProcess> dispatchers,
-            Judge judge,
+            RunVerifier judge,
             LongSupplier clock,
             double perSecond,
             SplittableRandom random) {
@@ -114,7 +114,7 @@
                 pick(dispatchers.stream().mapToDouble(this::weight).toArray(), spread.nextDouble()));
         long now = clock.getAsLong();
         String txn = "t" + ++sent;
-        Judge.Request r = judge.asks(now, txn, c, work, d.number, d.life());
+        RunVerifier.Request r = judge.asks(now, txn, c, work, d.number, d.life());
         client.request(new RequestOptions()
                         .setMethod(HttpMethod.POST)
                         .setHost(d.host)
@@ -122,7 +122,7 @@
                         .setURI("/" + spec.name() + "?obj=" + Long.toHexString(sent)))
                 .onSuccess(
                         q -> send(q, r, d, spec, scenario.tenants().get(tenant).name()))
-                .onFailure(e -> judge.ended(clock.getAsLong(), r, Judge.End.UNREACHABLE));
+                .onFailure(e -> judge.ended(clock.getAsLong(), r, RunVerifier.ClientOutcome.UNREACHABLE));
     }
 
     private double normal() {
@@ -130,7 +130,7 @@
     }
 
     private void send(
-            HttpClientRequest q, Judge.Request r, DispatcherProcess d, Scenario.RpcClass spec, String tenant) {
+            HttpClientRequest q, RunVerifier.Request r, DispatcherProcess d, Scenario.RpcClass spec, String tenant) {
         int life = d.life();
         q.putHeader("X-Txn", r.txn)
                 .putHeader("X-Lane", spec.name())
@@ -142,7 +142,7 @@
         judge.written(clock.getAsLong(), r, d.stopped());
         vertx.setTimer((spec.deadline() + PATIENCE) / 1000, t -> {
             if (!r.over) {
-                judge.ended(clock.getAsLong(), r, Judge.End.NO_ANSWER);
+                judge.ended(clock.getAsLong(), r, RunVerifier.ClientOutcome.NO_ANSWER);
                 q.reset();
             }
         });
@@ -154,19 +154,19 @@
                             clock.getAsLong(),
                             r,
                             status == 200
-                                    ? Judge.End.SERVED
-                                    : status == 503 || status == 429 ? Judge.End.REFUSED : Judge.End.FAILED);
+                                    ? RunVerifier.ClientOutcome.SERVED
+                                    : status == 503 || status == 429 ? RunVerifier.ClientOutcome.REFUSED : RunVerifier.ClientOutcome.FAILED);
                 }))
                 .onFailure(e -> broken(r, d, life));
     }
 
     /** A connection that broke is its process's end, or a request that the dispatcher has lost. */
-    private void broken(Judge.Request r, DispatcherProcess d, int life) {
+    private void broken(RunVerifier.Request r, DispatcherProcess d, int life) {
         vertx.setTimer(
                 20,
                 t -> judge.ended(
                         clock.getAsLong(),
                         r,
-                        d.alive() && d.life() == life ? Judge.End.NO_ANSWER : Judge.End.DIED_WITH_IT));
+                        d.alive() && d.life() == life ? RunVerifier.ClientOutcome.NO_ANSWER : RunVerifier.ClientOutcome.DIED_WITH_IT));
     }
 }
--- a/src/main/java/saffronferry/rig/Guardian.java
+++ b/src/main/java/saffronferry/rig/ProcessReaper.java
@@ -10,11 +10,11 @@
  * Ends what the rig has started when the rig itself is killed, which no hook of its own can do: a shell that
  * holds the ids and acts when the rig's end of the pipe is gone.
  */
-final class Guardian implements AutoCloseable {
+final class ProcessReaper implements AutoCloseable {
     private final Process shell;
     private final OutputStream told;
 
-    Guardian() throws IOException {
+    ProcessReaper() throws IOException {
         shell = new ProcessBuilder(
                         "sh",
                         "-c",
--- a/src/main/java/saffronferry/rig/ProcessUse.java
+++ b/src/main/java/saffronferry/rig/ProcessUsage.java
@@ -15,7 +15,7 @@
  * @param resident memory in bytes that it holds
  * @param peak the most of it, in bytes, that it has held
  */
-record ProcessUse(long cpuTicks, Map<String, Thread> threads, long resident, long peak) {
+record ProcessUsage(long cpuTicks, Map<String, Thread> threads, long resident, long peak) {
     /** What kind a thread is of, its processor time in nanoseconds, how often it went to sleep by itself. */
     record Thread(String kind, long nanos, long sleeps) {}
 
@@ -40,7 +40,7 @@
             "blocked_check");
 
     /** Of a process that lives; an {@link IOException} tells that it does not. */
-    static ProcessUse of(long pid) throws IOException {
+    static ProcessUsage of(long pid) throws IOException {
         Path proc = Path.of("/proc/" + pid);
         String stat = Files.readString(proc.resolve("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -62,7 +62,7 @@
             }
         }
         String status = Files.readString(proc.resolve("status"));
-        return new ProcessUse(
+        return new ProcessUsage(
                 Long.parseLong(fields[11]) + Long.parseLong(fields[12]),
                 threads,
                 figure(status, "VmRSS:") * 1024,
@@ -79,12 +79,12 @@
     }
 
     /** Percent of one core since then. */
-    double corePercent(ProcessUse since, double seconds) {
+    double corePercent(ProcessUsage since, double seconds) {
         return (cpuTicks - since.cpuTicks) / TICKS_PER_S / seconds * 100;
     }
 
     /** The same by kind of thread, of those that live. */
-    Map<String, Double> corePercentByThread(ProcessUse since, double seconds) {
+    Map<String, Double> corePercentByThread(ProcessUsage since, double seconds) {
         Map<String, Double> all = new TreeMap<>();
         threads.forEach((id, t) -> all.merge(
                 t.kind, (t.nanos - since.threads.getOrDefault(id, NONE).nanos) / 1e9 / seconds * 100, Double::sum));
@@ -92,7 +92,7 @@
     }
 
     /** How often the threads that live went to sleep by themselves since then. */
-    long wakeUps(ProcessUse since) {
+    long wakeUps(ProcessUsage since) {
         return threads.entrySet().stream()
                 .mapToLong(t -> t.getValue().sleeps - since.threads.getOrDefault(t.getKey(), NONE).sleeps)
                 .sum();
--- a/src/main/java/saffronferry/rig/Judge.java
+++ b/src/main/java/saffronferry/rig/RunVerifier.java
@@ -22,7 +22,7 @@
  * Sees what clients and workers see, and holds it against rules and bounds. It knows nothing of what
  * dispatchers believe. Clock in microseconds, handed in.
  */
-final class Judge implements StandInWorker.Watcher, StandInDiscovery.Watcher {
+final class RunVerifier implements StandInWorker.Watcher, StandInDiscovery.Watcher {
     /** A request that is at no worker so long waits; before that it is on its way. */
     private static final long ON_ITS_WAY = 100_000;
     /** A machine that runs many processes is late by itself; no bound is judged by less. */
@@ -55,7 +55,7 @@
     }
 
     /** How a request ended for its client. */
-    enum End {
+    enum ClientOutcome {
         SERVED,
         REFUSED,
         FAILED,
@@ -67,7 +67,7 @@
     private record Arrival(long at, double work) {}
 
     /** What reached a cold worker, and what it made of it. */
-    private static final class Cold {
+    private static final class ColdWorkerStats {
         final Deque<Arrival> window = new ArrayDeque<>();
         double multiple;
         boolean fell;
@@ -77,7 +77,7 @@
     }
 
     /** Whom to tell that a worker has fallen over. */
-    interface Faller {
+    interface OverloadCrashListener {
         void fell(StandInWorker worker);
     }
 
@@ -85,13 +85,13 @@
     private final RuleChecker checker;
     private final Map<String, Request> open = new HashMap<>();
     private final Set<String> ended = new HashSet<>();
-    private final Map<StandInWorker, Cold> cold = new LinkedHashMap<>();
+    private final Map<StandInWorker, ColdWorkerStats> cold = new LinkedHashMap<>();
     private final Map<Integer, Set<String>> startsTold = new HashMap<>();
     private final List<int[]> seconds = new ArrayList<>();
-    private final int[] ends = new int[End.values().length];
+    private final int[] ends = new int[ClientOutcome.values().length];
     private final Map<String, StandInWorker> workers;
     private final LongSupplier clock;
-    private Faller faller = w -> {};
+    private OverloadCrashListener faller = w -> {};
     private long start;
     private long refusedAt = Long.MIN_VALUE / 2;
     private int asked;
@@ -103,7 +103,7 @@
     /** Jobs that no client sent. */
     private int invented;
 
-    Judge(Scenario scenario, Map<String, StandInWorker> workers, LongSupplier clock) {
+    RunVerifier(Scenario scenario, Map<String, StandInWorker> workers, LongSupplier clock) {
         Scenario.Rules r = scenario.rules();
         this.scenario = scenario;
         this.workers = workers;
@@ -118,7 +118,7 @@
     }
 
     /** The load begins. */
-    void begin(long at, Faller onFall) {
+    void begin(long at, OverloadCrashListener onFall) {
         start = at;
         faller = onFall;
     }
@@ -155,7 +155,7 @@
     }
 
     /** The client has its answer, or will have none. */
-    void ended(long now, Request r, End end) {
+    void ended(long now, Request r, ClientOutcome end) {
         if (r.over) {
             return;
         }
@@ -164,13 +164,13 @@
         ended.add(r.txn);
         ends[end.ordinal()]++;
         Scenario.RpcClass spec = scenario.classes().get(r.rpcClass);
-        if (end == End.SERVED) {
+        if (end == ClientOutcome.SERVED) {
             double wanted = Math.min(spec.deadline(), spec.aim() + spec.stretch() * r.work);
             boolean timely = now - r.asked <= wanted;
             inTime += timely ? 1 : 0;
             worthServed += spec.worth() * (timely ? 1 : spec.lateWorth());
             second(r.asked)[1]++;
-        } else if (end == End.REFUSED || end == End.FAILED) {
+        } else if (end == ClientOutcome.REFUSED || end == ClientOutcome.FAILED) {
             second(r.asked)[2]++;
             refusedAt = now;
         }
@@ -255,7 +255,7 @@
     }
 
     private void reachesCold(long now, StandInWorker at, Request r) {
-        Cold c = cold.computeIfAbsent(at, w -> new Cold());
+        ColdWorkerStats c = cold.computeIfAbsent(at, w -> new ColdWorkerStats());
         c.window.add(new Arrival(now, r.work / 1e6));
         while (c.window.peek().at < now - scenario.rules().fall()) {
             c.window.poll();
@@ -297,7 +297,7 @@
             if (w.startedAt == 0 || w.down() || w.draining() || !w.model.cold(now)) {
                 continue;
             }
-            Cold c = cold.computeIfAbsent(w, x -> new Cold());
+            ColdWorkerStats c = cold.computeIfAbsent(w, x -> new ColdWorkerStats());
             double[] progress = w.progress();
             for (int i = 0; i < 2; i++) {
                 c.all[i] += progress[i] - c.last[i];
@@ -324,8 +324,8 @@
         double used = 0;
         double least = 1;
         int judged = 0;
-        for (Map.Entry<StandInWorker, Cold> e : cold.entrySet()) {
-            Cold c = e.getValue();
+        for (Map.Entry<StandInWorker, ColdWorkerStats> e : cold.entrySet()) {
+            ColdWorkerStats c = e.getValue();
             // under a tenth of a second of waiting says nothing of a worker
             double cold = scenario.kinds().get(0).coldFrom() * e.getKey().model.full();
             boolean counts = c.waiting[1] > 1e5 * cold;
@@ -344,8 +344,8 @@
                     .put("fell", c.fell));
         }
         double mean = judged == 0 ? 1 : used / judged;
-        int refused = ends[End.REFUSED.ordinal()];
-        int failed = ends[End.FAILED.ordinal()];
+        int refused = ends[ClientOutcome.REFUSED.ordinal()];
+        int failed = ends[ClientOutcome.FAILED.ordinal()];
         List<Bound> bounds = List.of(
                 new Bound("refused", b.refused(), share(refused, asked), refused <= b.refused() * asked),
                 new Bound("failed", b.failed(), share(failed, asked), failed <= b.failed() * asked),
@@ -374,7 +374,7 @@
                 .put("copies", copies)
                 .put("in_time", inTime)
                 .put("worth_served", share(worthServed, worthAsked));
-        for (End end : End.values()) {
+        for (ClientOutcome end : ClientOutcome.values()) {
             result.put(end.name().toLowerCase(Locale.ROOT), ends[end.ordinal()]);
         }
         JSONArray bySecond = new JSONArray();
--- a/src/main/java/saffronferry/rig/Settings.java
+++ b/src/main/java/saffronferry/rig/ScenarioSettings.java
@@ -7,8 +7,8 @@
 import saffronferry.lab.scenario.Scenario;
 
 /** A scenario as the configuration of real dispatchers. */
-final class Settings {
-    private Settings() {}
+final class ScenarioSettings {
+    private ScenarioSettings() {}
 
     private static double seconds(long micros) {
         return micros / 1e6;
--- a/src/main/java/saffronferry/scale/Meter.java
+++ b/src/main/java/saffronferry/scale/CostMeter.java
@@ -8,7 +8,7 @@
 import saffronferry.lab.world.World;
 
 /** What one play's dispatchers cost, each by itself. */
-final class Meter implements World.Wrap {
+final class CostMeter implements World.Wrap {
     /** What a decision is about. */
     enum Event {
         PICK,
@@ -70,17 +70,17 @@
     static final int LISTS_KEPT = 8;
 
     final List<Account> accounts = new ArrayList<>();
-    final ListLines lines;
-    final ThreadClock clock = new ThreadClock();
-    private final HollowBrain[] brains;
+    final WorkerListCodec lines;
+    final ThreadCpuClock clock = new ThreadCpuClock();
+    private final InstrumentedDispatcher[] brains;
     private final long ends;
     private final LongConsumer progress;
 
     /** {@code progress} is told the time reached, as brains are handed it, at least once in each tick. */
-    Meter(Scenario scenario, LongConsumer progress) {
-        lines = new ListLines(scenario);
+    CostMeter(Scenario scenario, LongConsumer progress) {
+        lines = new WorkerListCodec(scenario);
         ends = World.DAY_STARTS + scenario.length();
-        brains = new HollowBrain[scenario.dispatchers()];
+        brains = new InstrumentedDispatcher[scenario.dispatchers()];
         this.progress = progress;
         for (int i = 0; i < scenario.dispatchers(); i++) {
             accounts.add(new Account((int) Math.ceil(scenario.length() / 1e6)));
@@ -89,7 +89,7 @@
 
     @Override
     public Brain wrap(Brain brain, int dispatcher) {
-        brains[dispatcher] = new HollowBrain(brain, this, accounts.get(dispatcher), dispatcher < LISTS_KEPT);
+        brains[dispatcher] = new InstrumentedDispatcher(brain, this, accounts.get(dispatcher), dispatcher < LISTS_KEPT);
         return brains[dispatcher];
     }
 
@@ -148,7 +148,7 @@
     /** Lets go of the lists that are kept beside the modules; how many there were. */
     int dropLists() {
         int dropped = 0;
-        for (HollowBrain brain : brains) {
+        for (InstrumentedDispatcher brain : brains) {
             dropped += brain.dropList() ? 1 : 0;
         }
         return dropped;
@@ -156,7 +156,7 @@
 
     /** Lets go of the modules. */
     void dropModules() {
-        for (HollowBrain brain : brains) {
+        for (InstrumentedDispatcher brain : brains) {
             brain.dropModule();
         }
     }
--- a/src/main/java/saffronferry/scale/Heap.java
+++ b/src/main/java/saffronferry/scale/HeapUsage.java
@@ -1,11 +1,11 @@
 package saffronferry.scale;
 
 /** How much of the heap is in use by what can be reached. */
-final class Heap {
+final class HeapUsage {
     private static final double MB = 1e6;
     private static final int MOST_ROUNDS = 12;
 
-    private Heap() {}
+    private HeapUsage() {}
 
     /** In megabytes of a million bytes, after full collections until two free nothing more. */
     static double usedMb() {
--- a/src/main/java/saffronferry/scale/HollowBrain.java
+++ b/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
@@ -13,9 +13,9 @@
 import saffronferry.News;
 import saffronferry.Step;
 import saffronferry.lab.policy.Brain;
-import saffronferry.scale.Meter.Account;
-import saffronferry.scale.Meter.Event;
-import saffronferry.scale.Meter.Kind;
+import saffronferry.scale.CostMeter.Account;
+import saffronferry.scale.CostMeter.Event;
+import saffronferry.scale.CostMeter.Kind;
 import saffronferry.state.ListUpdate;
 
 /**
@@ -23,19 +23,19 @@
  * {@code serve} does, and takes down what is said and what decisions cost. Datagrams are bytes already, which
  * the module makes and reads by its own codec.
  */
-final class HollowBrain implements Brain {
+final class InstrumentedDispatcher implements Brain {
     private static final int PROBE_BYTES = "GET /metrics/load HTTP/1.1\r\nhost: 10.0.82.7:9100\r\n\r\n".length();
     private static final int WATCH_BYTES =
             "GET /discovery/hosts?watch=1&from=1000000 HTTP/1.1\r\nhost: 10.0.82.7:9100\r\n\r\n".length();
     private static final String ANSWER = "HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n";
 
-    private final Meter meter;
+    private final CostMeter meter;
     private final Account account;
     private Brain module;
     /** As {@code serve} keeps it beside the module; null where it is not weighed. */
     private Map<String, ListUpdate.Entry> list;
 
-    HollowBrain(Brain module, Meter meter, Account account, boolean keepsList) {
+    InstrumentedDispatcher(Brain module, CostMeter meter, Account account, boolean keepsList) {
         this.module = module;
         this.meter = meter;
         this.account = account;
--- a/src/main/java/saffronferry/scale/ScaleSimulation.java
+++ b/src/main/java/saffronferry/scale/ScaleSimulation.java
@@ -15,9 +15,9 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.world.World;
 import saffronferry.lab.world.World.Day;
-import saffronferry.scale.Meter.Account;
-import saffronferry.scale.Meter.Event;
-import saffronferry.scale.Meter.Kind;
+import saffronferry.scale.CostMeter.Account;
+import saffronferry.scale.CostMeter.Event;
+import saffronferry.scale.CostMeter.Kind;
 
 /** Plays a scenario with hollow dispatchers and says what each of them costs. */
 public final class ScaleSimulation {
@@ -60,7 +60,7 @@
      * @param progress told the seconds of the day reached; below 0 before the first request
      */
     public static Run run(Scenario scenario, Map<String, String> set, long seed, LongConsumer progress) {
-        Meter meter = new Meter(scenario, now -> progress.accept((now - World.DAY_STARTS) / 1_000_000));
+        CostMeter meter = new CostMeter(scenario, now -> progress.accept((now - World.DAY_STARTS) / 1_000_000));
         Day day = World.play(scenario, Policy.NETWORKED_QUEUES, seed, meter);
         Map<String, Double> figures = figures(scenario, meter, day);
         weigh(meter, figures);
@@ -73,7 +73,7 @@
         return Math.round(value * unit) / unit;
     }
 
-    private static Map<String, Double> figures(Scenario scenario, Meter meter, Day day) {
+    private static Map<String, Double> figures(Scenario scenario, CostMeter meter, Day day) {
         List<Account> all = meter.accounts;
         double each = all.size() * (scenario.length() / 1e6);
         double requests = Math.max(1, day.requests());
@@ -142,12 +142,12 @@
     }
 
     /** After the play its world is gone: what is left of the heap is let go of part by part. */
-    private static void weigh(Meter meter, Map<String, Double> figures) {
-        double both = Heap.usedMb();
+    private static void weigh(CostMeter meter, Map<String, Double> figures) {
+        double both = HeapUsage.usedMb();
         int lists = meter.dropLists();
-        double modules = Heap.usedMb();
+        double modules = HeapUsage.usedMb();
         meter.dropModules();
-        double nothing = Heap.usedMb();
+        double nothing = HeapUsage.usedMb();
         double module = Math.max(0, modules - nothing) / meter.accounts.size();
         double list = Math.max(0, both - modules) / Math.max(1, lists);
         figures.put("heap_mb_per_dispatcher", module + list);
--- a/src/main/java/saffronferry/scale/ThreadClock.java
+++ b/src/main/java/saffronferry/scale/ThreadCpuClock.java
@@ -8,14 +8,14 @@
  * Processor time of the calling thread, in nanoseconds: unlike the wall's time it leaves out what other work
  * on the machine takes. To look costs time of its own, which {@link #since} leaves out.
  */
-final class ThreadClock {
+final class ThreadCpuClock {
     private static final int LOOKS = 20_001;
 
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final long look;
 
     /** Measures first what a look costs: the median of many. */
-    ThreadClock() {
+    ThreadCpuClock() {
         long[] seen = new long[LOOKS];
         for (int i = 0; i < LOOKS; i++) {
             long begun = now();
--- a/src/main/java/saffronferry/scale/ListLines.java
+++ b/src/main/java/saffronferry/scale/WorkerListCodec.java
@@ -17,7 +17,7 @@
  * Discovery's lines as bytes: those of one line are made once for all dispatchers that are told it, and each
  * of them reads them by itself.
  */
-final class ListLines {
+final class WorkerListCodec {
     /** What is kept of lines made: enough for a burst of changes, or for some whole lists. */
     private static final long MOST_BYTES = 16_000_000;
 
@@ -28,7 +28,7 @@
     private long bytes;
     private long revision;
 
-    ListLines(Scenario scenario) {
+    WorkerListCodec(Scenario scenario) {
         kinds = scenario.kinds().stream().map(Scenario.Kind::name).toList();
         zones = scenario.zones();
         parser = new ListParser(kinds, zones);
--- a/src/test/java/saffronferry/rig/IdleDispatcherTest.java
+++ b/src/test/java/saffronferry/rig/IdleDispatcherTest.java
@@ -43,14 +43,14 @@
 
     @Test
     public void whatAProcessUsesIsReadFromTheSystem() throws Exception {
-        ProcessUse first = ProcessUse.of(ProcessHandle.current().pid());
+        ProcessUsage first = ProcessUsage.of(ProcessHandle.current().pid());
         long work = 0;
-        ProcessUse last = first;
+        ProcessUsage last = first;
         while (last.cpuTicks() - first.cpuTicks() < 5) { // of 10 ms each
             for (int i = 0; i < 1_000_000; i++) {
                 work += i * work;
             }
-            last = ProcessUse.of(ProcessHandle.current().pid());
+            last = ProcessUsage.of(ProcessHandle.current().pid());
         }
         assertTrue("worked: " + work, last.corePercent(first, 0.05) >= 100 - 1e-6);
         assertTrue(last.corePercentByThread(first, 0.05).values().stream()
@@ -58,17 +58,17 @@
                         .sum()
                 > 50);
         assertTrue(last.residentMb() > 10 && last.peakMb() >= last.residentMb());
-        assertThrows(IOException.class, () -> ProcessUse.of(Long.MAX_VALUE));
+        assertThrows(IOException.class, () -> ProcessUsage.of(Long.MAX_VALUE));
     }
 
     @Test
     public void aConsolesControlFiguresAreReadAndNoOthers() {
-        assertEquals(Map.of("console_bytes_list_in", 12.0, "console_core_seconds", 0.25), ControlFigures.of("""
+        assertEquals(Map.of("console_bytes_list_in", 12.0, "console_core_seconds", 0.25), ControlMetrics.of("""
                 # HELP app_control_bytes x
                 app_responses{kind="a",result="ok"} 3
                 app_control_bytes{kind="list",way="in"} 12
                 app_control_core_seconds 0.250
                 """));
-        assertEquals(Map.of(), ControlFigures.of(""));
+        assertEquals(Map.of(), ControlMetrics.of(""));
     }
 }
--- a/src/test/java/saffronferry/scale/ScaleSimulationTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -65,7 +65,7 @@
 
     @Test
     void aLineIsMadeOnceAndReadByEachFromItsBytes() throws Exception {
-        ListLines lines = new ListLines(small(""));
+        WorkerListCodec lines = new WorkerListCodec(small(""));
         List<WorkerInfo> told = workers();
         byte[] line = lines.line(told, ListKind.WHOLE);
         assertSame(line, lines.line(List.copyOf(told), ListKind.WHOLE), "made once");
@@ -110,7 +110,7 @@
 
     @Test
     void theModuleIsToldWhatWasReadAndWhatIsSaidIsCounted() throws Exception {
-        Meter meter = new Meter(small(""), now -> {});
+        CostMeter meter = new CostMeter(small(""), now -> {});
         Scribe scribe = new Scribe();
         Brain hollow = meter.wrap(scribe, 0);
         List<WorkerInfo> told = workers();
@@ -123,34 +123,34 @@
         assertEquals(told, seen);
         assertNotSame(told.get(0), seen.get(0));
         assertArrayEquals(datagram, ((News.PeerSaid) scribe.news.get(1)).bytes());
-        Meter.Account account = meter.accounts.get(0);
+        CostMeter.Account account = meter.accounts.get(0);
         assertEquals(
                 meter.lines.line(told, ListKind.CHANGES).length,
-                account.bytes[Meter.Kind.LIST_IN.ordinal()],
+                account.bytes[CostMeter.Kind.LIST_IN.ordinal()],
                 "a start's copy is from a file");
-        assertEquals(3, account.bytes[Meter.Kind.DATAGRAM_IN.ordinal()]);
-        assertEquals(120, account.bytes[Meter.Kind.DATAGRAM_OUT.ordinal()]);
-        assertEquals(3, account.messages[Meter.Kind.PROBE_OUT.ordinal()]);
+        assertEquals(3, account.bytes[CostMeter.Kind.DATAGRAM_IN.ordinal()]);
+        assertEquals(120, account.bytes[CostMeter.Kind.DATAGRAM_OUT.ordinal()]);
+        assertEquals(3, account.messages[CostMeter.Kind.PROBE_OUT.ordinal()]);
         assertEquals(account.controlBytes(), account.bytesBySecond[1]);
-        assertEquals(2, account.decisions[Meter.Event.LIST.ordinal()]);
+        assertEquals(2, account.decisions[CostMeter.Event.LIST.ordinal()]);
         assertEquals(0, meter.accounts.get(1).controlBytes());
     }
 
     /** The first whole list belongs to the start, however late it comes; the next one is the day's. */
     @Test
     void theFirstWholeListIsTheStartsAndNoOther() throws Exception {
-        Meter meter = new Meter(small(""), now -> {});
+        CostMeter meter = new CostMeter(small(""), now -> {});
         Brain hollow = meter.wrap(new Scribe(), 0);
-        Meter.Account account = meter.accounts.get(0);
+        CostMeter.Account account = meter.accounts.get(0);
         int whole = meter.lines.line(workers(), ListKind.WHOLE).length;
         for (int time = 0; time < 2; time++) {
-            assertEquals(0, account.bytes[Meter.Kind.LIST_IN.ordinal()]);
+            assertEquals(0, account.bytes[CostMeter.Kind.LIST_IN.ordinal()]);
             hollow = time == 0 ? hollow : meter.wrap(new Scribe(), 0); // a restart
             hollow.report(World.DAY_STARTS + 1, new News.Resolved(ListKind.WHOLE, workers()));
         }
-        assertEquals(whole, account.bytes[Meter.Kind.LIST_IN.ordinal()]);
+        assertEquals(whole, account.bytes[CostMeter.Kind.LIST_IN.ordinal()]);
         assertEquals(whole, account.wholeListBytes);
-        assertEquals(1, account.decisions[Meter.Event.LIST.ordinal()], "nor does its time count for the day");
+        assertEquals(1, account.decisions[CostMeter.Event.LIST.ordinal()], "nor does its time count for the day");
         assertEquals(1, account.parses);
         assertTrue(account.startNanos > 0);
         assertEquals(whole, account.startBytes);
@@ -159,14 +159,14 @@
     /** What is before the first request, or after the last, is none of the day's. */
     @Test
     void onlyTheDayCounts() throws Exception {
-        Meter meter = new Meter(small(""), now -> {});
+        CostMeter meter = new CostMeter(small(""), now -> {});
         Brain hollow = meter.wrap(new Scribe(), 0);
         hollow.report(World.DAY_STARTS - 1, new News.PeerSaid(1, new byte[10]));
         hollow.report(World.DAY_STARTS + 3_000_000, new News.PeerSaid(1, new byte[10]));
-        Meter.Account account = meter.accounts.get(0);
+        CostMeter.Account account = meter.accounts.get(0);
         assertEquals(0, account.controlBytes());
         assertTrue(account.startBytes > 10, "told apart: " + account.startBytes);
-        assertEquals(0, account.decisions[Meter.Event.DATAGRAM.ordinal()]);
+        assertEquals(0, account.decisions[CostMeter.Event.DATAGRAM.ordinal()]);
     }
 
     // ---- plays ----
