--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -67,15 +67,15 @@
 
     private void table(ModelComparison comparison) {
         PrintWriter to = spec.commandLine().getOut();
-        Fit line = comparison.of(GrowthModel.LINE);
+        Fit line = comparison.fit(GrowthModel.LINE);
         to.printf(
                 Locale.ROOT,
                 "%s over %s, %d plays from %s to %s; forecast at %s%s%n",
                 figure,
                 over,
-                line.plays(),
-                plain(line.least()),
-                plain(line.most()),
+                line.runCount(),
+                plain(line.smallestSize()),
+                plain(line.largestSize()),
                 plain(at),
                 stretch(line));
         to.printf(
@@ -85,26 +85,26 @@
             to.printf(
                     Locale.ROOT,
                     "%-10s %12.5g %12.5g %12.5g %12.5g %12.5g %10.2f %12.5g %12.5g%s%n",
-                    f.form().label(),
+                    f.model().label(),
                     f.intercept(),
                     f.slope(),
                     f.slopeStandardError(),
                     f.residualError(),
-                    f.errorLeftOut(),
+                    f.leaveSizeOutError(),
                     f.aic(),
-                    f.at(at),
-                    f.halfWidth(at),
+                    f.predict(at),
+                    f.predictionHalfWidth(at),
                     f == comparison.best() ? "  best" : "");
         }
         to.println(
                 comparison.best() == line
                         ? "a straight line is the best of these forms"
-                        : comparison.best().form().label() + " fits better than a straight line");
+                        : comparison.best().model().label() + " fits better than a straight line");
         to.flush();
     }
 
     private String stretch(Fit line) {
-        return at <= line.most() ? "" : String.format(Locale.ROOT, ", %.1f times the largest", at / line.most());
+        return at <= line.largestSize() ? "" : String.format(Locale.ROOT, ", %.1f times the largest", at / line.largestSize());
     }
 
     private static String plain(double size) {
@@ -115,26 +115,26 @@
         JSONArray forms = new JSONArray();
         for (Fit f : comparison.fits()) {
             forms.put(new JSONObject()
-                    .put("form", f.form().label())
+                    .put("form", f.model().label())
                     .put("intercept", f.intercept())
                     .put("slope", f.slope())
                     .put("slope_standard_error", f.slopeStandardError())
                     .put("residual_error", f.residualError())
-                    .put("error_left_out", f.errorLeftOut())
+                    .put("error_left_out", f.leaveSizeOutError())
                     .put("aic", f.aic())
-                    .put("forecast", f.at(at))
-                    .put("half_width_95", f.halfWidth(at)));
+                    .put("forecast", f.predict(at))
+                    .put("half_width_95", f.predictionHalfWidth(at)));
         }
-        Fit line = comparison.of(GrowthModel.LINE);
+        Fit line = comparison.fit(GrowthModel.LINE);
         return new JSONObject()
                 .put("file", file.getFileName().toString())
                 .put("figure", figure)
                 .put("over", over)
                 .put("at", at)
-                .put("least", line.least())
-                .put("most", line.most())
-                .put("plays", line.plays())
-                .put("best", comparison.best().form().label())
+                .put("least", line.smallestSize())
+                .put("most", line.largestSize())
+                .put("plays", line.runCount())
+                .put("best", comparison.best().model().label())
                 .put("forms", forms);
     }
 }
--- a/src/main/java/saffronferry/scale/fit/FigureSource.java
+++ b/src/main/java/saffronferry/scale/fit/FigureSource.java
@@ -13,93 +13,93 @@
  * and {@code half} for half of the forecast's 95 % interval. Without {@code by} it is a line.
  */
 public final class FigureSource {
-    private static final Pattern PLAY = Pattern.compile("(\\S+\\.json) (\\w+)(?: @ (.+))?");
-    private static final Pattern FITTED = Pattern.compile("(fit|half|slope) (\\S+\\.json) (\\w+) over (\\w+)"
+    private static final Pattern RUN_PATTERN = Pattern.compile("(\\S+\\.json) (\\w+)(?: @ (.+))?");
+    private static final Pattern FIT_PATTERN = Pattern.compile("(fit|half|slope) (\\S+\\.json) (\\w+) over (\\w+)"
             + "(?: at (\\S+))?(?: by (constant|line|n log n|n squared))?(?: @ (.+))?");
 
     private final String kind;
     private final String file;
     private final String figure;
-    private final String over;
-    private final double at;
-    private final GrowthModel form;
-    private final Map<String, String> where;
+    private final String sizeKey;
+    private final double size;
+    private final GrowthModel model;
+    private final Map<String, String> conditions;
 
     private FigureSource(
-            String kind, String file, String figure, String over, double at, GrowthModel form, Map<String, String> where) {
+            String kind, String file, String figure, String sizeKey, double size, GrowthModel model, Map<String, String> conditions) {
         this.kind = kind;
         this.file = file;
         this.figure = figure;
-        this.over = over;
-        this.at = at;
-        this.form = form;
-        this.where = where;
+        this.sizeKey = sizeKey;
+        this.size = size;
+        this.model = model;
+        this.conditions = conditions;
     }
 
     /** Reads a source; {@link IllegalArgumentException} says what it should have been. */
     public static FigureSource parse(String text) {
-        Matcher play = PLAY.matcher(text);
-        Matcher fitted = FITTED.matcher(text);
-        if (play.matches()) {
-            Map<String, String> where = where(play.group(3));
-            return new FigureSource("play", play.group(1), play.group(2), "", 0, GrowthModel.LINE, where);
+        Matcher run = RUN_PATTERN.matcher(text);
+        Matcher fitted = FIT_PATTERN.matcher(text);
+        if (run.matches()) {
+            Map<String, String> conditions = where(run.group(3));
+            return new FigureSource("play", run.group(1), run.group(2), "", 0, GrowthModel.LINE, conditions);
         }
         if (!fitted.matches() || fitted.group(1).equals("slope") != (fitted.group(5) == null)) {
             throw new IllegalArgumentException(
                     "expected FILE FIGURE @ KEY=VALUE, or fit FILE FIGURE " + "over KEY at SIZE, got " + text);
         }
-        GrowthModel form = GrowthModel.LINE;
-        for (GrowthModel each : GrowthModel.values()) {
-            form = each.label().equals(fitted.group(6)) ? each : form;
+        GrowthModel model = GrowthModel.LINE;
+        for (GrowthModel candidate : GrowthModel.values()) {
+            model = candidate.label().equals(fitted.group(6)) ? candidate : model;
         }
-        double at = fitted.group(5) == null ? 0 : Double.parseDouble(fitted.group(5));
+        double size = fitted.group(5) == null ? 0 : Double.parseDouble(fitted.group(5));
         return new FigureSource(
-                fitted.group(1), fitted.group(2), fitted.group(3), fitted.group(4), at, form, where(fitted.group(7)));
+                fitted.group(1), fitted.group(2), fitted.group(3), fitted.group(4), size, model, where(fitted.group(7)));
     }
 
     /** Conditions written as KEY=VALUE, KEY=VALUE; null stands for none. */
     public static Map<String, String> where(String text) {
-        Map<String, String> where = new LinkedHashMap<>();
-        for (String each : text == null ? new String[0] : text.split(",")) {
-            int equals = each.indexOf('=');
+        Map<String, String> conditions = new LinkedHashMap<>();
+        for (String condition : text == null ? new String[0] : text.split(",")) {
+            int equals = condition.indexOf('=');
             if (equals <= 0) {
-                throw new IllegalArgumentException("expected KEY=VALUE, got " + each);
+                throw new IllegalArgumentException("expected KEY=VALUE, got " + condition);
             }
-            where.put(
-                    each.substring(0, equals).trim(), each.substring(equals + 1).trim());
+            conditions.put(
+                    condition.substring(0, equals).trim(), condition.substring(equals + 1).trim());
         }
-        return where;
+        return conditions;
     }
 
     /** What the result files say. */
     public double value(Function<String, ResultFile> files) {
         if (!isFit()) {
-            return files.apply(file).mean(figure, where);
+            return files.apply(file).mean(figure, conditions);
         }
-        Fit fit = Fit.of(form, files.apply(file).points(figure, over, where));
+        Fit fit = Fit.of(model, files.apply(file).points(figure, sizeKey, conditions));
         return switch (kind) {
             case "slope" -> fit.slope();
-            case "half" -> fit.halfWidth(at);
-            default -> fit.at(at);
+            case "half" -> fit.predictionHalfWidth(size);
+            default -> fit.predict(size);
         };
     }
 
     /** All forms over the same points; of a fit alone. */
     public ModelComparison comparison(Function<String, ResultFile> files) {
-        return ModelComparison.of(files.apply(file).points(figure, over, where));
+        return ModelComparison.of(files.apply(file).points(figure, sizeKey, conditions));
     }
 
     public boolean isFit() {
         return !kind.equals("play");
     }
 
-    public GrowthModel form() {
-        return form;
+    public GrowthModel model() {
+        return model;
     }
 
     /** The size that the figure is for; 0 for a slope. */
-    public double at() {
-        return at;
+    public double size() {
+        return size;
     }
 
     public String file() {
--- a/src/main/java/saffronferry/scale/fit/Fit.java
+++ b/src/main/java/saffronferry/scale/fit/Fit.java
@@ -15,19 +15,19 @@
  * fit that was made without it: {@link #errorLeftOut}.
  */
 public final class Fit {
-    private static final double CONFIDENCE = 0.95;
+    private static final double PREDICTION_LEVEL = 0.95;
     /** Fewer sizes leave nothing by which a form could be told from another. */
-    static final int LEAST_SIZES = 3;
+    static final int MIN_SIZES = 3;
 
-    private final GrowthModel form;
+    private final GrowthModel model;
     private final List<DataPoint> points;
     private final SimpleRegression regression;
 
-    private Fit(GrowthModel form, List<DataPoint> points) {
-        this.form = form;
+    private Fit(GrowthModel model, List<DataPoint> points) {
+        this.model = model;
         this.points = List.copyOf(points);
         regression = new SimpleRegression();
-        points.forEach(p -> regression.addData(form.regressor(p.size()), p.figure()));
+        points.forEach(p -> regression.addData(model.regressor(p.size()), p.value()));
     }
 
     /**
@@ -35,106 +35,106 @@
      *
      * @throws IllegalArgumentException with fewer than three sizes
      */
-    public static Fit of(GrowthModel form, List<DataPoint> points) {
+    public static Fit of(GrowthModel model, List<DataPoint> points) {
         int sizes = sizes(points).size();
-        if (sizes < LEAST_SIZES) {
-            throw new IllegalArgumentException("too few sizes: " + sizes + ", needed " + LEAST_SIZES);
+        if (sizes < MIN_SIZES) {
+            throw new IllegalArgumentException("too few sizes: " + sizes + ", needed " + MIN_SIZES);
         }
-        return new Fit(form, points);
+        return new Fit(model, points);
     }
 
     private static TreeSet<Double> sizes(Collection<DataPoint> points) {
         return points.stream().map(DataPoint::size).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    public GrowthModel form() {
-        return form;
+    public GrowthModel model() {
+        return model;
     }
 
     public double intercept() {
-        return form == GrowthModel.CONSTANT ? mean() : regression.getIntercept();
+        return model == GrowthModel.CONSTANT ? mean() : regression.getIntercept();
     }
 
     /** 0 for a constant. */
     public double slope() {
-        return form == GrowthModel.CONSTANT ? 0 : regression.getSlope();
+        return model == GrowthModel.CONSTANT ? 0 : regression.getSlope();
     }
 
     public double slopeStandardError() {
-        return form == GrowthModel.CONSTANT ? 0 : regression.getSlopeStdErr();
+        return model == GrowthModel.CONSTANT ? 0 : regression.getSlopeStdErr();
     }
 
-    public double at(double size) {
-        return intercept() + slope() * form.regressor(size);
+    public double predict(double size) {
+        return intercept() + slope() * model.regressor(size);
     }
 
     /**
      * Half of the 95 % prediction interval at a size, by Student's t: where one more play there would lie,
      * if the form is right. It says nothing of a wrong form.
      */
-    public double halfWidth(double size) {
-        double x = form.regressor(size);
+    public double predictionHalfWidth(double size) {
+        double x = model.regressor(size);
         double n = points.size();
-        double spread = form == GrowthModel.CONSTANT ? 0 : square(x - meanRegressor()) / regression.getXSumSquares();
-        return new TDistribution(freedom()).inverseCumulativeProbability((1 + CONFIDENCE) / 2)
+        double spread = model == GrowthModel.CONSTANT ? 0 : square(x - meanRegressor()) / regression.getXSumSquares();
+        return new TDistribution(degreesOfFreedom()).inverseCumulativeProbability((1 + PREDICTION_LEVEL) / 2)
                 * residualError()
                 * Math.sqrt(1 + 1 / n + spread);
     }
 
     /** The standard error of the residuals. */
     public double residualError() {
-        return Math.sqrt(residualSquares() / freedom());
+        return Math.sqrt(residualSquares() / degreesOfFreedom());
     }
 
-    private int freedom() {
-        return points.size() - form.parameters();
+    private int degreesOfFreedom() {
+        return points.size() - model.parameters();
     }
 
     private double residualSquares() {
         return points.stream()
-                .mapToDouble(p -> square(p.figure() - at(p.size())))
+                .mapToDouble(p -> square(p.value() - predict(p.size())))
                 .sum();
     }
 
     /** Akaike's criterion by the residuals; the lower one of two forms is the better one. */
     public double aic() {
         int n = points.size();
-        return n * Math.log(Math.max(residualSquares(), Double.MIN_NORMAL) / n) + 2 * (form.parameters() + 1);
+        return n * Math.log(Math.max(residualSquares(), Double.MIN_NORMAL) / n) + 2 * (model.parameters() + 1);
     }
 
     /** The root of the mean square error at each size of a fit to all other sizes. */
-    public double errorLeftOut() {
+    public double leaveSizeOutError() {
         double squares = 0;
         for (double size : sizes(points)) {
             Fit without =
-                    new Fit(form, points.stream().filter(p -> p.size() != size).toList());
+                    new Fit(model, points.stream().filter(p -> p.size() != size).toList());
             squares += points.stream()
                     .filter(p -> p.size() == size)
-                    .mapToDouble(p -> square(p.figure() - without.at(size)))
+                    .mapToDouble(p -> square(p.value() - without.predict(size)))
                     .sum();
         }
         return Math.sqrt(squares / points.size());
     }
 
-    public double least() {
+    public double smallestSize() {
         return sizes(points).first();
     }
 
-    public double most() {
+    public double largestSize() {
         return sizes(points).last();
     }
 
-    public int plays() {
+    public int runCount() {
         return points.size();
     }
 
     private double mean() {
-        return points.stream().mapToDouble(DataPoint::figure).average().orElseThrow();
+        return points.stream().mapToDouble(DataPoint::value).average().orElseThrow();
     }
 
     private double meanRegressor() {
         return points.stream()
-                .mapToDouble(p -> form.regressor(p.size()))
+                .mapToDouble(p -> model.regressor(p.size()))
                 .average()
                 .orElseThrow();
     }
--- a/src/main/java/saffronferry/scale/fit/ModelComparison.java
+++ b/src/main/java/saffronferry/scale/fit/ModelComparison.java
@@ -8,8 +8,8 @@
  * simpler form whose error is within a tenth of it, or beyond what a double can tell.
  */
 public record ModelComparison(List<Fit> fits, Fit best) {
-    private static final double ALIKE = 1.1;
-    private static final double ROUNDING = 1e-9;
+    private static final double SIMPLER_MODEL_TOLERANCE = 1.1;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     /**
      * Fits all forms.
@@ -18,19 +18,19 @@
      */
     public static ModelComparison of(List<DataPoint> points) {
         List<Fit> fits =
-                Arrays.stream(GrowthModel.values()).map(form -> Fit.of(form, points)).toList();
-        double least = fits.stream().mapToDouble(Fit::errorLeftOut).min().orElseThrow();
-        double largest =
-                points.stream().mapToDouble(p -> Math.abs(p.figure())).max().orElseThrow();
-        double enough = Math.max(least * ALIKE, largest * ROUNDING);
+                Arrays.stream(GrowthModel.values()).map(model -> Fit.of(model, points)).toList();
+        double smallestError = fits.stream().mapToDouble(Fit::leaveSizeOutError).min().orElseThrow();
+        double largestValue =
+                points.stream().mapToDouble(p -> Math.abs(p.value())).max().orElseThrow();
+        double acceptedError = Math.max(smallestError * SIMPLER_MODEL_TOLERANCE, largestValue * ROUNDING_TOLERANCE);
         Fit best = fits.stream()
-                .filter(f -> f.errorLeftOut() <= enough)
+                .filter(f -> f.leaveSizeOutError() <= acceptedError)
                 .findFirst()
                 .orElseThrow();
         return new ModelComparison(fits, best);
     }
 
-    public Fit of(GrowthModel form) {
-        return fits.get(form.ordinal());
+    public Fit fit(GrowthModel model) {
+        return fits.get(model.ordinal());
     }
 }
--- a/src/main/java/saffronferry/scale/fit/ResultFile.java
+++ b/src/main/java/saffronferry/scale/fit/ResultFile.java
@@ -38,26 +38,26 @@
      * @param over a key of a play, another one of its figures, or a key that a sweep has set
      * @param where keys and the values they must have
      */
-    public List<DataPoint> points(String figure, String over, Map<String, String> where) {
+    public List<DataPoint> points(String figure, String sizeKey, Map<String, String> conditions) {
         List<DataPoint> points = new ArrayList<>();
         for (int i = 0; i < plays.length(); i++) {
             JSONObject play = play(i);
-            if (meets(play, where)) {
+            if (meetsAll(play, conditions)) {
                 double measured = number(figures(play, i), i, figure);
-                points.add(new DataPoint(number(play, i, over), measured));
+                points.add(new DataPoint(number(play, i, sizeKey), measured));
             }
         }
         if (points.isEmpty()) {
-            throw new IllegalArgumentException(file + ": plays: none with " + where);
+            throw new IllegalArgumentException(file + ": plays: none with " + conditions);
         }
         return points;
     }
 
     /** The mean of a figure over the plays that meet some conditions. */
-    public double mean(String figure, Map<String, String> where) {
+    public double mean(String figure, Map<String, String> conditions) {
         // a size is of no concern here, and each play has figures
-        return points(figure, figure, where).stream()
-                .mapToDouble(DataPoint::figure)
+        return points(figure, figure, conditions).stream()
+                .mapToDouble(DataPoint::value)
                 .average()
                 .orElseThrow();
     }
@@ -85,15 +85,15 @@
         return null;
     }
 
-    private static boolean meets(JSONObject play, Map<String, String> where) {
-        return where.entrySet().stream().allMatch(e -> same(value(play, e.getKey()), e.getValue()));
+    private static boolean meetsAll(JSONObject play, Map<String, String> conditions) {
+        return conditions.entrySet().stream().allMatch(e -> matches(value(play, e.getKey()), e.getValue()));
     }
 
-    private static boolean same(Object value, String wanted) {
+    private static boolean matches(Object value, String expected) {
         try {
-            return value != null && Double.parseDouble(value.toString()) == Double.parseDouble(wanted);
+            return value != null && Double.parseDouble(value.toString()) == Double.parseDouble(expected);
         } catch (NumberFormatException e) {
-            return value.toString().equals(wanted);
+            return value.toString().equals(expected);
         }
     }
 
--- a/src/test/java/saffronferry/scale/fit/CapacityPage.java
+++ b/src/test/java/saffronferry/scale/fit/CapacityPage.java
@@ -135,21 +135,21 @@
 
     private void fit(String name, Map<String, String> row, String[] value, FigureSource from) {
         ModelComparison all = from.comparison(results);
-        Fit fit = all.of(from.form());
-        expect(name + " best form", row.get("best form"), all.best().form().label());
-        expect(name + " measured over", row.get("measured over"), plain(fit.least()) + " to " + plain(fit.most()));
-        if (from.at() > fit.most()) {
+        Fit fit = all.fit(from.model());
+        expect(name + " best form", row.get("best form"), all.best().model().label());
+        expect(name + " measured over", row.get("measured over"), plain(fit.smallestSize()) + " to " + plain(fit.largestSize()));
+        if (from.size() > fit.largestSize()) {
             stretched.add(name);
         }
-        if (from.at() != 0) {
-            String far = from.at() > fit.most()
-                    ? "stretched " + new BigDecimal(from.at() / fit.most()).setScale(1, RoundingMode.HALF_UP) + " times"
+        if (from.size() != 0) {
+            String far = from.size() > fit.largestSize()
+                    ? "stretched " + new BigDecimal(from.size() / fit.largestSize()).setScale(1, RoundingMode.HALF_UP) + " times"
                     : "within";
             expect(name + " stretch", row.get("stretch"), far);
             if (value.length != 2) {
                 throw new IllegalArgumentException(name + ": a forecast has its half width, as 3 ± 1");
             }
-            same(name + " half width", value[1], fit.halfWidth(from.at()));
+            same(name + " half width", value[1], fit.predictionHalfWidth(from.size()));
         }
     }
 
--- a/src/test/java/saffronferry/scale/fit/FitTest.java
+++ b/src/test/java/saffronferry/scale/fit/FitTest.java
@@ -32,10 +32,10 @@
         assertEquals(0.75, fit.slope(), 1e-12);
         assertEquals(0.09486832980505153, fit.residualError(), 1e-12);
         assertEquals(0.03, fit.slopeStandardError(), 1e-12);
-        assertEquals(8.89, fit.at(10), 1e-12);
-        assertEquals(0.7456710067331034, fit.halfWidth(10), 1e-9);
-        assertEquals(1, fit.least());
-        assertEquals(5, fit.most());
+        assertEquals(8.89, fit.predict(10), 1e-12);
+        assertEquals(0.7456710067331034, fit.predictionHalfWidth(10), 1e-9);
+        assertEquals(1, fit.smallestSize());
+        assertEquals(5, fit.largestSize());
     }
 
     @Test
@@ -51,8 +51,8 @@
                 n -> 3 + 1e-8 * n * n);
         exact.forEach((form, figure) -> {
             ModelComparison c = ModelComparison.of(series(figure, SIZES));
-            assertEquals(form, c.best().form());
-            assertEquals(figure.applyAsDouble(50_000), c.best().at(50_000), 1e-6, form.label());
+            assertEquals(form, c.best().model());
+            assertEquals(figure.applyAsDouble(50_000), c.best().predict(50_000), 1e-6, form.label());
         });
     }
 
@@ -71,10 +71,10 @@
                 straight.add(new DataPoint(n, line.applyAsDouble(n) + off));
                 bent.add(new DataPoint(n, square.applyAsDouble(n) + off));
             }
-            assertEquals(GrowthModel.N_SQUARED, ModelComparison.of(bent).best().form(), "seed " + seed);
-            assertEquals(GrowthModel.LINE, ModelComparison.of(straight).best().form(), "seed " + seed);
+            assertEquals(GrowthModel.N_SQUARED, ModelComparison.of(bent).best().model(), "seed " + seed);
+            assertEquals(GrowthModel.LINE, ModelComparison.of(straight).best().model(), "seed " + seed);
             Fit fit = Fit.of(GrowthModel.LINE, straight);
-            within += Math.abs(fit.at(384) - line.applyAsDouble(384)) <= fit.halfWidth(384) ? 1 : 0;
+            within += Math.abs(fit.predict(384) - line.applyAsDouble(384)) <= fit.predictionHalfWidth(384) ? 1 : 0;
         }
         assertTrue(within >= 36, within + " of 40");
     }
