--- a/src/main/java/saffronferry/cli/ScaleCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleCommand.java
@@ -74,12 +74,12 @@
                 Files.writeString(out, ScaleSimulation.json(file.toString(), seed, plays).toString(1) + "\n");
             }
         }
-        plays.forEach(play -> play.broken()
+        plays.forEach(play -> play.violations()
                 .forEach(line -> spec.commandLine()
                         .getErr()
                         .println(play.scenario().dispatchers() + " dispatchers, "
                                 + play.scenario().workers() + " workers: " + line)));
-        return plays.stream().allMatch(play -> play.broken().isEmpty()) ? 0 : Main.BROKEN;
+        return plays.stream().allMatch(play -> play.violations().isEmpty()) ? 0 : Main.BROKEN;
     }
 
     /** Every pairing of the keys' values, the last key's changing fastest. */
@@ -182,7 +182,7 @@
                         f.get("control_bytes_worst_per_s"),
                         f.get("start_control_bytes") / 1e3,
                         f.get("heap_mb_per_dispatcher"),
-                        play.broken().size());
+                        play.violations().size());
         out().flush();
     }
 }
--- a/src/main/java/saffronferry/scale/CostMeter.java
+++ b/src/main/java/saffronferry/scale/CostMeter.java
@@ -10,7 +10,7 @@
 /** What one play's dispatchers cost, each by itself. */
 final class CostMeter implements World.Wrap {
     /** What a decision is about. */
-    enum Event {
+    enum DecisionKind {
         PICK,
         REPORT,
         TICK,
@@ -19,7 +19,7 @@
     }
 
     /** What is said for control, and in which direction. */
-    enum Kind {
+    enum MessageKind {
         DATAGRAM_OUT,
         DATAGRAM_IN,
         LIST_OUT,
@@ -29,11 +29,11 @@
     }
 
     /** What one dispatcher costs, over all its lives; times in nanoseconds, while clients ask. */
-    static final class Account {
-        final long[] decisions = new long[Event.values().length];
-        final long[] nanos = new long[Event.values().length];
-        final long[] messages = new long[Kind.values().length];
-        final long[] bytes = new long[Kind.values().length];
+    static final class DispatcherCost {
+        final long[] decisions = new long[DecisionKind.values().length];
+        final long[] nanos = new long[DecisionKind.values().length];
+        final long[] messages = new long[MessageKind.values().length];
+        final long[] bytes = new long[MessageKind.values().length];
         final long[] bytesBySecond;
         long parses;
         long parseNanos;
@@ -41,11 +41,11 @@
         long startNanos;
         long wholeListBytes;
         /** Whether its first whole list has come: that belongs to its start, however late it is. */
-        boolean begun;
+        boolean firstListReceived;
         /** Whether the line that is being taken in is that one. */
-        boolean starting;
+        boolean readingFirstList;
 
-        Account(int seconds) {
+        DispatcherCost(int seconds) {
             bytesBySecond = new long[seconds];
         }
 
@@ -67,97 +67,97 @@
     }
 
     /** So many keep their list as {@code serve} does, to be weighed; kept by all it would fill the heap. */
-    static final int LISTS_KEPT = 8;
+    static final int LISTS_RETAINED = 8;
 
-    final List<Account> accounts = new ArrayList<>();
-    final WorkerListCodec lines;
+    final List<DispatcherCost> costs = new ArrayList<>();
+    final WorkerListCodec listCodec;
     final ThreadCpuClock clock = new ThreadCpuClock();
-    private final InstrumentedDispatcher[] brains;
-    private final long ends;
+    private final InstrumentedDispatcher[] dispatchers;
+    private final long endsAt;
     private final LongConsumer progress;
 
     /** {@code progress} is told the time reached, as brains are handed it, at least once in each tick. */
     CostMeter(Scenario scenario, LongConsumer progress) {
-        lines = new WorkerListCodec(scenario);
-        ends = World.DAY_STARTS + scenario.length();
-        brains = new InstrumentedDispatcher[scenario.dispatchers()];
+        listCodec = new WorkerListCodec(scenario);
+        endsAt = World.DAY_STARTS + scenario.length();
+        dispatchers = new InstrumentedDispatcher[scenario.dispatchers()];
         this.progress = progress;
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            accounts.add(new Account((int) Math.ceil(scenario.length() / 1e6)));
+            costs.add(new DispatcherCost((int) Math.ceil(scenario.length() / 1e6)));
         }
     }
 
     @Override
     public Brain wrap(Brain brain, int dispatcher) {
-        brains[dispatcher] = new InstrumentedDispatcher(brain, this, accounts.get(dispatcher), dispatcher < LISTS_KEPT);
-        return brains[dispatcher];
+        dispatchers[dispatcher] = new InstrumentedDispatcher(brain, this, costs.get(dispatcher), dispatcher < LISTS_RETAINED);
+        return dispatchers[dispatcher];
     }
 
     /** Whether clients ask at that time: only then decisions count. */
-    boolean counts(long now) {
-        return now >= World.DAY_STARTS && now < ends;
+    boolean isMeasured(long now) {
+        return now >= World.DAY_STARTS && now < endsAt;
     }
 
     /** A line of the list has come; the first whole one of a dispatcher's first life is its start's. */
-    void listed(Account account, boolean whole, int bytes, long now) {
-        account.starting = whole && !account.begun;
-        account.begun |= whole;
-        if (account.starting) {
-            account.startBytes += bytes;
+    void recordListReceived(DispatcherCost cost, boolean whole, int bytes, long now) {
+        cost.readingFirstList = whole && !cost.firstListReceived;
+        cost.firstListReceived |= whole;
+        if (cost.readingFirstList) {
+            cost.startBytes += bytes;
         } else {
-            account.wholeListBytes += whole && counts(now) ? bytes : 0;
-            said(account, Kind.LIST_IN, bytes, now);
+            cost.wholeListBytes += whole && isMeasured(now) ? bytes : 0;
+            recordMessage(cost, MessageKind.LIST_IN, bytes, now);
         }
     }
 
     /** To read a line of the list has taken so long. */
-    void read(Account account, long nanos, long now) {
-        if (account.starting || now < World.DAY_STARTS) {
-            account.startNanos += nanos;
-        } else if (counts(now)) {
-            account.parses++;
-            account.parseNanos += nanos;
+    void recordListParse(DispatcherCost cost, long nanos, long now) {
+        if (cost.readingFirstList || now < World.DAY_STARTS) {
+            cost.startNanos += nanos;
+        } else if (isMeasured(now)) {
+            cost.parses++;
+            cost.parseNanos += nanos;
         }
     }
 
     /** A decision has taken so long. */
-    void took(Account account, Event event, long nanos, long now) {
-        if (account.starting || now < World.DAY_STARTS) {
-            account.startNanos += nanos;
-            account.starting = false;
-        } else if (counts(now)) {
-            account.nanos[event.ordinal()] += nanos;
-            account.decisions[event.ordinal()]++;
+    void recordDecision(DispatcherCost cost, DecisionKind kind, long nanos, long now) {
+        if (cost.readingFirstList || now < World.DAY_STARTS) {
+            cost.startNanos += nanos;
+            cost.readingFirstList = false;
+        } else if (isMeasured(now)) {
+            cost.nanos[kind.ordinal()] += nanos;
+            cost.decisions[kind.ordinal()]++;
         }
     }
 
-    void said(Account account, Kind kind, int bytes, long now) {
-        if (counts(now)) {
-            account.messages[kind.ordinal()]++;
-            account.bytes[kind.ordinal()] += bytes;
-            account.bytesBySecond[(int) ((now - World.DAY_STARTS) / 1_000_000)] += bytes;
+    void recordMessage(DispatcherCost cost, MessageKind kind, int bytes, long now) {
+        if (isMeasured(now)) {
+            cost.messages[kind.ordinal()]++;
+            cost.bytes[kind.ordinal()] += bytes;
+            cost.bytesBySecond[(int) ((now - World.DAY_STARTS) / 1_000_000)] += bytes;
         } else if (now < World.DAY_STARTS) {
-            account.startBytes += bytes;
+            cost.startBytes += bytes;
         }
     }
 
-    void reached(long now) {
+    void reportProgress(long now) {
         progress.accept(now);
     }
 
     /** Lets go of the lists that are kept beside the modules; how many there were. */
-    int dropLists() {
-        int dropped = 0;
-        for (InstrumentedDispatcher brain : brains) {
-            dropped += brain.dropList() ? 1 : 0;
+    int releaseLists() {
+        int released = 0;
+        for (InstrumentedDispatcher dispatcher : dispatchers) {
+            released += dispatcher.releaseList() ? 1 : 0;
         }
-        return dropped;
+        return released;
     }
 
     /** Lets go of the modules. */
-    void dropModules() {
-        for (InstrumentedDispatcher brain : brains) {
-            brain.dropModule();
+    void releaseModules() {
+        for (InstrumentedDispatcher dispatcher : dispatchers) {
+            dispatcher.releaseModule();
         }
     }
 }
--- a/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
+++ b/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
@@ -13,9 +13,9 @@
 import saffronferry.News;
 import saffronferry.Step;
 import saffronferry.lab.policy.Brain;
-import saffronferry.scale.CostMeter.Account;
-import saffronferry.scale.CostMeter.Event;
-import saffronferry.scale.CostMeter.Kind;
+import saffronferry.scale.CostMeter.DecisionKind;
+import saffronferry.scale.CostMeter.DispatcherCost;
+import saffronferry.scale.CostMeter.MessageKind;
 import saffronferry.state.ListUpdate;
 
 /**
@@ -30,46 +30,46 @@
     private static final String ANSWER = "HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\n";
 
     private final CostMeter meter;
-    private final Account account;
+    private final DispatcherCost cost;
     private Brain module;
     /** As {@code serve} keeps it beside the module; null where it is not weighed. */
-    private Map<String, ListUpdate.Entry> list;
+    private Map<String, ListUpdate.Entry> retainedList;
 
-    InstrumentedDispatcher(Brain module, CostMeter meter, Account account, boolean keepsList) {
+    InstrumentedDispatcher(Brain module, CostMeter meter, DispatcherCost cost, boolean retainsList) {
         this.module = module;
         this.meter = meter;
-        this.account = account;
-        list = keepsList ? new HashMap<>() : null;
+        this.cost = cost;
+        retainedList = retainsList ? new HashMap<>() : null;
     }
 
     @Override
     public List<Step> pick(long now, Request rpc) {
-        return decide(Event.PICK, now, () -> module.pick(now, rpc));
+        return decide(DecisionKind.PICK, now, () -> module.pick(now, rpc));
     }
 
     @Override
     public List<Step> tick(long now, long token) {
-        meter.reached(now);
-        return decide(Event.TICK, now, () -> module.tick(now, token));
+        meter.reportProgress(now);
+        return decide(DecisionKind.TICK, now, () -> module.tick(now, token));
     }
 
     @Override
     public List<Step> report(long now, News news) {
         if (news instanceof News.Resolved resolved) {
-            return listed(now, resolved);
+            return reportList(now, resolved);
         }
-        if (news instanceof News.PeerSaid said) {
-            meter.said(account, Kind.DATAGRAM_IN, said.bytes().length, now);
-            return decide(Event.DATAGRAM, now, () -> module.report(now, news));
+        if (news instanceof News.PeerSaid datagram) {
+            meter.recordMessage(cost, MessageKind.DATAGRAM_IN, datagram.bytes().length, now);
+            return decide(DecisionKind.DATAGRAM, now, () -> module.report(now, news));
         }
         if (news instanceof News.Probed probed && probed.outcome() == Outcome.OK) {
-            meter.said(
-                    account,
-                    Kind.PROBE_IN,
+            meter.recordMessage(
+                    cost,
+                    MessageKind.PROBE_IN,
                     ANSWER.length() + text(probed.load()).length(),
                     now);
         }
-        return decide(Event.REPORT, now, () -> module.report(now, news));
+        return decide(DecisionKind.REPORT, now, () -> module.report(now, news));
     }
 
     private static String text(Report load) {
@@ -77,59 +77,59 @@
     }
 
     /** The copy that a start is given comes from a file: it is read like another list, but nobody sent it. */
-    private List<Step> listed(long now, News.Resolved resolved) {
-        byte[] line = meter.lines.line(resolved.entries(), resolved.kind());
+    private List<Step> reportList(long now, News.Resolved resolved) {
+        byte[] line = meter.listCodec.encode(resolved.entries(), resolved.kind());
         if (resolved.kind() != ListKind.WARM_COPY) {
-            meter.listed(account, resolved.kind() == ListKind.WHOLE, line.length, now);
+            meter.recordListReceived(cost, resolved.kind() == ListKind.WHOLE, line.length, now);
         }
         long begun = meter.clock.now();
-        ListUpdate update = meter.lines.read(line);
+        ListUpdate update = meter.listCodec.decode(line);
         List<WorkerInfo> entries =
                 update.entries().stream().map(ListUpdate.Entry::info).toList();
-        meter.read(account, meter.clock.since(begun), now);
-        keep(update);
-        return decide(Event.LIST, now, () -> module.report(now, new News.Resolved(resolved.kind(), entries)));
+        meter.recordListParse(cost, meter.clock.elapsedSince(begun), now);
+        retain(update);
+        return decide(DecisionKind.LIST, now, () -> module.report(now, new News.Resolved(resolved.kind(), entries)));
     }
 
-    private void keep(ListUpdate update) {
-        if (list == null) {
+    private void retain(ListUpdate update) {
+        if (retainedList == null) {
             return;
         }
         if (update.complete()) {
-            list.clear();
+            retainedList.clear();
         }
         for (ListUpdate.Entry e : update.entries()) {
             if (e.info().state() == WorkerState.GONE) {
-                list.remove(e.info().address());
+                retainedList.remove(e.info().address());
             } else {
-                list.put(e.info().address(), e);
+                retainedList.put(e.info().address(), e);
             }
         }
     }
 
-    private List<Step> decide(Event event, long now, Supplier<List<Step>> decision) {
+    private List<Step> decide(DecisionKind kind, long now, Supplier<List<Step>> decision) {
         long begun = meter.clock.now();
         List<Step> steps = decision.get();
-        meter.took(account, event, meter.clock.since(begun), now);
+        meter.recordDecision(cost, kind, meter.clock.elapsedSince(begun), now);
         for (Step step : steps) {
-            if (step instanceof Step.TellPeer told) {
-                meter.said(account, Kind.DATAGRAM_OUT, told.bytes().length, now);
+            if (step instanceof Step.TellPeer datagram) {
+                meter.recordMessage(cost, MessageKind.DATAGRAM_OUT, datagram.bytes().length, now);
             } else if (step instanceof Step.Probe) {
-                meter.said(account, Kind.PROBE_OUT, PROBE_BYTES, now);
+                meter.recordMessage(cost, MessageKind.PROBE_OUT, PROBE_BYTES, now);
             } else if (step instanceof Step.Watch) {
-                meter.said(account, Kind.LIST_OUT, WATCH_BYTES, now);
+                meter.recordMessage(cost, MessageKind.LIST_OUT, WATCH_BYTES, now);
             }
         }
         return steps;
     }
 
-    boolean dropList() {
-        boolean had = list != null;
-        list = null;
-        return had;
+    boolean releaseList() {
+        boolean released = retainedList != null;
+        retainedList = null;
+        return released;
     }
 
-    void dropModule() {
+    void releaseModule() {
         module = null;
     }
 }
--- a/src/main/java/saffronferry/scale/ScaleSimulation.java
+++ b/src/main/java/saffronferry/scale/ScaleSimulation.java
@@ -15,14 +15,14 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.world.World;
 import saffronferry.lab.world.World.Day;
-import saffronferry.scale.CostMeter.Account;
-import saffronferry.scale.CostMeter.Event;
-import saffronferry.scale.CostMeter.Kind;
+import saffronferry.scale.CostMeter.DecisionKind;
+import saffronferry.scale.CostMeter.DispatcherCost;
+import saffronferry.scale.CostMeter.MessageKind;
 
 /** Plays a scenario with hollow dispatchers and says what each of them costs. */
 public final class ScaleSimulation {
     /** Rules that were broken, told in full. */
-    private static final int MOST_TOLD = 3;
+    private static final int MAX_REPORTED_VIOLATIONS = 3;
 
     private ScaleSimulation() {}
 
@@ -32,7 +32,7 @@
      * @param set the keys that a sweep has set other than the numbers of dispatchers and workers, as written
      * @param broken the limits and rules that were broken, a line each
      */
-    public record Run(Scenario scenario, Map<String, String> set, Map<String, Double> figures, List<String> broken) {
+    public record Run(Scenario scenario, Map<String, String> set, Map<String, Double> figures, List<String> violations) {
         /** As the result file has it. */
         public JSONObject json() {
             JSONObject json = new JSONObject()
@@ -42,7 +42,7 @@
                     .put("seconds", scenario.length() / 1e6)
                     .put("figures", new JSONObject(figures))
                     .put("limits", new JSONObject(scenario.limits().stated()))
-                    .put("broken", new JSONArray(broken));
+                    .put("broken", new JSONArray(violations));
             return set.isEmpty() ? json : json.put("set", new JSONObject(set));
         }
     }
@@ -63,9 +63,9 @@
         CostMeter meter = new CostMeter(scenario, now -> progress.accept((now - World.DAY_STARTS) / 1_000_000));
         Day day = World.play(scenario, Policy.NETWORKED_QUEUES, seed, meter);
         Map<String, Double> figures = figures(scenario, meter, day);
-        weigh(meter, figures);
+        measureHeap(meter, figures);
         figures.replaceAll((name, value) -> rounded(value));
-        return new Run(scenario, set, figures, broken(scenario, figures, day));
+        return new Run(scenario, set, figures, violations(scenario, figures, day));
     }
 
     private static double rounded(double value) {
@@ -74,50 +74,50 @@
     }
 
     private static Map<String, Double> figures(Scenario scenario, CostMeter meter, Day day) {
-        List<Account> all = meter.accounts;
-        double each = all.size() * (scenario.length() / 1e6);
+        List<DispatcherCost> all = meter.costs;
+        double dispatcherSeconds = all.size() * (scenario.length() / 1e6);
         double requests = Math.max(1, day.requests());
         Map<String, Double> figures = new LinkedHashMap<>();
-        for (Event event : Event.values()) {
-            int e = event.ordinal();
+        for (DecisionKind kind : DecisionKind.values()) {
+            int index = kind.ordinal();
             figures.put(
-                    event.name().toLowerCase(Locale.ROOT) + "_us",
-                    all.stream().mapToLong(a -> a.nanos[e]).sum()
+                    kind.name().toLowerCase(Locale.ROOT) + "_us",
+                    all.stream().mapToLong(a -> a.nanos[index]).sum()
                             / 1e3
                             / Math.max(
                                     1,
-                                    all.stream().mapToLong(a -> a.decisions[e]).sum()));
+                                    all.stream().mapToLong(a -> a.decisions[index]).sum()));
         }
         figures.put(
                 "list_parse_us",
                 all.stream().mapToLong(a -> a.parseNanos).sum()
                         / 1e3
                         / Math.max(1, all.stream().mapToLong(a -> a.parses).sum()));
-        double busy = all.stream().mapToLong(Account::busyNanos).sum();
-        double parsing = all.stream().mapToLong(a -> a.parseNanos).sum();
-        figures.put("decision_us_per_request", (busy - parsing) / 1e3 / requests);
-        figures.put("decision_core_percent", busy / 1e9 / each * 100);
+        double busyNanos = all.stream().mapToLong(DispatcherCost::busyNanos).sum();
+        double parseNanosTotal = all.stream().mapToLong(a -> a.parseNanos).sum();
+        figures.put("decision_us_per_request", (busyNanos - parseNanosTotal) / 1e3 / requests);
+        figures.put("decision_core_percent", busyNanos / 1e9 / dispatcherSeconds * 100);
         figures.put(
                 "decision_core_worst_percent",
-                all.stream().mapToLong(Account::busyNanos).max().orElse(0) / 1e3 / scenario.length() * 100);
+                all.stream().mapToLong(DispatcherCost::busyNanos).max().orElse(0) / 1e3 / scenario.length() * 100);
         figures.put(
                 "messages_per_request",
-                (sum(all, Kind.DATAGRAM_OUT, false) + sum(all, Kind.PROBE_OUT, false)) / requests);
+                (sum(all, MessageKind.DATAGRAM_OUT, false) + sum(all, MessageKind.PROBE_OUT, false)) / requests);
         figures.put("requests_per_s", day.requests() / (scenario.length() / 1e6));
-        figures.put("datagrams_out_per_s", sum(all, Kind.DATAGRAM_OUT, false) / each);
-        figures.put("probes_out_per_s", sum(all, Kind.PROBE_OUT, false) / each);
-        figures.put("lists_in_per_s", sum(all, Kind.LIST_IN, false) / each);
-        for (Kind kind : Kind.values()) {
+        figures.put("datagrams_out_per_s", sum(all, MessageKind.DATAGRAM_OUT, false) / dispatcherSeconds);
+        figures.put("probes_out_per_s", sum(all, MessageKind.PROBE_OUT, false) / dispatcherSeconds);
+        figures.put("lists_in_per_s", sum(all, MessageKind.LIST_IN, false) / dispatcherSeconds);
+        for (MessageKind kind : MessageKind.values()) {
             String name = kind.name().toLowerCase(Locale.ROOT).replace("_", "_bytes_") + "_per_s";
-            figures.put(name, sum(all, kind, true) / each);
+            figures.put(name, sum(all, kind, true) / dispatcherSeconds);
         }
         figures.put(
                 "whole_list_bytes_in_per_s",
-                all.stream().mapToLong(a -> a.wholeListBytes).sum() / each);
+                all.stream().mapToLong(a -> a.wholeListBytes).sum() / dispatcherSeconds);
         figures.put("settings_bytes_per_s", 0.0);
         figures.put(
                 "control_bytes_per_s",
-                all.stream().mapToLong(Account::controlBytes).sum() / each);
+                all.stream().mapToLong(DispatcherCost::controlBytes).sum() / dispatcherSeconds);
         figures.put("control_bytes_worst_per_s", (double) all.stream()
                 .flatMapToLong(a -> Arrays.stream(a.bytesBySecond))
                 .max()
@@ -135,49 +135,49 @@
         return figures;
     }
 
-    private static double sum(List<Account> all, Kind kind, boolean bytes) {
+    private static double sum(List<DispatcherCost> all, MessageKind kind, boolean bytes) {
         return all.stream()
                 .mapToLong(a -> (bytes ? a.bytes : a.messages)[kind.ordinal()])
                 .sum();
     }
 
     /** After the play its world is gone: what is left of the heap is let go of part by part. */
-    private static void weigh(CostMeter meter, Map<String, Double> figures) {
-        double both = HeapUsage.usedMb();
-        int lists = meter.dropLists();
-        double modules = HeapUsage.usedMb();
-        meter.dropModules();
-        double nothing = HeapUsage.usedMb();
-        double module = Math.max(0, modules - nothing) / meter.accounts.size();
-        double list = Math.max(0, both - modules) / Math.max(1, lists);
+    private static void measureHeap(CostMeter meter, Map<String, Double> figures) {
+        double withLists = HeapUsage.usedMb();
+        int lists = meter.releaseLists();
+        double withoutLists = HeapUsage.usedMb();
+        meter.releaseModules();
+        double released = HeapUsage.usedMb();
+        double module = Math.max(0, withoutLists - released) / meter.costs.size();
+        double list = Math.max(0, withLists - withoutLists) / Math.max(1, lists);
         figures.put("heap_mb_per_dispatcher", module + list);
         figures.put("module_heap_mb_per_dispatcher", module);
         figures.put("list_heap_mb_per_dispatcher", list);
     }
 
-    private static List<String> broken(Scenario scenario, Map<String, Double> figures, Day day) {
-        List<String> broken = new ArrayList<>();
+    private static List<String> violations(Scenario scenario, Map<String, Double> figures, Day day) {
+        List<String> violations = new ArrayList<>();
         Limits.FIGURES.keySet().stream()
                 .filter(scenario.limits().stated()::containsKey)
                 .forEach(name -> {
                     double limit = scenario.limits().stated().get(name);
-                    double seen = figures.get(name);
-                    boolean least = Limits.isLeast(name);
-                    if (least ? seen < limit : seen > limit) {
-                        broken.add(name + " " + plain(seen) + (least ? " under " : " over ") + plain(limit));
+                    double measured = figures.get(name);
+                    boolean isMinimum = Limits.isLeast(name);
+                    if (isMinimum ? measured < limit : measured > limit) {
+                        violations.add(name + " " + format(measured) + (isMinimum ? " under " : " over ") + format(limit));
                     }
                 });
         day.broken().stream()
-                .limit(MOST_TOLD)
+                .limit(MAX_REPORTED_VIOLATIONS)
                 .map(RuleChecker.Broken::toString)
-                .forEach(b -> broken.add(b.lines().findFirst().orElse("")));
-        if (day.brokenInAll() > MOST_TOLD) {
-            broken.add("rules broken in all: " + day.brokenInAll());
+                .forEach(b -> violations.add(b.lines().findFirst().orElse("")));
+        if (day.brokenInAll() > MAX_REPORTED_VIOLATIONS) {
+            violations.add("rules broken in all: " + day.brokenInAll());
         }
-        return broken;
+        return violations;
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 }
--- a/src/main/java/saffronferry/scale/ThreadCpuClock.java
+++ b/src/main/java/saffronferry/scale/ThreadCpuClock.java
@@ -9,20 +9,20 @@
  * on the machine takes. To look costs time of its own, which {@link #since} leaves out.
  */
 final class ThreadCpuClock {
-    private static final int LOOKS = 20_001;
+    private static final int CALIBRATION_READS = 20_001;
 
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
-    private final long look;
+    private final long readCostNanos;
 
     /** Measures first what a look costs: the median of many. */
     ThreadCpuClock() {
-        long[] seen = new long[LOOKS];
-        for (int i = 0; i < LOOKS; i++) {
+        long[] readCosts = new long[CALIBRATION_READS];
+        for (int i = 0; i < CALIBRATION_READS; i++) {
             long begun = now();
-            seen[i] = now() - begun;
+            readCosts[i] = now() - begun;
         }
-        Arrays.sort(seen);
-        look = seen[LOOKS / 2];
+        Arrays.sort(readCosts);
+        readCostNanos = readCosts[CALIBRATION_READS / 2];
     }
 
     long now() {
@@ -30,7 +30,7 @@
     }
 
     /** What the thread has spent since an earlier {@link #now}, without the look itself. */
-    long since(long begun) {
-        return Math.max(0, now() - begun - look);
+    long elapsedSince(long begun) {
+        return Math.max(0, now() - begun - readCostNanos);
     }
 }
--- a/src/main/java/saffronferry/scale/WorkerListCodec.java
+++ b/src/main/java/saffronferry/scale/WorkerListCodec.java
@@ -19,13 +19,13 @@
  */
 final class WorkerListCodec {
     /** What is kept of lines made: enough for a burst of changes, or for some whole lists. */
-    private static final long MOST_BYTES = 16_000_000;
+    private static final long MAX_CACHED_BYTES = 16_000_000;
 
     private final List<String> kinds;
     private final List<String> zones;
     private final ListParser parser;
-    private final Map<List<WorkerInfo>, byte[]> made = new LinkedHashMap<>();
-    private long bytes;
+    private final Map<List<WorkerInfo>, byte[]> encodedLines = new LinkedHashMap<>();
+    private long cachedBytes;
     private long revision;
 
     WorkerListCodec(Scenario scenario) {
@@ -35,21 +35,21 @@
     }
 
     /** The bytes of one line, its line feed included. */
-    byte[] line(List<WorkerInfo> entries, ListKind kind) {
-        byte[] line = made.get(entries);
+    byte[] encode(List<WorkerInfo> entries, ListKind kind) {
+        byte[] line = encodedLines.get(entries);
         if (line == null) {
-            line = make(entries, kind != ListKind.CHANGES);
-            made.put(entries, line);
-            bytes += line.length;
-            for (Iterator<byte[]> oldest = made.values().iterator(); bytes > MOST_BYTES && made.size() > 1; ) {
-                bytes -= oldest.next().length;
+            line = encodeUncached(entries, kind != ListKind.CHANGES);
+            encodedLines.put(entries, line);
+            cachedBytes += line.length;
+            for (Iterator<byte[]> oldest = encodedLines.values().iterator(); cachedBytes > MAX_CACHED_BYTES && encodedLines.size() > 1; ) {
+                cachedBytes -= oldest.next().length;
                 oldest.remove();
             }
         }
         return line;
     }
 
-    private byte[] make(List<WorkerInfo> entries, boolean whole) {
+    private byte[] encodeUncached(List<WorkerInfo> entries, boolean whole) {
         StringBuilder text = new StringBuilder(160 * entries.size() + 64)
                 .append("{\"revision\":")
                 .append(++revision)
@@ -58,12 +58,12 @@
                 .append(",\"members\":[");
         for (int i = 0; i < entries.size(); i++) {
             text.append(i == 0 ? "" : ",");
-            member(text, entries.get(i));
+            appendMember(text, entries.get(i));
         }
         return text.append("]}\n").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private void member(StringBuilder text, WorkerInfo w) {
+    private void appendMember(StringBuilder text, WorkerInfo w) {
         text.append("{\"id\":")
                 .append(JSONObject.quote(w.address()))
                 .append(",\"host_port\":")
@@ -90,7 +90,7 @@
     }
 
     /** What a dispatcher reads from a line; an entry that it cannot read ends the play. */
-    ListUpdate read(byte[] line) {
+    ListUpdate decode(byte[] line) {
         return parser.parse(new String(line, StandardCharsets.UTF_8), bad -> {
             throw new IllegalStateException("a line of the list cannot be read: " + bad);
         });
--- a/src/test/java/saffronferry/scale/ScaleSimulationTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -67,16 +67,16 @@
     void aLineIsMadeOnceAndReadByEachFromItsBytes() throws Exception {
         WorkerListCodec lines = new WorkerListCodec(small(""));
         List<WorkerInfo> told = workers();
-        byte[] line = lines.line(told, ListKind.WHOLE);
-        assertSame(line, lines.line(List.copyOf(told), ListKind.WHOLE), "made once");
+        byte[] line = lines.encode(told, ListKind.WHOLE);
+        assertSame(line, lines.encode(List.copyOf(told), ListKind.WHOLE), "made once");
         JSONObject json = new JSONObject(new String(line, StandardCharsets.UTF_8));
         assertTrue(json.getBoolean("complete") && json.getJSONArray("members").length() == told.size());
         assertEquals('\n', line[line.length - 1]);
         List<WorkerInfo> read =
-                lines.read(line).entries().stream().map(e -> e.info()).toList();
+                lines.decode(line).entries().stream().map(e -> e.info()).toList();
         assertEquals(told, read);
         List<WorkerInfo> again =
-                lines.read(line).entries().stream().map(e -> e.info()).toList();
+                lines.decode(line).entries().stream().map(e -> e.info()).toList();
         for (int i = 0; i < told.size(); i++) {
             assertNotSame(told.get(i).address(), read.get(i).address());
             assertNotSame(read.get(i).address(), again.get(i).address(), "each dispatcher has its own");
@@ -84,11 +84,11 @@
         // one byte changed is another list
         byte[] other = line.clone();
         other[new String(line, StandardCharsets.UTF_8).indexOf("10.0.0.0") + 7] = '9';
-        assertEquals("10.0.0.9:9100", lines.read(other).entries().get(0).info().address());
+        assertEquals("10.0.0.9:9100", lines.decode(other).entries().get(0).info().address());
     }
 
     /** Takes down what a module is told; says one datagram for each thing it is told. */
-    private static final class Scribe implements Brain {
+    private static final class RecordingBrain implements Brain {
         final List<News> news = new ArrayList<>();
 
         @Override
@@ -111,62 +111,62 @@
     @Test
     void theModuleIsToldWhatWasReadAndWhatIsSaidIsCounted() throws Exception {
         CostMeter meter = new CostMeter(small(""), now -> {});
-        Scribe scribe = new Scribe();
-        Brain hollow = meter.wrap(scribe, 0);
+        RecordingBrain recorder = new RecordingBrain();
+        Brain hollow = meter.wrap(recorder, 0);
         List<WorkerInfo> told = workers();
         long now = World.DAY_STARTS + 1_500_000;
         hollow.report(now, new News.Resolved(ListKind.CHANGES, told));
         byte[] datagram = {1, 2, 3};
         hollow.report(now, new News.PeerSaid(4, datagram));
         hollow.report(now, new News.Resolved(ListKind.WARM_COPY, told));
-        List<WorkerInfo> seen = ((News.Resolved) scribe.news.get(0)).entries();
+        List<WorkerInfo> seen = ((News.Resolved) recorder.news.get(0)).entries();
         assertEquals(told, seen);
         assertNotSame(told.get(0), seen.get(0));
-        assertArrayEquals(datagram, ((News.PeerSaid) scribe.news.get(1)).bytes());
-        CostMeter.Account account = meter.accounts.get(0);
+        assertArrayEquals(datagram, ((News.PeerSaid) recorder.news.get(1)).bytes());
+        CostMeter.DispatcherCost cost = meter.costs.get(0);
         assertEquals(
-                meter.lines.line(told, ListKind.CHANGES).length,
-                account.bytes[CostMeter.Kind.LIST_IN.ordinal()],
+                meter.listCodec.encode(told, ListKind.CHANGES).length,
+                cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()],
                 "a start's copy is from a file");
-        assertEquals(3, account.bytes[CostMeter.Kind.DATAGRAM_IN.ordinal()]);
-        assertEquals(120, account.bytes[CostMeter.Kind.DATAGRAM_OUT.ordinal()]);
-        assertEquals(3, account.messages[CostMeter.Kind.PROBE_OUT.ordinal()]);
-        assertEquals(account.controlBytes(), account.bytesBySecond[1]);
-        assertEquals(2, account.decisions[CostMeter.Event.LIST.ordinal()]);
-        assertEquals(0, meter.accounts.get(1).controlBytes());
+        assertEquals(3, cost.bytes[CostMeter.MessageKind.DATAGRAM_IN.ordinal()]);
+        assertEquals(120, cost.bytes[CostMeter.MessageKind.DATAGRAM_OUT.ordinal()]);
+        assertEquals(3, cost.messages[CostMeter.MessageKind.PROBE_OUT.ordinal()]);
+        assertEquals(cost.controlBytes(), cost.bytesBySecond[1]);
+        assertEquals(2, cost.decisions[CostMeter.DecisionKind.LIST.ordinal()]);
+        assertEquals(0, meter.costs.get(1).controlBytes());
     }
 
     /** The first whole list belongs to the start, however late it comes; the next one is the day's. */
     @Test
     void theFirstWholeListIsTheStartsAndNoOther() throws Exception {
         CostMeter meter = new CostMeter(small(""), now -> {});
-        Brain hollow = meter.wrap(new Scribe(), 0);
-        CostMeter.Account account = meter.accounts.get(0);
-        int whole = meter.lines.line(workers(), ListKind.WHOLE).length;
+        Brain hollow = meter.wrap(new RecordingBrain(), 0);
+        CostMeter.DispatcherCost cost = meter.costs.get(0);
+        int whole = meter.listCodec.encode(workers(), ListKind.WHOLE).length;
         for (int time = 0; time < 2; time++) {
-            assertEquals(0, account.bytes[CostMeter.Kind.LIST_IN.ordinal()]);
-            hollow = time == 0 ? hollow : meter.wrap(new Scribe(), 0); // a restart
+            assertEquals(0, cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()]);
+            hollow = time == 0 ? hollow : meter.wrap(new RecordingBrain(), 0); // a restart
             hollow.report(World.DAY_STARTS + 1, new News.Resolved(ListKind.WHOLE, workers()));
         }
-        assertEquals(whole, account.bytes[CostMeter.Kind.LIST_IN.ordinal()]);
-        assertEquals(whole, account.wholeListBytes);
-        assertEquals(1, account.decisions[CostMeter.Event.LIST.ordinal()], "nor does its time count for the day");
-        assertEquals(1, account.parses);
-        assertTrue(account.startNanos > 0);
-        assertEquals(whole, account.startBytes);
+        assertEquals(whole, cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()]);
+        assertEquals(whole, cost.wholeListBytes);
+        assertEquals(1, cost.decisions[CostMeter.DecisionKind.LIST.ordinal()], "nor does its time count for the day");
+        assertEquals(1, cost.parses);
+        assertTrue(cost.startNanos > 0);
+        assertEquals(whole, cost.startBytes);
     }
 
     /** What is before the first request, or after the last, is none of the day's. */
     @Test
     void onlyTheDayCounts() throws Exception {
         CostMeter meter = new CostMeter(small(""), now -> {});
-        Brain hollow = meter.wrap(new Scribe(), 0);
+        Brain hollow = meter.wrap(new RecordingBrain(), 0);
         hollow.report(World.DAY_STARTS - 1, new News.PeerSaid(1, new byte[10]));
         hollow.report(World.DAY_STARTS + 3_000_000, new News.PeerSaid(1, new byte[10]));
-        CostMeter.Account account = meter.accounts.get(0);
-        assertEquals(0, account.controlBytes());
-        assertTrue(account.startBytes > 10, "told apart: " + account.startBytes);
-        assertEquals(0, account.decisions[CostMeter.Event.DATAGRAM.ordinal()]);
+        CostMeter.DispatcherCost cost = meter.costs.get(0);
+        assertEquals(0, cost.controlBytes());
+        assertTrue(cost.startBytes > 10, "told apart: " + cost.startBytes);
+        assertEquals(0, cost.decisions[CostMeter.DecisionKind.DATAGRAM.ordinal()]);
     }
 
     // ---- plays ----
@@ -214,13 +214,13 @@
     @Test
     void limitsAreJudgedFromTheirSide() throws Exception {
         ScaleSimulation.Run play = play(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
-        assertEquals(2, play.broken().size(), play.broken().toString());
+        assertEquals(2, play.violations().size(), play.violations().toString());
         assertTrue(
-                play.broken().get(0).matches("control_bytes_per_s [0-9.]+ over 10"),
-                play.broken().get(0));
+                play.violations().get(0).matches("control_bytes_per_s [0-9.]+ over 10"),
+                play.violations().get(0));
         assertTrue(
-                play.broken().get(1).matches("goal_share 0\\.\\d+ under 1"),
-                play.broken().get(1));
+                play.violations().get(1).matches("goal_share 0\\.\\d+ under 1"),
+                play.violations().get(1));
         JSONObject json = ScaleSimulation.json("small.toml", 1, List.of(play));
         JSONObject first = json.getJSONArray("plays").getJSONObject(0);
         assertEquals(10, first.getJSONObject("limits").getInt("control_bytes_per_s"));
@@ -238,7 +238,7 @@
         double apart = figure(regions(cut), "datagram_bytes_in_per_s");
         assertTrue(apart < calm, apart + " heard, uncut " + calm);
         for (String trouble : List.of(lost, cut, rack)) {
-            assertEquals(List.of(), play(regions(trouble)).broken(), trouble);
+            assertEquals(List.of(), play(regions(trouble)).violations(), trouble);
         }
         double served = figure(regions(lost), "served_share");
         assertTrue(served < figure(regions(""), "served_share"), "clients there meet nobody: " + served);
@@ -260,7 +260,7 @@
                 ScaleSimulation.Run play = play(ScenarioReader.read(file, fewer));
                 assertEquals(
                         List.of(),
-                        play.broken().stream().filter(b -> b.startsWith("rule")).toList(),
+                        play.violations().stream().filter(b -> b.startsWith("rule")).toList(),
                         file + "");
                 assertTrue(play.figures().get("served_share") > 0.5, file + ": " + play.figures());
                 assertFalse(
