--- a/src/main/java/saffronferry/rig/DatagramRelay.java
+++ b/src/main/java/saffronferry/rig/DatagramRelay.java
@@ -13,15 +13,17 @@
 import saffronferry.lab.scenario.PeerLinks;
 
 /**
- * Carries datagrams between dispatchers over a socket for each pair, so that each link can be troubled alone
- * and each dispatcher sees every other one at one address.
+ * Forwards peer datagrams over one socket per ordered pair of dispatchers, so that faults can affect each link
+ * separately and each dispatcher sees every other one at a fixed address.
  */
 final class DatagramRelay {
+    private static final int MAX_DATAGRAM_BYTES = 256;
+
     private final Vertx vertx;
     private final int dispatchers;
     private final LongSupplier clock;
     private final SplittableRandom random;
-    /** At [a][b]: where a sends what is for b, and where what b says comes from at a. */
+    /** {@code sockets[a][b]}: a sends datagrams for b to it, and receives those of b from it. */
     private final DatagramSocket[][] sockets;
 
     private final String[] hosts;
@@ -30,7 +32,7 @@
     private volatile boolean closed;
     long datagrams;
     long bytes;
-    long tooLong;
+    long oversized;
 
     DatagramRelay(Vertx vertx, int dispatchers, LongSupplier clock, SplittableRandom random) {
         this.vertx = vertx;
@@ -42,7 +44,7 @@
         ports = new int[dispatchers];
     }
 
-    /** Opens all sockets at a host. */
+    /** Opens all sockets on a host. */
     Future<?> open(String host) {
         List<Future<?>> all = new ArrayList<>();
         for (int a = 0; a < dispatchers; a++) {
@@ -52,7 +54,7 @@
                     int to = b;
                     sockets[a][b] = vertx.createDatagramSocket(new DatagramSocketOptions());
                     sockets[a][b].exceptionHandler(e -> {});
-                    sockets[a][b].handler(packet -> carry(from, to, packet));
+                    sockets[a][b].handler(packet -> forward(from, to, packet));
                     all.add(sockets[a][b].listen(0, host));
                 }
             }
@@ -60,38 +62,38 @@
         return Future.all(all);
     }
 
-    /** Where a dispatcher itself listens. */
-    void at(int dispatcher, String host, int port) {
+    /** Sets the address at which a dispatcher listens. */
+    void setTarget(int dispatcher, String host, int port) {
         hosts[dispatcher] = host;
         ports[dispatcher] = port;
     }
 
-    /** From now on links are troubled by these. */
-    void trouble(PeerLinks by) {
-        links = by;
+    /** Applies these link faults from now on. */
+    void setLinks(PeerLinks newLinks) {
+        links = newLinks;
     }
 
-    /** The address of one dispatcher as another is told it. */
-    String address(int of, int toldTo, String host) {
-        return host + ":" + sockets[toldTo][of].localAddress().port();
+    /** The address of one dispatcher as another one sees it. */
+    String address(int target, int viewer, String host) {
+        return host + ":" + sockets[viewer][target].localAddress().port();
     }
 
-    private void carry(int from, int to, DatagramPacket packet) {
+    private void forward(int from, int to, DatagramPacket packet) {
         Buffer data = packet.data();
         datagrams++;
         bytes += data.length();
-        tooLong += data.length() > 256 ? 1 : 0;
+        oversized += data.length() > MAX_DATAGRAM_BYTES ? 1 : 0;
         List<Long> copies = links == null ? List.of(0L) : links.copies(clock.getAsLong(), from, to, random::nextDouble);
-        for (long late : copies) {
-            if (late < 1000) {
+        for (long delay : copies) {
+            if (delay < 1000) {
                 deliver(from, to, data);
             } else {
-                vertx.setTimer(late / 1000, t -> deliver(from, to, data));
+                vertx.setTimer(delay / 1000, t -> deliver(from, to, data));
             }
         }
     }
 
-    /** What is still under way is carried no further: sockets close in no order. */
+    /** Drops delayed datagrams from now on: the sockets close in no defined order. */
     void close() {
         closed = true;
     }
--- a/src/main/java/saffronferry/rig/DispatcherProcess.java
+++ b/src/main/java/saffronferry/rig/DispatcherProcess.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import org.json.JSONObject;
 
-/** One dispatcher: its address, its configuration and, for each of its lives, its process. */
+/** One dispatcher: its addresses, its configuration and its current process, which can be restarted. */
 final class DispatcherProcess {
-    /** Small heaps: the processes of a rig share one machine. */
-    private static final List<String> JVM = List.of(
+    /** Small heaps and buffers, because all processes of a rig share one machine. */
+    private static final List<String> JVM_OPTIONS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-XX:CompileThresholdScaling=3",
@@ -32,30 +32,30 @@
             "-Dvertx.disableDnsResolver=true",
             "-Djava.net.preferIPv4Stack=true");
 
-    private static final File NOTHING = new File("/dev/null");
+    private static final File DEV_NULL = new File("/dev/null");
 
     final int number;
     final String host;
     final int port;
     final int peerPort;
-    /** 0: operators cannot call it. */
+    /** 0: the operators' console is disabled. */
     final int consolePort;
 
     private final Path folder;
-    /** How a deployment starts it, for the shell; null: the program that this one is part of. */
-    private final String run;
+    /** A deployment's shell command; null: starts the program on this class path. */
+    private final String shellCommand;
 
     private Process process;
-    private int life = -1;
-    private boolean stopped;
+    private int generation = -1;
+    private boolean paused;
 
     DispatcherProcess(int number, String host, int port, int peerPort, Path folder) {
         this(number, host, port, peerPort, 0, folder, null);
     }
 
-    /** {@code run}: a deployment's line that ends in one process, as deploy/balancer.toml has it. */
-    DispatcherProcess(int number, String host, int port, int peerPort, int consolePort, Path folder, String run) {
-        this.run = run;
+    /** {@code shellCommand}: a deployment's command that ends in one process, as in deploy/balancer.toml. */
+    DispatcherProcess(int number, String host, int port, int peerPort, int consolePort, Path folder, String shellCommand) {
+        this.shellCommand = shellCommand;
         this.number = number;
         this.host = host;
         this.port = port;
@@ -64,34 +64,34 @@
         this.folder = folder;
     }
 
-    int life() {
-        return life;
+    int generation() {
+        return generation;
     }
 
     boolean alive() {
         return process != null && process.isAlive();
     }
 
-    boolean stopped() {
-        return stopped;
+    boolean paused() {
+        return paused;
     }
 
     Process process() {
         return process;
     }
 
-    /** Writes the configuration; a process that runs reads it at SIGHUP. */
+    /** Writes the configuration; a running process reloads it on SIGHUP. */
     void configure(JSONObject config) throws IOException {
         Files.writeString(folder.resolve("config.json"), config.toString());
     }
 
     private List<String> command(Path temporary) {
-        if (run != null) {
-            return List.of("sh", "-c", run);
+        if (shellCommand != null) {
+            return List.of("sh", "-c", shellCommand);
         }
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(JVM);
+        command.addAll(JVM_OPTIONS);
         command.addAll(List.of(
                 "-Djava.io.tmpdir=" + temporary,
                 "-cp",
@@ -101,15 +101,15 @@
         return command;
     }
 
-    /** Starts it, in a process of its own. */
+    /** Starts a new process. */
     void start() throws IOException {
-        life++;
-        stopped = false;
+        generation++;
+        paused = false;
         Path temporary = Files.createDirectories(folder.resolve("tmp"));
-        // guards against a descriptor for each life: a pipe to a process stays open after its end
+        // files instead of pipes: a pipe to a process stays open after its end, one descriptor per start
         ProcessBuilder builder = new ProcessBuilder(command(temporary))
                 .redirectErrorStream(true)
-                .redirectInput(NOTHING)
+                .redirectInput(DEV_NULL)
                 .redirectOutput(
                         ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
         builder.environment()
@@ -118,35 +118,35 @@
         process = builder.start();
     }
 
-    /** Ends it at once. */
+    /** Kills the process without waiting. */
     void kill() {
         if (process != null) {
             process.destroyForcibly();
-            stopped = false;
+            paused = false;
         }
     }
 
-    /** STOP, CONT, HUP or TERM; nothing happens to a process that is gone. */
+    /** Sends STOP, CONT, HUP or TERM; does nothing if the process has ended. */
     void signal(String name) throws IOException {
         if (alive()) {
-            stopped = name.equals("STOP") || stopped && !name.equals("CONT");
+            paused = name.equals("STOP") || paused && !name.equals("CONT");
             new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
-                    .redirectInput(NOTHING)
-                    .redirectOutput(NOTHING)
-                    .redirectError(NOTHING)
+                    .redirectInput(DEV_NULL)
+                    .redirectOutput(DEV_NULL)
+                    .redirectError(DEV_NULL)
                     .start();
         }
     }
 
-    /** Ends it, and waits until it has ended, so that its ports are free. */
-    void end() throws InterruptedException {
+    /** Kills the process and waits for its end, so that its ports are free. */
+    void killAndWait() throws InterruptedException {
         kill();
         if (process != null) {
             process.waitFor(10, TimeUnit.SECONDS);
         }
     }
 
-    /** What it has logged, over all its lives. */
+    /** The log of all its processes so far. */
     String log() throws IOException {
         Path log = folder.resolve("log");
         return Files.exists(log) ? Files.readString(log) : "";
--- a/src/main/java/saffronferry/rig/FaultInjector.java
+++ b/src/main/java/saffronferry/rig/FaultInjector.java
@@ -10,30 +10,32 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.Scenario.Trouble;
 
-/** Makes go wrong what the scenario says; datagrams are {@link DatagramRelay}'s. */
+/** Injects the faults of a scenario; faults of peer links are applied by {@link DatagramRelay}. */
 final class FaultInjector {
-    /** How long new connections still come after SIGTERM, and until SIGKILL, as on the platform. */
-    private static final long TERM_NEW_MS = 300;
+    /** How long new connections still arrive after SIGTERM, as on the platform. */
+    private static final long TERM_ACCEPT_MS = 300;
 
+    /** Time from SIGTERM to SIGKILL, as on the platform. */
     private static final long TERM_KILL_MS = 3_700;
-    private static final long LOOK_UP_MS = 100;
+
+    private static final long READINESS_POLL_MS = 100;
 
     private final FaultRig rig;
-    private final LoadGenerator front;
+    private final LoadGenerator loadGenerator;
     private final Vertx vertx;
     private final Scenario scenario;
 
-    FaultInjector(FaultRig rig, LoadGenerator front) {
+    FaultInjector(FaultRig rig, LoadGenerator loadGenerator) {
         this.rig = rig;
-        this.front = front;
+        this.loadGenerator = loadGenerator;
         vertx = rig.vertx;
         scenario = rig.scenario;
     }
 
-    void plan() {
+    void scheduleAll() {
         for (Trouble t : scenario.troubles()) {
             SplittableRandom random = rig.random.split();
-            vertx.setTimer(Math.max(1, t.at() / 1000), x -> begin(t, random));
+            vertx.setTimer(Math.max(1, t.at() / 1000), x -> inject(t, random));
         }
     }
 
@@ -48,108 +50,108 @@
         return up.subList(0, n);
     }
 
-    /** The first ones, so that a file can name them: part of all. */
+    /** The affected share of the dispatchers, lowest numbers first, so that a scenario can predict which. */
     private List<DispatcherProcess> dispatchers(Trouble t) {
         int n = rig.dispatchers.size();
         return rig.dispatchers.subList(0, (int) Math.min(n, Math.max(1, Math.round(t.part() * n))));
     }
 
-    private void after(long micros, Runnable what) {
-        vertx.setTimer(Math.max(1, micros / 1000), x -> what.run());
+    private void schedule(long micros, Runnable task) {
+        vertx.setTimer(Math.max(1, micros / 1000), x -> task.run());
     }
 
-    private void begin(Trouble t, SplittableRandom random) {
+    private void inject(Trouble t, SplittableRandom random) {
         long size = Math.round(t.size() * 1e6);
         switch (t.kind()) {
             case "slow" ->
                 workers(t, random).forEach(w -> {
-                    w.slow(Math.max(1, t.size()));
-                    after(t.length(), () -> w.slow(1));
+                    w.setSlowdown(Math.max(1, t.size()));
+                    schedule(t.length(), () -> w.setSlowdown(1));
                 });
             case "crash" ->
                 workers(t, random).forEach(w -> {
                     w.crash();
-                    rig.listed(w, "DELETED", scenario.discovery().silentNotice());
-                    replaced(w, 0);
+                    rig.announce(w, "DELETED", scenario.discovery().silentNotice());
+                    startReplacement(w, 0);
                 });
-            case "replace" -> workers(t, random).forEach(w -> replace(w, size));
+            case "replace" -> workers(t, random).forEach(w -> replaceWorker(w, size));
             case "deploy" -> {
                 List<StandInWorker> all = workers(t, random);
                 for (int i = 0; i < all.size(); i++) {
                     StandInWorker w = all.get(i);
-                    after(t.length() / all.size() * i, () -> replace(w, size));
+                    schedule(t.length() / all.size() * i, () -> replaceWorker(w, size));
                 }
             }
             case "stale_reports" ->
                 workers(t, random).forEach(w -> {
-                    w.silent(true);
-                    after(t.length(), () -> w.silent(false));
+                    w.setReportsEmpty(true);
+                    schedule(t.length(), () -> w.setReportsEmpty(false));
                 });
             case "discovery_outage" ->
                 rig.discoveries.forEach(d -> {
-                    d.outage(true);
-                    after(t.length(), () -> d.outage(false));
+                    d.setOutage(true);
+                    schedule(t.length(), () -> d.setOutage(false));
                 });
             case "list_withheld" ->
                 dispatchers(t).forEach(d -> {
-                    rig.discoveries.get(d.number).withhold(true);
-                    after(t.length(), () -> rig.discoveries.get(d.number).withhold(false));
+                    rig.discoveries.get(d.number).setWithheld(true);
+                    schedule(t.length(), () -> rig.discoveries.get(d.number).setWithheld(false));
                 });
             case "list_disorder" ->
                 dispatchers(t).forEach(d -> {
-                    rig.discoveries.get(d.number).disorder(size, random.split());
-                    after(t.length(), () -> rig.discoveries.get(d.number).disorder(0, random.split()));
+                    rig.discoveries.get(d.number).setDisorder(size, random.split());
+                    schedule(t.length(), () -> rig.discoveries.get(d.number).setDisorder(0, random.split()));
                 });
             case "dispatcher_restart" ->
                 spread(t, d -> {
-                    end(d);
-                    after(size, () -> start(d));
+                    killDispatcher(d);
+                    schedule(size, () -> startDispatcher(d));
                 });
-            case "dispatcher_term" -> spread(t, d -> term(d, size));
-            case "dispatcher_stop" -> spread(t, d -> stop(d, size));
+            case "dispatcher_term" -> spread(t, d -> restartByTerm(d, size));
+            case "dispatcher_stop" -> spread(t, d -> pauseDispatcher(d, size));
             case "dispatcher_hup" -> spread(t, d -> signal(d, "HUP"));
-            case "peer_cut" -> {} // PeerLinks looks at the clock itself
-            default -> throw new IllegalStateException("trouble " + t.kind() + " is not played by the rig");
+            case "peer_cut" -> {} // PeerLinks evaluates the time itself
+            default -> throw new IllegalStateException("trouble " + t.kind() + " is not supported by the fault rig");
         }
     }
 
     private interface DispatcherAction {
-        void to(DispatcherProcess d);
+        void apply(DispatcherProcess d);
     }
 
-    private void spread(Trouble t, DispatcherAction deed) {
+    private void spread(Trouble t, DispatcherAction action) {
         List<DispatcherProcess> all = dispatchers(t);
         for (int i = 0; i < all.size(); i++) {
             DispatcherProcess d = all.get(i);
-            after(t.length() * i / all.size(), () -> deed.to(d));
+            schedule(t.length() * i / all.size(), () -> action.apply(d));
         }
     }
 
-    /** A successor starts at once, cold; the old one finishes for so long. */
-    private void replace(StandInWorker old, long drain) {
+    /** Starts a cold replacement at once; the old worker drains for {@code drain} microseconds. */
+    private void replaceWorker(StandInWorker old, long drain) {
         old.drain();
-        rig.listed(old, "DRAINING", scenario.discovery().notice());
-        replaced(old, 0);
-        after(Math.max(drain, 100_000), () -> {
+        rig.announce(old, "DRAINING", scenario.discovery().notice());
+        startReplacement(old, 0);
+        schedule(Math.max(drain, 100_000), () -> {
             old.crash();
-            rig.listed(old, "DELETED", scenario.discovery().notice());
+            rig.announce(old, "DELETED", scenario.discovery().notice());
         });
     }
 
-    private void replaced(StandInWorker old, long after) {
-        rig.successor(old)
-                .onSuccess(w -> rig.listed(w, "SERVING", scenario.discovery().add() + after));
+    private void startReplacement(StandInWorker old, long delay) {
+        rig.startReplacement(old)
+                .onSuccess(w -> rig.announce(w, "SERVING", scenario.discovery().add() + delay));
     }
 
-    private void end(DispatcherProcess d) {
+    private void killDispatcher(DispatcherProcess d) {
         d.kill();
-        rig.judge.died(d.number);
-        front.dead(d.number, true);
+        rig.verifier.dispatcherKilled(d.number);
+        loadGenerator.setDead(d.number, true);
     }
 
-    private void start(DispatcherProcess d) {
-        if (d.alive()) { // killed a moment ago, and not ended yet
-            after(20_000, () -> start(d));
+    private void startDispatcher(DispatcherProcess d) {
+        if (d.alive()) { // SIGKILL was sent, but the process has not exited yet
+            schedule(20_000, () -> startDispatcher(d));
             return;
         }
         try {
@@ -157,15 +159,15 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        admit(d);
+        readmitWhenServing(d);
     }
 
-    private void admit(DispatcherProcess d) {
-        rig.up(d).onComplete(up -> {
+    private void readmitWhenServing(DispatcherProcess d) {
+        rig.isServing(d).onComplete(up -> {
             if (Boolean.TRUE.equals(up.result())) {
-                front.dead(d.number, false);
+                loadGenerator.setDead(d.number, false);
             } else {
-                vertx.setTimer(LOOK_UP_MS, t -> admit(d));
+                vertx.setTimer(READINESS_POLL_MS, t -> readmitWhenServing(d));
             }
         });
     }
@@ -178,25 +180,25 @@
         }
     }
 
-    /** A planned restart as the platform does it. */
-    private void term(DispatcherProcess d, long down) {
+    /** A planned restart as the platform does it: SIGTERM, grace period, SIGKILL, start. */
+    private void restartByTerm(DispatcherProcess d, long down) {
         signal(d, "TERM");
-        vertx.setTimer(TERM_NEW_MS, t -> front.gone(d.number));
+        vertx.setTimer(TERM_ACCEPT_MS, t -> loadGenerator.removeFromRotation(d.number));
         vertx.setTimer(TERM_KILL_MS, t -> {
-            end(d);
-            after(down, () -> start(d));
+            killDispatcher(d);
+            schedule(down, () -> startDispatcher(d));
         });
     }
 
-    /** It does nothing for so long, and then goes on as if nothing had been. */
-    private void stop(DispatcherProcess d, long length) {
+    /** Pauses the process with SIGSTOP for {@code length} microseconds and resumes it with SIGCONT. */
+    private void pauseDispatcher(DispatcherProcess d, long length) {
         signal(d, "STOP");
-        rig.judge.stopped(d.number);
-        front.dead(d.number, true);
-        after(length, () -> {
-            rig.judge.stopped(d.number);
+        rig.verifier.dispatcherPausedOrResumed(d.number);
+        loadGenerator.setDead(d.number, true);
+        schedule(length, () -> {
+            rig.verifier.dispatcherPausedOrResumed(d.number);
             signal(d, "CONT");
-            admit(d);
+            readmitWhenServing(d);
         });
     }
 }
--- a/src/main/java/saffronferry/rig/FaultRig.java
+++ b/src/main/java/saffronferry/rig/FaultRig.java
@@ -32,90 +32,93 @@
 import saffronferry.lab.scenario.Scenario.Kind;
 
 /**
- * Plays one scenario with real processes, in real time, on addresses of this machine's loopback that it
- * chooses itself. All that it starts has ended, and its folder is gone, when {@link #run} returns.
+ * Runs one scenario with real processes, in real time, on loopback addresses that it chooses itself. When
+ * {@link #run} returns, all started processes have ended and the temporary folder is deleted.
  */
 public final class FaultRig {
-    /** So long a fleet may take until each of it serves, on a machine that is busy. */
-    private static final long START_MS = 90_000;
+    /** Limit for the whole fleet to become ready; long, because the machine may be busy. */
+    private static final long STARTUP_TIMEOUT_MS = 90_000;
 
-    private static final long LOOK_MS = 50;
-    private static final long SETTLE_MS = 2_000;
+    private static final long SAMPLE_INTERVAL_MS = 50;
+    private static final long SETTLE_DELAY_MS = 2_000;
 
     final Vertx vertx;
     final Scenario scenario;
     final List<DispatcherProcess> dispatchers = new ArrayList<>();
     final List<StandInDiscovery> discoveries = new ArrayList<>();
     final Map<String, StandInWorker> workers = new LinkedHashMap<>();
-    final RunVerifier judge;
+    final RunVerifier verifier;
     final SplittableRandom random;
     private final Context context;
-    private final ProcessReaper guardian;
+    private final ProcessReaper reaper;
     private final Path folder;
-    private final String block;
+    private final String addressBlock;
     private final DatagramRelay relay;
-    private final LoadGenerator front;
-    private final HttpClient prober;
-    private final long epoch = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
-    private final UsageOptions measured; // null: nothing is
-    private final FleetResourceUsage use;
+    private final LoadGenerator loadGenerator;
+    private final HttpClient probeClient;
+    private final long clockOffsetUs = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
+    /** Null: resource usage is not measured. */
+    private final UsageOptions usageOptions;
+
+    private final FleetResourceUsage resourceUsage;
     private final double capacity;
     private JSONArray processes;
-    private int successors;
+    private int replacementCount;
     private boolean closed;
 
     /**
-     * What is measured beside the day.
+     * How the resource usage of the dispatchers is measured during a run.
      *
-     * @param run a deployment's line that starts a dispatcher; null: the program that this one is part of
-     * @param settle seconds from the start of the day to the first look
+     * @param startCommand a deployment's shell command that starts a dispatcher; null: the program on this class
+     *     path
+     * @param settleSeconds seconds from the start of the load to the first measurement
      */
-    public record UsageOptions(String run, double settle) {}
+    public record UsageOptions(String startCommand, double settleSeconds) {}
 
-    private FaultRig(Scenario scenario, long seed, UsageOptions measured) throws IOException {
+    private FaultRig(Scenario scenario, long seed, UsageOptions usageOptions) throws IOException {
         this.scenario = scenario;
-        this.measured = measured;
+        this.usageOptions = usageOptions;
         random = new SplittableRandom(seed);
         vertx = Vertx.vertx(
                 new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
         context = vertx.getOrCreateContext();
         folder = Files.createTempDirectory("saffronferry-rig");
-        guardian = new ProcessReaper();
-        block = block();
-        judge = new RunVerifier(scenario, workers, this::now);
+        reaper = new ProcessReaper();
+        addressBlock = addressBlock();
+        verifier = new RunVerifier(scenario, workers, this::now);
         relay = new DatagramRelay(vertx, scenario.dispatchers(), this::now, random.split());
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            String host = block + (i + 1);
+            String host = addressBlock + (i + 1);
             Path own = Files.createDirectory(folder.resolve("dispatcher-" + i));
             dispatchers.add(
-                    measured == null
+                    usageOptions == null
                             ? new DispatcherProcess(i, host, freePort(host), freePort(host), own)
                             : new DispatcherProcess(
-                                    i, host, freePort(host), freePort(host), freePort(host), own, measured.run()));
-            discoveries.add(new StandInDiscovery(vertx, i, judge));
+                                    i, host, freePort(host), freePort(host), freePort(host), own, usageOptions.startCommand()));
+            discoveries.add(new StandInDiscovery(vertx, i, verifier));
         }
-        makeWorkers();
-        capacity = workers.values().stream().mapToDouble(w -> w.model.full()).sum();
-        front = new LoadGenerator(
+        createWorkers();
+        capacity = workers.values().stream().mapToDouble(w -> w.model.warmCapacity()).sum();
+        loadGenerator = new LoadGenerator(
                 vertx,
                 scenario,
                 dispatchers,
-                judge,
+                verifier,
                 this::now,
                 capacity * scenario.load().share() / (scenario.meanWork() / 1e6),
                 random.split());
-        prober = vertx.createHttpClient(
+        probeClient = vertx.createHttpClient(
                 new HttpClientOptions().setKeepAlive(false).setConnectTimeout(1_000));
-        use = new FleetResourceUsage(dispatchers, prober);
+        resourceUsage = new FleetResourceUsage(dispatchers, probeClient);
     }
 
-    /** Microseconds since 1970, from a clock that never goes back. */
+    /** Microseconds since the epoch, from a monotonic clock. */
     long now() {
-        return epoch + System.nanoTime() / 1000;
+        return clockOffsetUs + System.nanoTime() / 1000;
     }
 
-    /** A block of addresses of its own for each rig: two beside each other, or a test's, must not meet. */
-    static String block() {
+    /** A loopback address block per rig, so that concurrent rigs and tests do not share addresses. */
+    static String addressBlock() {
         long self = ProcessHandle.current().pid() * 31 + System.nanoTime() / 1000;
         return "127." + (64 + self % 150) + "." + (1 + self / 150 % 250) + ".";
     }
@@ -128,43 +131,43 @@
         }
     }
 
-    private String side() {
-        return block + "250";
+    private String standInHost() {
+        return addressBlock + "250";
     }
 
-    private void makeWorkers() {
-        double[] owed = new double[scenario.kinds().size()];
+    private void createWorkers() {
+        double[] credit = new double[scenario.kinds().size()];
         double shares = scenario.kinds().stream().mapToDouble(Kind::share).sum();
         int zones = scenario.zones().size();
         for (int i = 0; i < scenario.workers(); i++) {
             int kind = 0;
-            for (int k = 0; k < owed.length; k++) {
-                owed[k] += scenario.kinds().get(k).share() / shares;
-                kind = owed[k] > owed[kind] ? k : kind;
+            for (int k = 0; k < credit.length; k++) {
+                credit[k] += scenario.kinds().get(k).share() / shares;
+                kind = credit[k] > credit[kind] ? k : kind;
             }
-            owed[kind]--;
-            worker("w" + i, i % zones, kind, i % zones * 1_000_000 + i / zones / scenario.cellSize(), 0);
+            credit[kind]--;
+            addWorker("w" + i, i % zones, kind, i % zones * 1_000_000 + i / zones / scenario.cellSize(), 0);
         }
     }
 
-    private StandInWorker worker(String id, int zone, int kind, int cell, long startedAt) {
+    private StandInWorker addWorker(String id, int zone, int kind, int cell, long startedAt) {
         Kind k = scenario.kinds().get(kind);
         double speed = k.speed() * (1 + k.speedCv() * Math.sqrt(3) * (2 * random.nextDouble() - 1));
-        StandInWorker w = new StandInWorker(vertx, this::now, judge, id, zone, kind, cell, k, speed, startedAt);
+        StandInWorker w = new StandInWorker(vertx, this::now, verifier, id, zone, kind, cell, k, speed, startedAt);
         workers.put(id, w);
         return w;
     }
 
-    /** A cold worker in an old one's place, by a name of its own; completes once it listens. */
-    Future<StandInWorker> successor(StandInWorker old) {
-        StandInWorker w = worker("s" + successors++, old.zone, old.kindIndex, old.cell, now());
-        return w.listen(side()).map(w);
+    /** Starts a cold worker with a new id in the place of an old one; completes once it listens. */
+    Future<StandInWorker> startReplacement(StandInWorker old) {
+        StandInWorker w = addWorker("s" + replacementCount++, old.zone, old.kindIndex, old.cell, now());
+        return w.listen(standInHost()).map(w);
     }
 
     JSONObject entry(StandInWorker w, String phase) {
         return new JSONObject()
                 .put("id", w.id)
-                .put("host_port", side() + ":" + w.port())
+                .put("host_port", standInHost() + ":" + w.port())
                 .put("locality", scenario.zones().get(w.zone))
                 .put("flavor", scenario.kinds().get(w.kindIndex).name())
                 .put("cell", w.cell)
@@ -173,28 +176,31 @@
                 .put("up_since_ms", w.startedAt / 1000);
     }
 
-    /** Discovery learns of a worker's state after so many microseconds. */
-    void listed(StandInWorker w, String phase, long after) {
+    /** Announces a worker's phase to all discovery instances after a delay in microseconds. */
+    void announce(StandInWorker w, String phase, long delay) {
         JSONObject entry = entry(w, phase);
-        vertx.setTimer(Math.max(1, after / 1000), t -> discoveries.forEach(d -> d.changed(entry)));
+        vertx.setTimer(Math.max(1, delay / 1000), t -> discoveries.forEach(d -> d.announce(entry)));
     }
 
     /**
-     * Plays a scenario in real time.
+     * Runs a scenario in real time.
      *
-     * @param keepLogs where the dispatchers' logs go, or null
-     * @return what was seen; {@code held} says whether every rule and bound held
-     * @throws IOException if processes or sockets cannot be had
+     * @param keepLogs the folder for the dispatchers' logs, or null
+     * @return the observed results; {@code held} is true if every rule and bound held
+     * @throws IOException if processes or sockets cannot be created
      */
     public static JSONObject run(Scenario scenario, long seed, Path keepLogs)
             throws IOException, InterruptedException {
         return run(scenario, seed, keepLogs, null);
     }
 
-    /** The same; where something is measured {@code processes} has what each dispatcher spent. */
-    public static JSONObject run(Scenario scenario, long seed, Path keepLogs, UsageOptions measured)
+    /**
+     * Runs a scenario in real time and, if {@code usageOptions} is not null, adds the resource usage of each
+     * dispatcher as {@code processes}.
+     */
+    public static JSONObject run(Scenario scenario, long seed, Path keepLogs, UsageOptions usageOptions)
             throws IOException, InterruptedException {
-        FaultRig rig = new FaultRig(scenario.drawn(seed), seed, measured);
+        FaultRig rig = new FaultRig(scenario.drawn(seed), seed, usageOptions);
         Thread hook = new Thread(rig::closeQuietly);
         Runtime.getRuntime().addShutdownHook(hook);
         try {
@@ -222,15 +228,15 @@
         try {
             return future.toCompletionStage().toCompletableFuture().get(ms, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
-            throw new IOException("the rig cannot run: " + e.getCause().getMessage(), e.getCause());
+            throw new IOException("fault rig failed: " + e.getCause().getMessage(), e.getCause());
         } catch (TimeoutException e) {
-            throw new IOException("the rig cannot run: it took over " + ms + " ms");
+            throw new IOException("fault rig timed out after " + ms + " ms");
         }
     }
 
-    private <T> Future<T> onLoop(Supplier<Future<T>> what) {
+    private <T> Future<T> onLoop(Supplier<Future<T>> task) {
         Promise<T> promise = Promise.promise();
-        context.runOnContext(v -> what.get().onComplete(promise));
+        context.runOnContext(v -> task.get().onComplete(promise));
         return promise.future();
     }
 
@@ -238,52 +244,52 @@
         await(
                 onLoop(() -> {
                     List<Future<?>> all = new ArrayList<>();
-                    workers.values().forEach(w -> all.add(w.listen(side())));
-                    discoveries.forEach(d -> all.add(d.listen(side())));
-                    all.add(relay.open(side()));
+                    workers.values().forEach(w -> all.add(w.listen(standInHost())));
+                    discoveries.forEach(d -> all.add(d.listen(standInHost())));
+                    all.add(relay.open(standInHost()));
                     return Future.all(all);
                 }),
                 10_000);
         await(
                 onLoop(() -> {
-                    workers.values().forEach(w -> discoveries.forEach(d -> d.changed(entry(w, "SERVING"))));
+                    workers.values().forEach(w -> discoveries.forEach(d -> d.announce(entry(w, "SERVING"))));
                     return Future.succeededFuture();
                 }),
                 10_000);
         for (DispatcherProcess d : dispatchers) {
-            relay.at(d.number, d.host, d.peerPort);
+            relay.setTarget(d.number, d.host, d.peerPort);
             launch(d);
         }
-        long until = now() + START_MS * 1000;
+        long deadline = now() + STARTUP_TIMEOUT_MS * 1000;
         for (DispatcherProcess d : dispatchers) {
-            while (!await(onLoop(() -> up(d)), 10_000)) {
-                if (now() > until || !d.alive()) {
-                    throw new IOException("dispatcher " + d.number + " does not start: " + d.log());
+            while (!await(onLoop(() -> isServing(d)), 10_000)) {
+                if (now() > deadline || !d.alive()) {
+                    throw new IOException("dispatcher " + d.number + " did not become ready: " + d.log());
                 }
                 Thread.sleep(50);
             }
         }
-        Promise<JSONObject> over = Promise.promise();
-        context.runOnContext(v -> vertx.setTimer(SETTLE_MS, t -> day(over)));
-        return await(over.future(), scenario.length() / 1000 + 120_000);
+        Promise<JSONObject> finished = Promise.promise();
+        context.runOnContext(v -> vertx.setTimer(SETTLE_DELAY_MS, t -> runScenario(finished)));
+        return await(finished.future(), scenario.length() / 1000 + 120_000);
     }
 
-    /** Starts a dispatcher's process, with the list as discovery would tell it. */
+    /** Starts a dispatcher process with the current worker list of its discovery instance. */
     void launch(DispatcherProcess d) throws IOException {
         d.configure(config(d));
-        judge.told(d.number, discoveries.get(d.number).whole());
+        verifier.onUpdateSent(d.number, discoveries.get(d.number).fullList());
         d.start();
-        guardian.alive(dispatchers.stream()
+        reaper.track(dispatchers.stream()
                 .filter(DispatcherProcess::alive)
                 .map(DispatcherProcess::process)
                 .toList());
     }
 
-    /** The configuration of a dispatcher's next life. */
+    /** The configuration for the next start of a dispatcher. */
     private JSONObject config(DispatcherProcess d) {
         JSONArray peers = new JSONArray();
         for (DispatcherProcess other : dispatchers) {
-            peers.put(other == d ? d.host + ":" + d.peerPort : relay.address(other.number, d.number, side()));
+            peers.put(other == d ? d.host + ":" + d.peerPort : relay.address(other.number, d.number, standInHost()));
         }
         JSONObject config = new JSONObject();
         if (d.consolePort > 0) {
@@ -291,52 +297,52 @@
         }
         return config.put("name", "n" + d.number)
                 .put("listen", d.host + ":" + d.port)
-                .put("discovery", discoveries.get(d.number).address(side()))
+                .put("discovery", discoveries.get(d.number).address(standInHost()))
                 .put("seed", Long.toHexString(random.nextLong()))
                 .put("limits", new JSONObject(Map.of("cores", 1.0, "memory_mb", 192, "sockets", 1024)))
                 .put("peer_listen", d.host + ":" + d.peerPort)
                 .put("peers", peers)
-                .put("known", discoveries.get(d.number).whole())
+                .put("known", discoveries.get(d.number).fullList())
                 .put("settings", ScenarioSettings.of(scenario, d.number, capacity / (scenario.meanWork() / 1e6)));
     }
 
-    /** Whether it answers that it serves. */
-    Future<Boolean> up(DispatcherProcess d) {
-        return prober.request(HttpMethod.GET, d.port, d.host, "/up")
+    /** Whether the dispatcher's readiness endpoint answers 200. */
+    Future<Boolean> isServing(DispatcherProcess d) {
+        return probeClient.request(HttpMethod.GET, d.port, d.host, "/up")
                 .compose(q -> q.send())
                 .map(answer -> answer.statusCode() == 200)
                 .otherwise(false);
     }
 
-    private void day(Promise<JSONObject> over) {
+    private void runScenario(Promise<JSONObject> finished) {
         long start = now();
-        judge.begin(start, w -> {
+        verifier.begin(start, w -> {
             w.crash();
-            listed(w, "DELETED", scenario.discovery().silentNotice());
+            announce(w, "DELETED", scenario.discovery().silentNotice());
         });
-        relay.trouble(new PeerLinks(scenario, start));
-        new FaultInjector(this, front).plan();
-        front.load(start + scenario.length());
-        if (measured != null) {
+        relay.setLinks(new PeerLinks(scenario, start));
+        new FaultInjector(this, loadGenerator).scheduleAll();
+        loadGenerator.start(start + scenario.length());
+        if (usageOptions != null) {
             vertx.setTimer(
-                    Math.max(1, Math.round(measured.settle() * 1000)),
-                    t -> use.begin().onFailure(over::tryFail));
+                    Math.max(1, Math.round(usageOptions.settleSeconds() * 1000)),
+                    t -> resourceUsage.begin().onFailure(finished::tryFail));
             vertx.setTimer(
                     scenario.length() / 1000,
-                    t -> use.end().onSuccess(each -> processes = each).onFailure(over::tryFail));
+                    t -> resourceUsage.end().onSuccess(each -> processes = each).onFailure(finished::tryFail));
         }
-        vertx.setPeriodic(LOOK_MS, t -> {
-            judge.look(now());
+        vertx.setPeriodic(SAMPLE_INTERVAL_MS, t -> {
+            verifier.sampleColdWorkers(now());
             if (now() > start + scenario.length()
-                    && judge.unanswered() == 0
-                    && (measured == null || processes != null)) {
+                    && verifier.openRequestCount() == 0
+                    && (usageOptions == null || processes != null)) {
                 vertx.cancelTimer(t);
-                over.tryComplete(judge.verdict()
+                finished.tryComplete(verifier.result()
                         .put("dispatchers", dispatchers.size())
                         .put("workers", scenario.workers())
                         .put("datagrams", relay.datagrams)
                         .put("datagram_bytes", relay.bytes)
-                        .put("datagrams_too_long", relay.tooLong)
+                        .put("datagrams_too_long", relay.oversized)
                         .putOpt("processes", processes));
             }
         });
@@ -346,11 +352,11 @@
         try {
             close(null);
         } catch (IOException | InterruptedException e) {
-            // the rig is being ended; the guardian sees to what is left
+            // the JVM is shutting down; the process reaper ends the remaining processes
         }
     }
 
-    /** Ends all that was started, whatever became of the day. */
+    /** Ends all processes and servers and deletes the folder, whether or not the run succeeded. */
     private synchronized void close(Path keepLogs) throws IOException, InterruptedException {
         if (closed) {
             return;
@@ -361,13 +367,13 @@
             d.kill();
         }
         for (DispatcherProcess d : dispatchers) {
-            d.end();
+            d.killAndWait();
             if (keepLogs != null) {
                 Files.createDirectories(keepLogs);
                 Files.writeString(keepLogs.resolve("dispatcher-" + d.number + ".log"), d.log());
             }
         }
-        guardian.close();
+        reaper.close();
         vertx.close().toCompletionStage().toCompletableFuture().join();
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
--- a/src/main/java/saffronferry/rig/FleetResourceUsage.java
+++ b/src/main/java/saffronferry/rig/FleetResourceUsage.java
@@ -13,12 +13,15 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** What each process of a fleet spends between two looks, as the system and its own console tell. */
+/**
+ * Measures the resource usage of each dispatcher process between two snapshots, from the operating system and
+ * from the process's own console.
+ */
 public final class FleetResourceUsage {
-    private static final String COUNTED = "console_bytes_";
+    private static final String COUNTER_PREFIX = "console_bytes_";
 
-    /** One process at one look; {@code at} in nanoseconds. */
-    private record Snapshot(long at, ProcessUsage use, Map<String, Object> console) {}
+    /** The usage of one process; {@code at} is {@link System#nanoTime}. */
+    private record Snapshot(long at, ProcessUsage process, Map<String, Object> console) {}
 
     private final List<DispatcherProcess> dispatchers;
     private final HttpClient client;
@@ -29,19 +32,19 @@
         this.client = client;
     }
 
-    /** The look from which on it counts. */
+    /** Takes the first snapshot. */
     Future<Void> begin() {
-        return look().onSuccess(all -> first = all).mapEmpty();
+        return takeSnapshot().onSuccess(all -> first = all).mapEmpty();
     }
 
-    /** The second look; the result has one object for each process, units in the names. */
+    /** Takes the second snapshot and returns one object per process, with units in the key names. */
     Future<JSONArray> end() {
-        return look().map(last -> {
-            JSONArray each = new JSONArray();
+        return takeSnapshot().map(last -> {
+            JSONArray results = new JSONArray();
             for (int i = 0; i < last.size(); i++) {
-                each.put(between(first.get(i), last.get(i)).put("dispatcher", i));
+                results.put(between(first.get(i), last.get(i)).put("dispatcher", i));
             }
-            return each;
+            return results;
         });
     }
 
@@ -49,17 +52,17 @@
         double seconds = (last.at - first.at) / 1e9;
         JSONObject figures = new JSONObject()
                 .put("seconds", rounded(seconds))
-                .put("core_percent", rounded(last.use.corePercent(first.use, seconds)))
-                .put("resident_mb", rounded(last.use.residentMb()))
-                .put("wake_ups_per_s", rounded(last.use.wakeUps(first.use) / seconds));
+                .put("core_percent", rounded(last.process.corePercent(first.process, seconds)))
+                .put("resident_mb", rounded(last.process.residentMb()))
+                .put("wake_ups_per_s", rounded(last.process.wakeUps(first.process) / seconds));
         last.console.forEach((name, value) -> {
-            if (name.startsWith(COUNTED) && first.console.get(name) instanceof Double before) {
+            if (name.startsWith(COUNTER_PREFIX) && first.console.get(name) instanceof Double before) {
                 figures.put(
-                        "bytes_per_s_" + name.substring(COUNTED.length()),
+                        "bytes_per_s_" + name.substring(COUNTER_PREFIX.length()),
                         rounded(((Double) value - before) / seconds));
             }
         });
-        // a byte-rate of its own has no kind; the console's own rates are over the last minute
+        // the console's own byte rate is an average over the last minute and no counter
         figures.remove("bytes_per_s_per_second");
         figures.put("console_core_percent", last.console.get("console_core_percent"))
                 .put("console_resident_bytes", last.console.get("console_resident_bytes"));
@@ -70,27 +73,27 @@
         return Math.round(value * 1000) / 1000.0;
     }
 
-    private Future<List<Snapshot>> look() {
+    private Future<List<Snapshot>> takeSnapshot() {
         List<Future<Snapshot>> all = new ArrayList<>();
         for (DispatcherProcess d : dispatchers) {
             all.add(client.request(HttpMethod.GET, d.consolePort, d.host, "/ops/stats")
                     .compose(HttpClientRequest::send)
                     .compose(HttpClientResponse::body)
-                    .compose(text -> look(d, text)));
+                    .compose(text -> takeSnapshot(d, text)));
         }
         return Future.all(all).map(done -> done.list());
     }
 
-    private static Future<Snapshot> look(DispatcherProcess d, Buffer text) {
+    private static Future<Snapshot> takeSnapshot(DispatcherProcess d, Buffer text) {
         try {
             return Future.succeededFuture(
-                    new Snapshot(System.nanoTime(), ProcessUsage.of(d.process().pid()), ControlMetrics.of(text.toString())));
+                    new Snapshot(System.nanoTime(), ProcessUsage.of(d.process().pid()), ControlMetrics.parse(text.toString())));
         } catch (IOException e) {
             return Future.failedFuture(e);
         }
     }
 
-    /** Mean and most of each figure over the processes. */
+    /** Mean and maximum of each figure over the processes. */
     public static JSONObject summary(JSONArray processes) {
         JSONObject figures = new JSONObject();
         for (String name : processes.getJSONObject(0).keySet()) {
@@ -98,13 +101,13 @@
                 continue;
             }
             double sum = 0;
-            double most = 0;
+            double max = 0;
             for (int i = 0; i < processes.length(); i++) {
                 double value = processes.getJSONObject(i).optDouble(name, 0);
                 sum += value;
-                most = Math.max(most, value);
+                max = Math.max(max, value);
             }
-            figures.put(name + "_mean", rounded(sum / processes.length())).put(name + "_most", rounded(most));
+            figures.put(name + "_mean", rounded(sum / processes.length())).put(name + "_most", rounded(max));
         }
         return figures;
     }
--- a/src/main/java/saffronferry/rig/IdleDispatcher.java
+++ b/src/main/java/saffronferry/rig/IdleDispatcher.java
@@ -24,37 +24,39 @@
 import saffronferry.lab.scenario.Scenario;
 
 /**
- * One real dispatcher that nobody asks anything, beside a discovery whose list changes: what it spends then.
- * All entries of the list have the address of one stand-in worker, which answers probes. What it starts has
- * ended, and its folder is gone, when {@link #run} returns.
+ * Measures the resource usage of one real dispatcher that receives no requests while its worker list changes.
+ * All entries of the list have the address of one stand-in worker, which answers probes. When {@link #run}
+ * returns, the process has ended and the temporary folder is deleted.
  */
 public final class IdleDispatcher {
     /**
-     * How it is played.
+     * How the measurement is run.
      *
-     * @param run a deployment's line that starts the dispatcher; null: the program that this one is part of
-     * @param changesPerS changes of the list a second: a worker drains, is gone, another comes, in turn
-     * @param settle seconds between the dispatcher's yes to {@code /up} and the first look
+     * @param startCommand a deployment's shell command that starts the dispatcher; null: the program on this
+     *     class path
+     * @param changesPerSecond worker list changes per second; in turn a worker drains, is deleted, and another
+     *     one is added
+     * @param settleSeconds seconds from the dispatcher's readiness to the first measurement
      */
-    public record Options(String run, double changesPerS, double settle) {}
+    public record Options(String startCommand, double changesPerSecond, double settleSeconds) {}
 
-    private static final long START_MS = 90_000;
-    private static final int CALL_MS = 10_000;
+    private static final long STARTUP_TIMEOUT_MS = 90_000;
+    private static final int CALL_TIMEOUT_MS = 10_000;
 
     private final Scenario scenario;
     private final Options options;
     private final SplittableRandom random;
     private final Vertx vertx = Vertx.vertx(
             new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1));
-    private final String host = FaultRig.block() + "1";
+    private final String host = FaultRig.addressBlock() + "1";
     private final Path folder = Files.createTempDirectory("saffronferry-idle");
-    private final ProcessReaper guardian = new ProcessReaper();
+    private final ProcessReaper reaper = new ProcessReaper();
     private final DispatcherProcess dispatcher;
     private final StandInDiscovery discovery;
     private final StandInWorker worker;
     private final HttpClient client;
-    private final List<JSONObject> listed = new ArrayList<>();
-    private JSONObject leaving;
+    private final List<JSONObject> listedWorkers = new ArrayList<>();
+    private JSONObject drainingWorker;
     private double startSeconds;
     private int changes;
     private boolean closed;
@@ -64,19 +66,19 @@
         this.options = options;
         random = new SplittableRandom(seed);
         dispatcher = new DispatcherProcess(
-                0, host, FaultRig.freePort(host), FaultRig.freePort(host), FaultRig.freePort(host), folder, options.run());
+                0, host, FaultRig.freePort(host), FaultRig.freePort(host), FaultRig.freePort(host), folder, options.startCommand());
         discovery = new StandInDiscovery(vertx, 0, (d, update) -> {});
         worker = new StandInWorker(
                 vertx,
                 IdleDispatcher::now,
-                new StandInWorker.Watcher() {
+                new StandInWorker.JobListener() {
                     @Override
-                    public double arrived(StandInWorker at, String txn) {
-                        return -1; // nobody sends jobs here
+                    public double onJobArrived(StandInWorker at, String txn) {
+                        return -1; // no client sends jobs in this measurement
                     }
 
                     @Override
-                    public void left(StandInWorker at, String txn, String how) {}
+                    public void onJobEnded(StandInWorker at, String txn, String how) {}
                 },
                 "all",
                 0,
@@ -94,10 +96,10 @@
     }
 
     /**
-     * Plays it in real time; the scenario's length is how long is measured.
+     * Runs the measurement in real time, for the length of the scenario.
      *
-     * @return the play's sizes and its {@code figures}, units in their names
-     * @throws IOException if processes or sockets cannot be had, or the dispatcher ends
+     * @return the sizes of the run and its {@code figures}, with units in their names
+     * @throws IOException if processes or sockets cannot be created, or the dispatcher ends
      */
     public static JSONObject run(Scenario scenario, long seed, Options options)
             throws IOException, InterruptedException {
@@ -116,46 +118,46 @@
         await(Future.all(discovery.listen(host), worker.listen(host)));
         onLoop(() -> {
             for (int i = 0; i < scenario.workers(); i++) {
-                add(i, 0);
+                addWorker(i, 0);
             }
             return null;
         });
         dispatcher.configure(config());
         dispatcher.start();
-        guardian.alive(List.of(dispatcher.process()));
-        long until = System.nanoTime() + START_MS * 1_000_000;
-        while (!up()) {
-            if (System.nanoTime() > until || !dispatcher.alive()) {
-                throw new IOException("the dispatcher does not start: " + dispatcher.log());
+        reaper.track(List.of(dispatcher.process()));
+        long deadline = System.nanoTime() + STARTUP_TIMEOUT_MS * 1_000_000;
+        while (!isServing()) {
+            if (System.nanoTime() > deadline || !dispatcher.alive()) {
+                throw new IOException("dispatcher did not become ready: " + dispatcher.log());
             }
             Thread.sleep(50);
         }
         startSeconds = ProcessUsage.of(dispatcher.process().pid()).cpuSeconds();
-        if (options.changesPerS() > 0) {
-            vertx.setPeriodic(Math.max(1, Math.round(1000 / options.changesPerS())), t -> change());
+        if (options.changesPerSecond() > 0) {
+            vertx.setPeriodic(Math.max(1, Math.round(1000 / options.changesPerSecond())), t -> applyNextChange());
         }
-        Thread.sleep(Math.round(options.settle() * 1000));
-        return measured();
+        Thread.sleep(Math.round(options.settleSeconds() * 1000));
+        return measure();
     }
 
-    private JSONObject measured() throws IOException, InterruptedException {
+    private JSONObject measure() throws IOException, InterruptedException {
         long pid = dispatcher.process().pid();
-        long begun = System.nanoTime();
-        ControlTraffic before = onLoop(this::seen);
+        long startNanos = System.nanoTime();
+        ControlTraffic before = onLoop(this::controlTraffic);
         ProcessUsage first = ProcessUsage.of(pid);
         Thread.sleep(scenario.length() / 1000);
         ProcessUsage last = ProcessUsage.of(pid);
-        double seconds = (System.nanoTime() - begun) / 1e9;
-        ControlTraffic after = onLoop(this::seen);
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
+        ControlTraffic after = onLoop(this::controlTraffic);
         JSONObject figures = new JSONObject()
                 .put("core_percent", rounded(last.corePercent(first, seconds)))
                 .put("start_cpu_s", startSeconds)
                 .put("resident_mb", rounded(last.residentMb()))
                 .put("resident_peak_mb", rounded(last.peakMb()))
                 .put("wake_ups_per_s", rounded(last.wakeUps(first) / seconds))
-                .put("list_whole_bytes", after.whole)
-                .put("list_bytes_in", after.list - before.list)
-                .put("list_bytes_in_per_s", rounded((after.list - before.list) / seconds))
+                .put("list_whole_bytes", after.fullListBytes)
+                .put("list_bytes_in", after.listBytes - before.listBytes)
+                .put("list_bytes_in_per_s", rounded((after.listBytes - before.listBytes) / seconds))
                 .put("list_changes", after.changes - before.changes)
                 .put("probes", after.probes - before.probes);
         last.corePercentByThread(first, seconds)
@@ -165,26 +167,26 @@
                 .put("dispatchers", 1)
                 .put("workers", scenario.workers())
                 .put("zones", scenario.zones().size())
-                .put("settled_s", options.settle())
-                .put("changes_per_s", options.changesPerS())
+                .put("settled_s", options.settleSeconds())
+                .put("changes_per_s", options.changesPerSecond())
                 .put("seconds", rounded(seconds))
                 .put("figures", figures);
     }
 
-    /** What the stand-ins have seen until now. */
-    private record ControlTraffic(long list, long whole, int changes, long probes) {}
+    /** Totals counted by the stand-in discovery and worker. */
+    private record ControlTraffic(long listBytes, long fullListBytes, int changes, long probes) {}
 
-    private ControlTraffic seen() {
-        return new ControlTraffic(discovery.written(), discovery.whole().toString().length(), changes, worker.probes());
+    private ControlTraffic controlTraffic() {
+        return new ControlTraffic(discovery.writtenBytes(), discovery.fullList().toString().length(), changes, worker.probeCount());
     }
 
-    /** The dispatcher's own figures of its control, as its console tells them. */
+    /** The dispatcher's own control metrics, read from its console. */
     private Map<String, Object> console() throws IOException, InterruptedException {
         String text = await(client.request(HttpMethod.GET, dispatcher.consolePort, host, "/ops/stats")
                         .compose(q -> q.send())
                         .compose(a -> a.body()))
                 .toString();
-        return ControlMetrics.of(text);
+        return ControlMetrics.parse(text);
     }
 
     private static double rounded(double value) {
@@ -192,7 +194,7 @@
     }
 
     private JSONObject config() throws IOException, InterruptedException {
-        JSONObject whole = onLoop(discovery::whole);
+        JSONObject whole = onLoop(discovery::fullList);
         return new JSONObject()
                 .put("name", "idle")
                 .put("listen", host + ":" + dispatcher.port)
@@ -206,7 +208,7 @@
                 .put("settings", ScenarioSettings.of(scenario, 0, scenario.workers() / (scenario.meanWork() / 1e6)));
     }
 
-    private void add(int number, long startedAt) {
+    private void addWorker(int number, long startedAt) {
         int zones = scenario.zones().size();
         JSONObject entry = new JSONObject()
                 .put("id", "w" + number)
@@ -219,37 +221,37 @@
                 .put("phase", "SERVING")
                 .put("size", 1.0)
                 .put("up_since_ms", startedAt);
-        listed.add(entry);
-        discovery.changed(entry);
+        listedWorkers.add(entry);
+        discovery.announce(entry);
     }
 
-    /** In turn: one drains, it is gone, another one comes, so that the list keeps its length. */
-    private void change() {
+    /** In turn drains a worker, deletes it and adds another one, so that the list keeps its length. */
+    private void applyNextChange() {
         switch (changes++ % 3) {
             case 0 -> {
-                leaving = listed.remove(random.nextInt(listed.size()));
-                discovery.changed(new JSONObject(leaving.toString()).put("phase", "DRAINING"));
+                drainingWorker = listedWorkers.remove(random.nextInt(listedWorkers.size()));
+                discovery.announce(new JSONObject(drainingWorker.toString()).put("phase", "DRAINING"));
             }
-            case 1 -> discovery.changed(new JSONObject(leaving.toString()).put("phase", "DELETED"));
-            default -> add(scenario.workers() + changes / 3, now() / 1000);
+            case 1 -> discovery.announce(new JSONObject(drainingWorker.toString()).put("phase", "DELETED"));
+            default -> addWorker(scenario.workers() + changes / 3, now() / 1000);
         }
     }
 
-    private boolean up() throws InterruptedException {
+    private boolean isServing() throws InterruptedException {
         try {
             return await(client.request(HttpMethod.GET, dispatcher.port, host, "/up")
                                     .compose(q -> q.send()))
                             .statusCode()
                     == 200;
         } catch (IOException e) {
-            return false; // it does not listen yet
+            return false; // not listening yet
         }
     }
 
-    private <T> T onLoop(Callable<T> what) throws IOException, InterruptedException {
+    private <T> T onLoop(Callable<T> task) throws IOException, InterruptedException {
         return await(Future.future(done -> vertx.runOnContext(v -> {
             try {
-                done.complete(what.call());
+                done.complete(task.call());
             } catch (Exception e) {
                 done.fail(e);
             }
@@ -258,11 +260,11 @@
 
     private static <T> T await(Future<T> future) throws IOException, InterruptedException {
         try {
-            return future.toCompletionStage().toCompletableFuture().get(CALL_MS, TimeUnit.MILLISECONDS);
+            return future.toCompletionStage().toCompletableFuture().get(CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException e) {
-            throw new IOException("cannot be played: " + e.getCause().getMessage(), e.getCause());
+            throw new IOException("measurement failed: " + e.getCause().getMessage(), e.getCause());
         } catch (TimeoutException e) {
-            throw new IOException("cannot be played: it took over " + CALL_MS + " ms");
+            throw new IOException("measurement call timed out after " + CALL_TIMEOUT_MS + " ms");
         }
     }
 
@@ -270,7 +272,7 @@
         try {
             close();
         } catch (IOException | InterruptedException e) {
-            // it is being ended; the guardian sees to what is left
+            // the JVM is shutting down; the process reaper ends the dispatcher
         }
     }
 
@@ -279,8 +281,8 @@
             return;
         }
         closed = true;
-        dispatcher.end();
-        guardian.close();
+        dispatcher.killAndWait();
+        reaper.close();
         vertx.close().toCompletionStage().toCompletableFuture().join();
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
--- a/src/main/java/saffronferry/rig/LoadGenerator.java
+++ b/src/main/java/saffronferry/rig/LoadGenerator.java
@@ -15,73 +15,79 @@
 import saffronferry.Contract.Effect;
 import saffronferry.lab.scenario.Scenario;
 
-/** The clients and the front that spreads them; it notices late that a dispatcher has died. */
+/**
+ * Simulates the clients and the front-end load balancer that spreads them over the dispatchers. The front end
+ * notices a dead dispatcher only after the scenario's delay.
+ */
 final class LoadGenerator {
-    private static final int MOST_CONNECTIONS = 2_000;
-    /** So long after its time a client gives up for good: what comes later is judged as lost. */
-    private static final long PATIENCE = 500_000;
+    private static final int MAX_CONNECTIONS_PER_DISPATCHER = 2_000;
+    /** A client gives up this long after the deadline; a later answer counts as none. */
+    private static final long CLIENT_GIVE_UP_DELAY_US = 500_000;
 
     private final Vertx vertx;
     private final Scenario scenario;
     private final List<DispatcherProcess> dispatchers;
-    private final RunVerifier judge;
+    private final RunVerifier verifier;
     private final LongSupplier clock;
     private final SplittableRandom arrivals;
     private final SplittableRandom spread;
     private final HttpClient client;
     private final long[] deadSince;
-    private final double perSecond;
-    private long sent;
+    private final double requestsPerSecond;
+    private long sentCount;
 
     LoadGenerator(
             Vertx vertx,
             Scenario scenario,
             List<DispatcherProcess> dispatchers,
-            RunVerifier judge,
+            RunVerifier verifier,
             LongSupplier clock,
-            double perSecond,
+            double requestsPerSecond,
             SplittableRandom random) {
         this.vertx = vertx;
         this.scenario = scenario;
         this.dispatchers = dispatchers;
-        this.judge = judge;
+        this.verifier = verifier;
         this.clock = clock;
-        this.perSecond = perSecond;
+        this.requestsPerSecond = requestsPerSecond;
         arrivals = random.split();
         spread = random.split();
         deadSince = new long[dispatchers.size()];
         client = vertx.createHttpClient(
                 new HttpClientOptions().setTcpNoDelay(true).setConnectTimeout(5_000),
-                new PoolOptions().setHttp1MaxSize(MOST_CONNECTIONS));
+                new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_DISPATCHER));
     }
 
-    /** A dispatcher has died, or with {@code false} serves again. */
-    void dead(int dispatcher, boolean dead) {
+    /** Marks a dispatcher as dead, or with {@code false} as serving again. */
+    void setDead(int dispatcher, boolean dead) {
         long since = deadSince[dispatcher];
         deadSince[dispatcher] = !dead ? 0 : since > 0 ? since : clock.getAsLong();
     }
 
-    /** A dispatcher is left at once: no client is sent there any more. */
-    void gone(int dispatcher) {
+    /** Removes a dispatcher at once, without the front end's detection delay. */
+    void removeFromRotation(int dispatcher) {
         deadSince[dispatcher] = 1;
     }
 
-    /** Asks until that time, as chance has it; late timers do not thin it out. */
-    void load(long until) {
-        next(clock.getAsLong(), until);
+    /**
+     * Sends requests as a Poisson process until a time. Each arrival follows from the scheduled time of the
+     * previous one, so that late timers do not lower the rate.
+     */
+    void start(long until) {
+        scheduleNext(clock.getAsLong(), until);
     }
 
-    private void next(long last, long until) {
-        long at = last + Math.round(-Math.log(1 - arrivals.nextDouble()) / perSecond * 1e6);
+    private void scheduleNext(long last, long until) {
+        long at = last + Math.round(-Math.log(1 - arrivals.nextDouble()) / requestsPerSecond * 1e6);
         if (at < until) {
             vertx.setTimer(Math.max(1, (at - clock.getAsLong()) / 1000), t -> {
-                ask();
-                next(at, until);
+                sendRequest();
+                scheduleNext(at, until);
             });
         }
     }
 
-    private int pick(double[] weights, double at) {
+    private int pickWeighted(double[] weights, double at) {
         double left = at * Arrays.stream(weights).sum();
         for (int i = 0; i < weights.length; i++) {
             left -= weights[i];
@@ -99,30 +105,30 @@
         return noticed ? 0 : scenario.load().uneven().weight(d.number, dispatchers.size());
     }
 
-    private void ask() {
-        int c = pick(
+    private void sendRequest() {
+        int c = pickWeighted(
                 scenario.classes().stream()
                         .mapToDouble(Scenario.RpcClass::share)
                         .toArray(),
                 arrivals.nextDouble());
-        int tenant = pick(
+        int tenant = pickWeighted(
                 scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray(), arrivals.nextDouble());
         Scenario.RpcClass spec = scenario.classes().get(c);
         double tail = spec.tail();
         double work = Math.max(1, spec.work() * Math.exp(tail * normal() - tail * tail / 2));
         DispatcherProcess d = dispatchers.get(
-                pick(dispatchers.stream().mapToDouble(this::weight).toArray(), spread.nextDouble()));
+                pickWeighted(dispatchers.stream().mapToDouble(this::weight).toArray(), spread.nextDouble()));
         long now = clock.getAsLong();
-        String txn = "t" + ++sent;
-        RunVerifier.Request r = judge.asks(now, txn, c, work, d.number, d.life());
+        String txn = "t" + ++sentCount;
+        RunVerifier.Request r = verifier.openRequest(now, txn, c, work, d.number, d.generation());
         client.request(new RequestOptions()
                         .setMethod(HttpMethod.POST)
                         .setHost(d.host)
                         .setPort(d.port)
-                        .setURI("/" + spec.name() + "?obj=" + Long.toHexString(sent)))
+                        .setURI("/" + spec.name() + "?obj=" + Long.toHexString(sentCount)))
                 .onSuccess(
                         q -> send(q, r, d, spec, scenario.tenants().get(tenant).name()))
-                .onFailure(e -> judge.ended(clock.getAsLong(), r, RunVerifier.ClientOutcome.UNREACHABLE));
+                .onFailure(e -> verifier.recordOutcome(clock.getAsLong(), r, RunVerifier.ClientOutcome.UNREACHABLE));
     }
 
     private double normal() {
@@ -130,43 +136,43 @@
     }
 
     private void send(
-            HttpClientRequest q, RunVerifier.Request r, DispatcherProcess d, Scenario.RpcClass spec, String tenant) {
-        int life = d.life();
-        q.putHeader("X-Txn", r.txn)
+            HttpClientRequest clientRequest, RunVerifier.Request r, DispatcherProcess d, Scenario.RpcClass spec, String tenant) {
+        int generation = d.generation();
+        clientRequest.putHeader("X-Txn", r.txn)
                 .putHeader("X-Lane", spec.name())
                 .putHeader("X-Org", tenant)
                 .putHeader("X-Remaining-Ms", Long.toString(spec.deadline() / 1000));
         if (spec.effect() == Effect.KEYED) {
-            q.putHeader("Idempotency-Key", "k" + r.txn);
+            clientRequest.putHeader("Idempotency-Key", "k" + r.txn);
         }
-        judge.written(clock.getAsLong(), r, d.stopped());
-        vertx.setTimer((spec.deadline() + PATIENCE) / 1000, t -> {
-            if (!r.over) {
-                judge.ended(clock.getAsLong(), r, RunVerifier.ClientOutcome.NO_ANSWER);
-                q.reset();
+        verifier.recordSent(clock.getAsLong(), r, d.paused());
+        vertx.setTimer((spec.deadline() + CLIENT_GIVE_UP_DELAY_US) / 1000, t -> {
+            if (!r.completed) {
+                verifier.recordOutcome(clock.getAsLong(), r, RunVerifier.ClientOutcome.NO_ANSWER);
+                clientRequest.reset();
             }
         });
-        q.exceptionHandler(e -> broken(r, d, life));
-        q.send(Buffer.buffer("work"))
+        clientRequest.exceptionHandler(e -> connectionBroken(r, d, generation));
+        clientRequest.send(Buffer.buffer("work"))
                 .compose(answer -> answer.body().onSuccess(body -> {
                     int status = answer.statusCode();
-                    judge.ended(
+                    verifier.recordOutcome(
                             clock.getAsLong(),
                             r,
                             status == 200
                                     ? RunVerifier.ClientOutcome.SERVED
                                     : status == 503 || status == 429 ? RunVerifier.ClientOutcome.REFUSED : RunVerifier.ClientOutcome.FAILED);
                 }))
-                .onFailure(e -> broken(r, d, life));
+                .onFailure(e -> connectionBroken(r, d, generation));
     }
 
-    /** A connection that broke is its process's end, or a request that the dispatcher has lost. */
-    private void broken(RunVerifier.Request r, DispatcherProcess d, int life) {
+    /** Records a broken connection: either the process has ended or the dispatcher has lost the request. */
+    private void connectionBroken(RunVerifier.Request r, DispatcherProcess d, int generation) {
         vertx.setTimer(
                 20,
-                t -> judge.ended(
+                t -> verifier.recordOutcome(
                         clock.getAsLong(),
                         r,
-                        d.alive() && d.life() == life ? RunVerifier.ClientOutcome.NO_ANSWER : RunVerifier.ClientOutcome.DIED_WITH_IT));
+                        d.alive() && d.generation() == generation ? RunVerifier.ClientOutcome.NO_ANSWER : RunVerifier.ClientOutcome.DIED_WITH_IT));
     }
 }
--- a/src/main/java/saffronferry/rig/ProcessReaper.java
+++ b/src/main/java/saffronferry/rig/ProcessReaper.java
@@ -7,12 +7,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Ends what the rig has started when the rig itself is killed, which no hook of its own can do: a shell that
- * holds the ids and acts when the rig's end of the pipe is gone.
+ * Kills the dispatcher processes when the rig itself is killed, which a shutdown hook cannot do: a shell holds
+ * the process ids and kills them when the rig's end of its input pipe closes.
  */
 final class ProcessReaper implements AutoCloseable {
     private final Process shell;
-    private final OutputStream told;
+    private final OutputStream pipe;
 
     ProcessReaper() throws IOException {
         shell = new ProcessBuilder(
@@ -23,20 +23,20 @@
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        told = shell.getOutputStream();
+        pipe = shell.getOutputStream();
     }
 
-    /** These live now, and no others. */
-    void alive(Collection<Process> processes) throws IOException {
+    /** Replaces the set of processes to kill. */
+    void track(Collection<Process> processes) throws IOException {
         String ids = processes.stream().map(p -> Long.toString(p.pid())).collect(Collectors.joining(" "));
-        told.write((ids + "\n").getBytes(StandardCharsets.US_ASCII));
-        told.flush();
+        pipe.write((ids + "\n").getBytes(StandardCharsets.US_ASCII));
+        pipe.flush();
     }
 
     @Override
     public void close() throws IOException {
-        told.write('\n');
-        told.close();
+        pipe.write('\n');
+        pipe.close();
         try {
             shell.waitFor();
         } catch (InterruptedException e) {
--- a/src/main/java/saffronferry/rig/ProcessUsage.java
+++ b/src/main/java/saffronferry/rig/ProcessUsage.java
@@ -8,22 +8,22 @@
 import java.util.TreeMap;
 
 /**
- * What a process has used until now, as the system counts it (Linux, {@code proc(5)}).
+ * Cumulative resource usage of a process (Linux, {@code proc(5)}).
  *
- * @param cpuTicks processor time in the system's ticks of 10 ms, ended threads included
- * @param threads those that live, by their ids
- * @param resident memory in bytes that it holds
- * @param peak the most of it, in bytes, that it has held
+ * @param cpuTicks CPU time in clock ticks of 10 ms, including ended threads
+ * @param threads the live threads by thread id
+ * @param residentBytes resident set size
+ * @param peakBytes peak resident set size
  */
-record ProcessUsage(long cpuTicks, Map<String, Thread> threads, long resident, long peak) {
-    /** What kind a thread is of, its processor time in nanoseconds, how often it went to sleep by itself. */
-    record Thread(String kind, long nanos, long sleeps) {}
+record ProcessUsage(long cpuTicks, Map<String, Thread> threads, long residentBytes, long peakBytes) {
+    /** The kind of a thread, its CPU time in nanoseconds and its voluntary context switches. */
+    record Thread(String kind, long nanos, long voluntarySwitches) {}
 
-    private static final Thread NONE = new Thread("", 0, 0);
+    private static final Thread NO_USAGE = new Thread("", 0, 0);
     private static final double TICKS_PER_S = 100;
-    private static final double MB = 1 << 20;
-    /** What the JVM and the libraries call their threads, cut at 15 signs by the system. */
-    private static final Map<String, String> KINDS = Map.of(
+    private static final double BYTES_PER_MB = 1 << 20;
+    /** Thread kinds by the names that the JVM and the libraries set, which Linux truncates to 15 characters. */
+    private static final Map<String, String> THREAD_KINDS = Map.of(
             "vert.x-eventloo",
             "loop",
             "VM Thread",
@@ -39,7 +39,7 @@
             "vertx-blocked-t",
             "blocked_check");
 
-    /** Of a process that lives; an {@link IOException} tells that it does not. */
+    /** Reads the usage of a live process; throws {@link IOException} if it does not exist. */
     static ProcessUsage of(long pid) throws IOException {
         Path proc = Path.of("/proc/" + pid);
         String stat = Files.readString(proc.resolve("stat"));
@@ -53,11 +53,11 @@
                     threads.put(
                             task.getFileName().toString(),
                             new Thread(
-                                    KINDS.getOrDefault(name, "others"),
+                                    THREAD_KINDS.getOrDefault(name, "others"),
                                     Long.parseLong(times[0]),
-                                    figure(Files.readString(task.resolve("status")), "voluntary_ctxt_switches:")));
+                                    statusValue(Files.readString(task.resolve("status")), "voluntary_ctxt_switches:")));
                 } catch (IOException e) {
-                    // guards against a thread that has ended since the folder was read
+                    // the thread has ended since the directory was read
                 }
             }
         }
@@ -65,12 +65,12 @@
         return new ProcessUsage(
                 Long.parseLong(fields[11]) + Long.parseLong(fields[12]),
                 threads,
-                figure(status, "VmRSS:") * 1024,
-                figure(status, "VmHWM:") * 1024);
+                statusValue(status, "VmRSS:") * 1024,
+                statusValue(status, "VmHWM:") * 1024);
     }
 
-    /** The first number of the line with that key; 0 where there is none. */
-    private static long figure(String status, String key) {
+    /** The first number of the line that starts with a key; 0 if there is none. */
+    private static long statusValue(String status, String key) {
         return status.lines()
                 .filter(line -> line.startsWith(key))
                 .findFirst()
@@ -78,36 +78,36 @@
                 .orElse(0L);
     }
 
-    /** Percent of one core since then. */
+    /** CPU time since an earlier reading, in percent of one core. */
     double corePercent(ProcessUsage since, double seconds) {
         return (cpuTicks - since.cpuTicks) / TICKS_PER_S / seconds * 100;
     }
 
-    /** The same by kind of thread, of those that live. */
+    /** CPU time of the live threads since an earlier reading, in percent of one core, by thread kind. */
     Map<String, Double> corePercentByThread(ProcessUsage since, double seconds) {
         Map<String, Double> all = new TreeMap<>();
         threads.forEach((id, t) -> all.merge(
-                t.kind, (t.nanos - since.threads.getOrDefault(id, NONE).nanos) / 1e9 / seconds * 100, Double::sum));
+                t.kind, (t.nanos - since.threads.getOrDefault(id, NO_USAGE).nanos) / 1e9 / seconds * 100, Double::sum));
         return all;
     }
 
-    /** How often the threads that live went to sleep by themselves since then. */
+    /** Voluntary context switches of the live threads since an earlier reading. */
     long wakeUps(ProcessUsage since) {
         return threads.entrySet().stream()
-                .mapToLong(t -> t.getValue().sleeps - since.threads.getOrDefault(t.getKey(), NONE).sleeps)
+                .mapToLong(t -> t.getValue().voluntarySwitches - since.threads.getOrDefault(t.getKey(), NO_USAGE).voluntarySwitches)
                 .sum();
     }
 
-    /** Processor time since the start of the process, in seconds. */
+    /** CPU time since the start of the process, in seconds. */
     double cpuSeconds() {
         return cpuTicks / TICKS_PER_S;
     }
 
     double residentMb() {
-        return resident / MB;
+        return residentBytes / BYTES_PER_MB;
     }
 
     double peakMb() {
-        return peak / MB;
+        return peakBytes / BYTES_PER_MB;
     }
 }
--- a/src/main/java/saffronferry/rig/RunVerifier.java
+++ b/src/main/java/saffronferry/rig/RunVerifier.java
@@ -19,42 +19,45 @@
 import saffronferry.lab.scenario.Scenario;
 
 /**
- * Sees what clients and workers see, and holds it against rules and bounds. It knows nothing of what
- * dispatchers believe. Clock in microseconds, handed in.
+ * Checks a run against the scenario's rules and bounds, using only what clients, workers and discovery observe
+ * and no internal state of the dispatchers. Times are microseconds of the clock passed in.
  */
-final class RunVerifier implements StandInWorker.Watcher, StandInDiscovery.Watcher {
-    /** A request that is at no worker so long waits; before that it is on its way. */
-    private static final long ON_ITS_WAY = 100_000;
-    /** A machine that runs many processes is late by itself; no bound is judged by less. */
-    private static final long MACHINE_SLACK = 400_000;
+final class RunVerifier implements StandInWorker.JobListener, StandInDiscovery.UpdateListener {
+    /** A request without an active attempt for this long counts as waiting; before that it is in transit. */
+    private static final long WAITING_AFTER_US = 100_000;
+    /** Minimum slack of all time bounds: many processes on one machine delay each other. */
+    private static final long MACHINE_SLACK_US = 400_000;
 
-    /** One request as its client and the workers know it. */
+    /** One request as its client and the workers observe it. */
     static final class Request {
         final String txn;
         final int rpcClass;
         final double work;
         final int dispatcher;
         final RuleChecker.Id id;
-        final long asked;
-        final List<StandInWorker> tries = new ArrayList<>();
-        int atWorkers;
-        long nowhereSince;
-        boolean over;
-        boolean excused; // its dispatcher was stopped meanwhile: when it answers is no rule's
-        boolean died; // its dispatcher's process has ended: what is still under way is nobody's
+        final long createdAt;
+        final List<StandInWorker> attempts = new ArrayList<>();
+        int activeAttempts;
+        long unassignedSince;
+        boolean completed;
+        /** The dispatcher was paused meanwhile, so the timing rules do not apply to the answer. */
+        boolean excludedFromTiming;
 
-        Request(String txn, int rpcClass, double work, int dispatcher, RuleChecker.Id id, long asked) {
+        /** The dispatcher process has ended, so later attempts of this request are not checked. */
+        boolean dispatcherKilled;
+
+        Request(String txn, int rpcClass, double work, int dispatcher, RuleChecker.Id id, long createdAt) {
             this.txn = txn;
             this.rpcClass = rpcClass;
             this.work = work;
             this.dispatcher = dispatcher;
             this.id = id;
-            this.asked = asked;
-            nowhereSince = asked;
+            this.createdAt = createdAt;
+            unassignedSince = createdAt;
         }
     }
 
-    /** How a request ended for its client. */
+    /** How a request ended for its client. The names are written to results. */
     enum ClientOutcome {
         SERVED,
         REFUSED,
@@ -66,7 +69,7 @@
 
     private record Arrival(long at, double work) {}
 
-    /** What reached a cold worker, and what it made of it. */
+    /** The work that reached a cold worker, and the work that it did. */
     private static final class ColdWorkerStats {
         final Deque<Arrival> window = new ArrayDeque<>();
         double multiple;
@@ -76,32 +79,32 @@
         double[] waiting = new double[2];
     }
 
-    /** Whom to tell that a worker has fallen over. */
+    /** Called when work beyond the limit of a cold worker crashes it. */
     interface OverloadCrashListener {
-        void fell(StandInWorker worker);
+        void onOverloadCrash(StandInWorker worker);
     }
 
     private final Scenario scenario;
     private final RuleChecker checker;
-    private final Map<String, Request> open = new HashMap<>();
-    private final Set<String> ended = new HashSet<>();
+    private final Map<String, Request> openRequests = new HashMap<>();
+    private final Set<String> endedRequests = new HashSet<>();
     private final Map<StandInWorker, ColdWorkerStats> cold = new LinkedHashMap<>();
-    private final Map<Integer, Set<String>> startsTold = new HashMap<>();
-    private final List<int[]> seconds = new ArrayList<>();
-    private final int[] ends = new int[ClientOutcome.values().length];
+    private final Map<Integer, Set<String>> announcedStarts = new HashMap<>();
+    private final List<int[]> countsBySecond = new ArrayList<>();
+    private final int[] outcomeCounts = new int[ClientOutcome.values().length];
     private final Map<String, StandInWorker> workers;
     private final LongSupplier clock;
-    private OverloadCrashListener faller = w -> {};
+    private OverloadCrashListener overloadListener = w -> {};
     private long start;
-    private long refusedAt = Long.MIN_VALUE / 2;
-    private int asked;
-    private int attempts;
+    private long lastRefusalAt = Long.MIN_VALUE / 2;
+    private int requestCount;
+    private int attemptCount;
     private int copies;
     private double worthAsked;
     private double worthServed;
-    private int inTime;
-    /** Jobs that no client sent. */
-    private int invented;
+    private int servedInTime;
+    /** Jobs with an id that no client has sent. */
+    private int inventedJobs;
 
     RunVerifier(Scenario scenario, Map<String, StandInWorker> workers, LongSupplier clock) {
         Scenario.Rules r = scenario.rules();
@@ -109,72 +112,72 @@
         this.workers = workers;
         this.clock = clock;
         checker = new RuleChecker(scenario.with(new Scenario.Rules(
-                Math.max(r.slack(), MACHINE_SLACK),
-                r.drain() + MACHINE_SLACK,
+                Math.max(r.slack(), MACHINE_SLACK_US),
+                r.drain() + MACHINE_SLACK_US,
                 r.fallMultiple(),
                 r.fall(),
                 r.mostTries(),
                 r.maxRetryAfter())));
     }
 
-    /** The load begins. */
-    void begin(long at, OverloadCrashListener onFall) {
+    /** Starts the observation of the load. */
+    void begin(long at, OverloadCrashListener listener) {
         start = at;
-        faller = onFall;
+        overloadListener = listener;
     }
 
-    int unanswered() {
-        return open.size();
+    int openRequestCount() {
+        return openRequests.size();
     }
 
     // ---- clients ----
 
-    /** A client is about to send; the request is the dispatcher's once it is written. */
-    Request asks(long now, String txn, int rpcClass, double work, int dispatcher, int life) {
-        Request r = new Request(txn, rpcClass, work, dispatcher, new RuleChecker.Id(dispatcher, life, asked), now);
-        open.put(txn, r);
-        asked++;
+    /** A client is about to send; the dispatcher is responsible from {@link #recordSent} on. */
+    Request openRequest(long now, String txn, int rpcClass, double work, int dispatcher, int life) {
+        Request r = new Request(txn, rpcClass, work, dispatcher, new RuleChecker.Id(dispatcher, life, requestCount), now);
+        openRequests.put(txn, r);
+        requestCount++;
         worthAsked += scenario.classes().get(rpcClass).worth();
-        second(now)[0]++;
+        countsAt(now)[0]++;
         return r;
     }
 
-    /** {@code stopped}: its dispatcher's process stands still. */
-    void written(long now, Request r, boolean stopped) {
-        r.excused = stopped;
+    /** The request is written; {@code paused}: the dispatcher process is stopped by SIGSTOP. */
+    void recordSent(long now, Request r, boolean paused) {
+        r.excludedFromTiming = paused;
         checker.taken(
                 now, r.id, r.rpcClass, now + scenario.classes().get(r.rpcClass).deadline());
     }
 
-    private int[] second(long at) {
+    private int[] countsAt(long at) {
         int s = (int) Math.max(0, (at - start) / 1_000_000);
-        while (seconds.size() <= s) {
-            seconds.add(new int[3]);
+        while (countsBySecond.size() <= s) {
+            countsBySecond.add(new int[3]);
         }
-        return seconds.get(s);
+        return countsBySecond.get(s);
     }
 
-    /** The client has its answer, or will have none. */
-    void ended(long now, Request r, ClientOutcome end) {
-        if (r.over) {
+    /** The client has received its answer, or has given up. */
+    void recordOutcome(long now, Request r, ClientOutcome end) {
+        if (r.completed) {
             return;
         }
-        r.over = true;
-        open.remove(r.txn);
-        ended.add(r.txn);
-        ends[end.ordinal()]++;
+        r.completed = true;
+        openRequests.remove(r.txn);
+        endedRequests.add(r.txn);
+        outcomeCounts[end.ordinal()]++;
         Scenario.RpcClass spec = scenario.classes().get(r.rpcClass);
         if (end == ClientOutcome.SERVED) {
-            double wanted = Math.min(spec.deadline(), spec.aim() + spec.stretch() * r.work);
-            boolean timely = now - r.asked <= wanted;
-            inTime += timely ? 1 : 0;
+            double latencyGoal = Math.min(spec.deadline(), spec.aim() + spec.stretch() * r.work);
+            boolean timely = now - r.createdAt <= latencyGoal;
+            servedInTime += timely ? 1 : 0;
             worthServed += spec.worth() * (timely ? 1 : spec.lateWorth());
-            second(r.asked)[1]++;
+            countsAt(r.createdAt)[1]++;
         } else if (end == ClientOutcome.REFUSED || end == ClientOutcome.FAILED) {
-            second(r.asked)[2]++;
-            refusedAt = now;
+            countsAt(r.createdAt)[2]++;
+            lastRefusalAt = now;
         }
-        if (r.excused) {
+        if (r.excludedFromTiming) {
             checker.left(r.id);
             checker.due(now, r.id);
             return;
@@ -183,28 +186,28 @@
             case SERVED -> checker.answered(now, r.id, "served", false);
             case REFUSED -> checker.answered(now, r.id, "refused", true);
             case FAILED -> checker.answered(now, r.id, "failed", false);
-            case NO_ANSWER -> {} // its time and slack are over: due() says what that means
+            case NO_ANSWER -> {} // deadline and slack are over: due() reports the violation
             default -> checker.left(r.id);
         }
         checker.due(now, r.id);
     }
 
-    /** A dispatcher's process has been ended: what it held is no rule's. */
-    void died(int dispatcher) {
+    /** A dispatcher process was killed: rules no longer apply to the requests that it held. */
+    void dispatcherKilled(int dispatcher) {
         checker.died(dispatcher);
-        stopped(dispatcher);
-        open.values().stream().filter(r -> r.dispatcher == dispatcher).forEach(r -> r.died = true);
+        dispatcherPausedOrResumed(dispatcher);
+        openRequests.values().stream().filter(r -> r.dispatcher == dispatcher).forEach(r -> r.dispatcherKilled = true);
     }
 
-    /** It has been stopped, or goes on: what it holds is answered when it can be, and all else is judged. */
-    void stopped(int dispatcher) {
-        open.values().stream().filter(r -> r.dispatcher == dispatcher).forEach(r -> r.excused = true);
+    /** A dispatcher was paused or resumed: timing rules do not apply to the requests that it holds, all others do. */
+    void dispatcherPausedOrResumed(int dispatcher) {
+        openRequests.values().stream().filter(r -> r.dispatcher == dispatcher).forEach(r -> r.excludedFromTiming = true);
     }
 
     // ---- discovery ----
 
     @Override
-    public void told(int dispatcher, JSONObject update) {
+    public void onUpdateSent(int dispatcher, JSONObject update) {
         long now = clock.getAsLong();
         List<String> named = new ArrayList<>();
         for (Object o : update.getJSONArray("members")) {
@@ -221,7 +224,7 @@
                         default -> WorkerState.GONE;
                     });
             if (entry.getLong("up_since_ms") > 0) {
-                startsTold.computeIfAbsent(dispatcher, d -> new HashSet<>()).add(id);
+                announcedStarts.computeIfAbsent(dispatcher, d -> new HashSet<>()).add(id);
             }
         }
         if (update.getBoolean("complete")) {
@@ -232,20 +235,20 @@
     // ---- workers ----
 
     @Override
-    public double arrived(StandInWorker at, String txn) {
+    public double onJobArrived(StandInWorker at, String txn) {
         long now = clock.getAsLong();
-        Request r = open.get(txn);
-        attempts++;
+        Request r = openRequests.get(txn);
+        attemptCount++;
         if (r == null) {
-            // its client has its answer, or has gone, while this attempt was under way
-            boolean known = ended.contains(txn);
-            invented += known ? 0 : 1;
+            // the client was answered or gave up while this attempt was in transit
+            boolean known = endedRequests.contains(txn);
+            inventedJobs += known ? 0 : 1;
             return known ? 1 : -1;
         }
-        copies += r.atWorkers > 0 ? 1 : 0;
-        r.tries.add(at);
-        r.atWorkers++;
-        if (!r.died) {
+        copies += r.activeAttempts > 0 ? 1 : 0;
+        r.attempts.add(at);
+        r.activeAttempts++;
+        if (!r.dispatcherKilled) {
             checker.sent(now, r.id, at.id, at.zone, at.cell);
         }
         if (at.model.cold(now)) {
@@ -260,28 +263,28 @@
         while (c.window.peek().at < now - scenario.rules().fall()) {
             c.window.poll();
         }
-        double sum = c.window.stream().mapToDouble(Arrival::work).sum();
-        double can = at.model.capacity(now) * scenario.rules().fall() / 1e6;
-        c.multiple = Math.max(c.multiple, sum / can);
-        boolean informed = startsTold.getOrDefault(r.dispatcher, Set.of()).contains(at.id);
+        double arrivedWork = c.window.stream().mapToDouble(Arrival::work).sum();
+        double possibleWork = at.model.capacity(now) * scenario.rules().fall() / 1e6;
+        c.multiple = Math.max(c.multiple, arrivedWork / possibleWork);
+        boolean informed = announcedStarts.getOrDefault(r.dispatcher, Set.of()).contains(at.id);
         if (checker.reachesCold(now, at.id, at.model.capacity(now), r.work, r.dispatcher, informed)) {
             c.fell = true;
-            faller.fell(at);
+            overloadListener.onOverloadCrash(at);
         }
     }
 
     @Override
-    public void left(StandInWorker at, String txn, String how) {
-        Request r = open.get(txn);
+    public void onJobEnded(StandInWorker at, String txn, String how) {
+        Request r = openRequests.get(txn);
         if (r == null) {
             return;
         }
-        r.atWorkers--;
-        r.nowhereSince = r.atWorkers == 0 ? clock.getAsLong() : r.nowhereSince;
+        r.activeAttempts--;
+        r.unassignedSince = r.activeAttempts == 0 ? clock.getAsLong() : r.unassignedSince;
         checker.ended(
                 clock.getAsLong(),
                 r.id,
-                r.tries.lastIndexOf(at),
+                r.attempts.lastIndexOf(at),
                 switch (how) {
                     case "served" -> Outcome.OK;
                     case "full" -> Outcome.FULL;
@@ -289,10 +292,13 @@
                 });
     }
 
-    /** To be called often while the load lasts: what cold workers did meanwhile, and whether jobs waited. */
-    void look(long now) {
-        boolean waiting = now - refusedAt < ON_ITS_WAY
-                || open.values().stream().anyMatch(r -> r.atWorkers == 0 && now - r.nowhereSince > ON_ITS_WAY);
+    /**
+     * Samples the work of cold workers since the last call, in total and while requests waited. To be called
+     * frequently while the load lasts.
+     */
+    void sampleColdWorkers(long now) {
+        boolean waiting = now - lastRefusalAt < WAITING_AFTER_US
+                || openRequests.values().stream().anyMatch(r -> r.activeAttempts == 0 && now - r.unassignedSince > WAITING_AFTER_US);
         for (StandInWorker w : workers.values()) {
             if (w.startedAt == 0 || w.down() || w.draining() || !w.model.cold(now)) {
                 continue;
@@ -307,34 +313,34 @@
         }
     }
 
-    // ---- the verdict ----
+    // ---- result ----
 
     private static double share(double part, double of) {
         return of > 0 ? Math.round(part / of * 1e4) / 1e4 : 0;
     }
 
-    /** A bound, what was seen, and whether that keeps it. */
+    /** A bound, the observed value, and whether it holds. */
     private record Bound(String name, double bound, double seen, boolean held) {}
 
-    /** All that was seen; {@code held} says whether every rule and bound held. */
-    JSONObject verdict() {
+    /** All observations; {@code held} is true if every rule and bound held. */
+    JSONObject result() {
         Scenario.Bounds b = scenario.bounds();
         JSONArray coldOnes = new JSONArray();
-        double most = 0;
-        double used = 0;
-        double least = 1;
+        double maxMultiple = 0;
+        double usedSum = 0;
+        double leastUsed = 1;
         int judged = 0;
         for (Map.Entry<StandInWorker, ColdWorkerStats> e : cold.entrySet()) {
             ColdWorkerStats c = e.getValue();
-            // under a tenth of a second of waiting says nothing of a worker
-            double cold = scenario.kinds().get(0).coldFrom() * e.getKey().model.full();
+            // less than 0.1 s of waiting requests is too little to judge a worker by
+            double cold = scenario.kinds().get(0).coldFrom() * e.getKey().model.warmCapacity();
             boolean counts = c.waiting[1] > 1e5 * cold;
             double part = share(c.waiting[0], c.waiting[1]);
-            most = Math.max(most, c.multiple);
+            maxMultiple = Math.max(maxMultiple, c.multiple);
             if (counts) {
                 judged++;
-                used += part;
-                least = Math.min(least, part);
+                usedSum += part;
+                leastUsed = Math.min(leastUsed, part);
             }
             coldOnes.put(new JSONObject()
                     .put("worker", e.getKey().id)
@@ -343,19 +349,19 @@
                     .put("used_while_jobs_wait", part)
                     .put("fell", c.fell));
         }
-        double mean = judged == 0 ? 1 : used / judged;
-        int refused = ends[ClientOutcome.REFUSED.ordinal()];
-        int failed = ends[ClientOutcome.FAILED.ordinal()];
+        double mean = judged == 0 ? 1 : usedSum / judged;
+        int refused = outcomeCounts[ClientOutcome.REFUSED.ordinal()];
+        int failed = outcomeCounts[ClientOutcome.FAILED.ordinal()];
         List<Bound> bounds = List.of(
-                new Bound("refused", b.refused(), share(refused, asked), refused <= b.refused() * asked),
-                new Bound("failed", b.failed(), share(failed, asked), failed <= b.failed() * asked),
-                new Bound("cold_multiple", b.coldMultiple(), share(most, 1), most <= b.coldMultiple()),
+                new Bound("refused", b.refused(), share(refused, requestCount), refused <= b.refused() * requestCount),
+                new Bound("failed", b.failed(), share(failed, requestCount), failed <= b.failed() * requestCount),
+                new Bound("cold_multiple", b.coldMultiple(), share(maxMultiple, 1), maxMultiple <= b.coldMultiple()),
                 new Bound("cold_used", b.coldUsed(), share(mean, 1), mean >= b.coldUsed()),
-                new Bound("cold_used_each", b.coldUsedEach(), share(least, 1), least >= b.coldUsedEach()),
+                new Bound("cold_used_each", b.coldUsedEach(), share(leastUsed, 1), leastUsed >= b.coldUsedEach()),
                 new Bound("rules_broken", 0, checker.count(), checker.count() == 0),
-                new Bound("invented_jobs", 0, invented, invented == 0));
-        JSONArray told = new JSONArray();
-        bounds.forEach(x -> told.put(new JSONObject()
+                new Bound("invented_jobs", 0, inventedJobs, inventedJobs == 0));
+        JSONArray boundResults = new JSONArray();
+        bounds.forEach(x -> boundResults.put(new JSONObject()
                 .put("bound", x.name)
                 .put("limit", x.bound)
                 .put("seen", x.seen)
@@ -369,21 +375,21 @@
                         .put("what", x.what())
                         .put("story", new JSONArray(x.story()))));
         JSONObject result = new JSONObject()
-                .put("requests", asked)
-                .put("attempts", attempts)
+                .put("requests", requestCount)
+                .put("attempts", attemptCount)
                 .put("copies", copies)
-                .put("in_time", inTime)
+                .put("in_time", servedInTime)
                 .put("worth_served", share(worthServed, worthAsked));
         for (ClientOutcome end : ClientOutcome.values()) {
-            result.put(end.name().toLowerCase(Locale.ROOT), ends[end.ordinal()]);
+            result.put(end.name().toLowerCase(Locale.ROOT), outcomeCounts[end.ordinal()]);
         }
         JSONArray bySecond = new JSONArray();
-        seconds.forEach(s -> bySecond.put(new JSONArray(s)));
+        countsBySecond.forEach(s -> bySecond.put(new JSONArray(s)));
         return result.put("cold_workers", coldOnes)
                 .put("cold_used_mean", share(mean, 1))
-                .put("cold_multiple", share(most, 1))
+                .put("cold_multiple", share(maxMultiple, 1))
                 .put("judged", checker.judged())
-                .put("bounds", told)
+                .put("bounds", boundResults)
                 .put("broken", broken)
                 .put("rules_broken", checker.count())
                 .put("asked_served_refused_by_second", bySecond)
--- a/src/main/java/saffronferry/rig/ScenarioSettings.java
+++ b/src/main/java/saffronferry/rig/ScenarioSettings.java
@@ -6,7 +6,7 @@
 import org.json.JSONObject;
 import saffronferry.lab.scenario.Scenario;
 
-/** A scenario as the configuration of real dispatchers. */
+/** Converts a scenario to the {@code settings} of real dispatchers. */
 final class ScenarioSettings {
     private ScenarioSettings() {}
 
@@ -14,8 +14,8 @@
         return micros / 1e6;
     }
 
-    /** The key {@code settings} for one dispatcher; {@code perSecond}: requests the fleet can do. */
-    static JSONObject of(Scenario s, int number, double perSecond) {
+    /** The settings of one dispatcher; {@code requestsPerSecond} is what the fleet can serve. */
+    static JSONObject of(Scenario s, int number, double requestsPerSecond) {
         JSONArray profiles = new JSONArray();
         JSONArray stretch = new JSONArray();
         JSONArray kinds = new JSONArray();
@@ -46,7 +46,7 @@
                 .forEach(t -> realms.put(new JSONObject()
                         .put("name", t.name())
                         .put("share", t.share() / shares)
-                        .put("allowancePerS", perSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares))));
+                        .put("allowancePerS", requestsPerSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares))));
         double cold =
                 s.kinds().stream().mapToDouble(k -> seconds(k.cold())).max().orElse(0);
         double from =
--- a/src/main/java/saffronferry/rig/StandInDiscovery.java
+++ b/src/main/java/saffronferry/rig/StandInDiscovery.java
@@ -14,49 +14,52 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Discovery as one dispatcher meets it, at an address of its own; news for it can be withheld. */
+/** The discovery service of one dispatcher, at its own address; updates can be withheld, delayed or failed. */
 final class StandInDiscovery {
-    /** Whom it tells what it has written to its dispatcher. */
-    interface Watcher {
-        void told(int dispatcher, JSONObject update);
+    /** Receives each update that is sent to the dispatcher. */
+    interface UpdateListener {
+        void onUpdateSent(int dispatcher, JSONObject update);
     }
 
-    private static final long STILL_THERE_MS = 2_000;
+    private static final long KEEPALIVE_INTERVAL_MS = 2_000;
 
     private final Vertx vertx;
     private final int dispatcher;
-    private final Watcher watcher;
+    private final UpdateListener listener;
     private final HttpServer server;
-    private final Map<String, JSONObject> list = new LinkedHashMap<>();
-    private final List<JSONObject> changes = new ArrayList<>();
+    private final Map<String, JSONObject> workers = new LinkedHashMap<>();
+    private final List<JSONObject> pendingChanges = new ArrayList<>();
     private HttpServerResponse watch;
     private long revision = 1;
-    private long written;
+    private long writtenBytes;
     private boolean down;
     private boolean withheld;
-    private long disorder; // microseconds by which a change may come later
-    private SplittableRandom random;
-    private final Map<String, Long> notBefore = new HashMap<>(); // a worker's own changes keep their order
+    /** Upper limit of the random delay of a change. */
+    private long maxDisorderUs;
 
-    StandInDiscovery(Vertx vertx, int dispatcher, Watcher watcher) {
+    private SplittableRandom disorderRandom;
+    /** Earliest time of the next change by worker id, in milliseconds: changes of one worker keep their order. */
+    private final Map<String, Long> earliestByWorker = new HashMap<>();
+
+    StandInDiscovery(Vertx vertx, int dispatcher, UpdateListener listener) {
         this.vertx = vertx;
         this.dispatcher = dispatcher;
-        this.watcher = watcher;
+        this.listener = listener;
         server = vertx.createHttpServer().requestHandler(this::handle);
-        vertx.setPeriodic(STILL_THERE_MS, t -> {
+        vertx.setPeriodic(KEEPALIVE_INTERVAL_MS, t -> {
             if (watch != null) {
                 write("\n");
             }
         });
     }
 
-    /** How many bytes of lines it has written to its dispatcher, without heads and the chunks' own lines. */
-    long written() {
-        return written;
+    /** Bytes of update lines written to the dispatcher, without HTTP headers and chunk framing. */
+    long writtenBytes() {
+        return writtenBytes;
     }
 
     private void write(String line) {
-        written += line.length(); // ids, zones and kinds are ASCII here
+        writtenBytes += line.length(); // ids, zones and kinds are ASCII here
         watch.write(line);
     }
 
@@ -68,38 +71,38 @@
         return host + ":" + server.actualPort();
     }
 
-    /** A worker's entry has changed, or is new. */
-    void changed(JSONObject entry) {
-        long late = disorder == 0 ? 0 : random.nextLong(disorder) / 1_000;
+    /** Publishes a new or changed worker entry. */
+    void announce(JSONObject entry) {
+        long late = maxDisorderUs == 0 ? 0 : disorderRandom.nextLong(maxDisorderUs) / 1_000;
         long now = System.nanoTime() / 1_000_000;
-        long due = Math.max(now + late, notBefore.getOrDefault(entry.getString("id"), 0L) + 1);
+        long due = Math.max(now + late, earliestByWorker.getOrDefault(entry.getString("id"), 0L) + 1);
         if (due <= now + 1) {
-            listed(entry);
+            queueChange(entry);
             return;
         }
-        notBefore.put(entry.getString("id"), due);
-        vertx.setTimer(due - now, t -> listed(entry));
+        earliestByWorker.put(entry.getString("id"), due);
+        vertx.setTimer(due - now, t -> queueChange(entry));
     }
 
-    private void listed(JSONObject entry) {
-        changes.add(entry);
+    private void queueChange(JSONObject entry) {
+        pendingChanges.add(entry);
         flush();
     }
 
-    /** Each change comes up to so many microseconds late from now on: those of different workers overtake. */
-    void disorder(long micros, SplittableRandom chance) {
-        disorder = micros;
-        random = chance;
+    /** Delays each later change by up to {@code maxMicros}, so that changes of different workers are reordered. */
+    void setDisorder(long maxMicros, SplittableRandom random) {
+        maxDisorderUs = maxMicros;
+        disorderRandom = random;
     }
 
-    /** Says nothing new, and takes no calls, until it is over. */
-    void withhold(boolean on) {
+    /** Holds back all changes until it is switched off. */
+    void setWithheld(boolean on) {
         withheld = on;
         flush();
     }
 
-    /** Ends watches and fails calls. */
-    void outage(boolean on) {
+    /** Ends the watch and answers calls with 503 until it is switched off. */
+    void setOutage(boolean on) {
         down = on;
         if (on && watch != null) {
             HttpServerResponse ended = watch;
@@ -110,38 +113,38 @@
     }
 
     private void flush() {
-        if (withheld || down || changes.isEmpty()) {
+        if (withheld || down || pendingChanges.isEmpty()) {
             return;
         }
         JSONArray members = new JSONArray();
-        for (JSONObject entry : changes) {
+        for (JSONObject entry : pendingChanges) {
             members.put(entry);
             if (entry.getString("phase").equals("DELETED")) {
-                list.remove(entry.getString("id"));
+                workers.remove(entry.getString("id"));
             } else {
-                list.put(entry.getString("id"), entry);
+                workers.put(entry.getString("id"), entry);
             }
         }
-        changes.clear();
+        pendingChanges.clear();
         revision++;
         if (watch != null) {
-            tell(new JSONObject()
+            sendUpdate(new JSONObject()
                     .put("revision", revision)
                     .put("complete", false)
                     .put("members", members));
         }
     }
 
-    /** The whole list as this dispatcher would be told it. */
-    JSONObject whole() {
+    /** The complete list as sent to this dispatcher. */
+    JSONObject fullList() {
         return new JSONObject()
                 .put("revision", revision)
                 .put("complete", true)
-                .put("members", new JSONArray(list.values()));
+                .put("members", new JSONArray(workers.values()));
     }
 
-    private void tell(JSONObject update) {
-        watcher.told(dispatcher, update);
+    private void sendUpdate(JSONObject update) {
+        listener.onUpdateSent(dispatcher, update);
         write(update + "\n");
     }
 
@@ -152,13 +155,13 @@
             return;
         }
         if (request.getParam("watch") == null) {
-            watcher.told(dispatcher, whole());
-            request.response().end(whole().toString());
+            listener.onUpdateSent(dispatcher, fullList());
+            request.response().end(fullList().toString());
             return;
         }
-        HttpServerResponse mine = request.response().setChunked(true);
-        watch = mine;
-        request.connection().closeHandler(v -> watch = watch == mine ? null : watch);
-        tell(whole());
+        HttpServerResponse response = request.response().setChunked(true);
+        watch = response;
+        request.connection().closeHandler(v -> watch = watch == response ? null : watch);
+        sendUpdate(fullList());
     }
 }
--- a/src/main/java/saffronferry/rig/StandInWorker.java
+++ b/src/main/java/saffronferry/rig/StandInWorker.java
@@ -14,42 +14,47 @@
 import java.util.function.LongSupplier;
 import saffronferry.lab.scenario.Scenario.Kind;
 
-/** A worker as the platform's: jobs by POST, starts told, its load when probed. On the rig's loop. */
+/**
+ * A worker with the platform's HTTP interface: accepts jobs by POST, reports their start and end, and answers
+ * load probes. Runs on the rig's event loop.
+ */
 final class StandInWorker {
-    /** What a worker asks and tells of the jobs that reach it. */
-    interface Watcher {
-        /** A job has come whole; its work in microseconds at speed 1, or -1 if no client sent it. */
-        double arrived(StandInWorker at, String txn);
+    /** Receives the jobs that reach a worker. */
+    interface JobListener {
+        /** A job was received; returns its work in microseconds at speed 1, or -1 if no client sent it. */
+        double onJobArrived(StandInWorker at, String txn);
 
-        /** How it left: run to its end, turned away unseen, or lost with the connection or the process. */
-        void left(StandInWorker at, String txn, String how);
+        /** A job ended: {@code served}, {@code full} (rejected) or {@code lost} (connection or process ended). */
+        void onJobEnded(StandInWorker at, String txn, String how);
     }
 
-    /** How often a cold worker, whose speed changes, looks at its jobs. */
-    private static final long COLD_STEP_MS = 50;
+    /** Update interval of a cold worker, whose speed changes over time. */
+    private static final long COLD_STEP_INTERVAL_MS = 50;
 
     final String id;
     final int kindIndex;
     final int zone;
     final int cell;
-    final long startedAt; // 0: long ago
+    /** 0: started long before the run. */
+    final long startedAt;
+
     final WorkerModel model;
     private final Vertx vertx;
     private final LongSupplier clock;
-    private final Watcher watcher;
+    private final JobListener listener;
     private final HttpServer server;
-    private final Map<WorkerModel.Job, HttpServerResponse> out = new HashMap<>();
+    private final Map<WorkerModel.Job, HttpServerResponse> responses = new HashMap<>();
     private final Set<HttpConnection> connections = new HashSet<>();
     private long timer = -1;
     private boolean draining;
     private boolean down;
-    private boolean silent;
-    private long probes;
+    private boolean reportsEmpty;
+    private long probeCount;
 
     StandInWorker(
             Vertx vertx,
             LongSupplier clock,
-            Watcher watcher,
+            JobListener listener,
             String id,
             int zone,
             int kindIndex,
@@ -59,7 +64,7 @@
             long startedAt) {
         this.vertx = vertx;
         this.clock = clock;
-        this.watcher = watcher;
+        this.listener = listener;
         this.id = id;
         this.zone = zone;
         this.kindIndex = kindIndex;
@@ -83,9 +88,9 @@
         return server.actualPort();
     }
 
-    /** How often it has been asked for its load. */
-    long probes() {
-        return probes;
+    /** Number of load probes received. */
+    long probeCount() {
+        return probeCount;
     }
 
     boolean down() {
@@ -96,31 +101,31 @@
         return draining;
     }
 
-    /** Its reports hold nothing that can be read. */
-    void silent(boolean on) {
-        silent = on;
+    /** Makes the worker answer load probes with an empty body. */
+    void setReportsEmpty(boolean on) {
+        reportsEmpty = on;
     }
 
-    void slow(double factor) {
-        step();
-        model.slow(factor);
-        step();
+    void setSlowdown(double factor) {
+        advance();
+        model.setSlowdown(factor);
+        advance();
     }
 
-    /** Turns fresh work away; finishes what it has. */
+    /** Rejects new jobs and finishes those that it has. */
     void drain() {
         draining = true;
     }
 
-    /** The process ends: connections break, new ones are refused. */
+    /** Simulates the end of the process: open connections break, new ones are refused. */
     void crash() {
         if (down) {
             return;
         }
         down = true;
         vertx.cancelTimer(timer);
-        out.keySet().forEach(job -> watcher.left(this, job.id, "lost"));
-        out.clear();
+        responses.keySet().forEach(job -> listener.onJobEnded(this, job.id, "lost"));
+        responses.clear();
         server.close();
         Set.copyOf(connections).forEach(HttpConnection::close);
     }
@@ -129,91 +134,91 @@
         request.exceptionHandler(e -> {});
         request.response().exceptionHandler(e -> {});
         if (request.path().equals("/metrics/load")) {
-            probes++;
-            step();
-            double busy = 1 - model.free() / (double) (model.free() + model.held() + 1);
+            probeCount++;
+            advance();
+            double busy = 1 - model.freeSlots() / (double) (model.freeSlots() + model.jobCount() + 1);
             request.response()
                     .end(
-                            silent
+                            reportsEmpty
                                     ? ""
                                     : String.format(
-                                            Locale.ROOT, "tps=%.1f,load_share=%.2f,x0=%d", 1.0, busy, model.free()));
+                                            Locale.ROOT, "tps=%.1f,load_share=%.2f,x0=%d", 1.0, busy, model.freeSlots()));
             return;
         }
-        request.body().onSuccess(body -> take(request));
+        request.body().onSuccess(body -> acceptJob(request));
     }
 
-    private void take(HttpServerRequest request) {
+    private void acceptJob(HttpServerRequest request) {
         String txn = request.getHeader("X-Txn");
         HttpServerResponse response = request.response();
         if (down || txn == null) {
             response.setStatusCode(404).end();
             return;
         }
-        double work = watcher.arrived(this, txn);
-        step();
+        double work = listener.onJobArrived(this, txn);
+        advance();
         if (work < 0) {
             response.setStatusCode(400).end();
             return;
         }
         WorkerModel.Job job = new WorkerModel.Job(txn, work);
-        if (down || draining || !model.deliver(job)) {
-            watcher.left(this, txn, "full");
+        if (down || draining || !model.offer(job)) {
+            listener.onJobEnded(this, txn, "full");
             response.setStatusCode(503).putHeader("X-Turned-Away", "1").end();
             return;
         }
         response.setChunked(true);
-        out.put(job, response);
+        responses.put(job, response);
         request.connection().closeHandler(v -> {
             connections.remove(request.connection());
-            gone(job);
+            jobConnectionClosed(job);
         });
-        step();
+        advance();
     }
 
-    private void gone(WorkerModel.Job job) {
-        if (out.remove(job) != null) {
-            step();
+    private void jobConnectionClosed(WorkerModel.Job job) {
+        if (responses.remove(job) != null) {
+            advance();
             model.cancel(job);
-            watcher.left(this, job.id, "lost");
-            step();
+            listener.onJobEnded(this, job.id, "lost");
+            advance();
         }
     }
 
-    /** Brings the model up to now and tells what has come of it. */
-    private void step() {
+    /** Advances the model to now and reports finished and started jobs. */
+    private void advance() {
         vertx.cancelTimer(timer);
         if (down) {
             return;
         }
         long now = clock.getAsLong();
         for (WorkerModel.Job job : model.advance(now)) {
-            HttpServerResponse response = out.remove(job);
-            if (response != null) { // else its connection broke just now
-                watcher.left(this, job.id, "served");
-                response.end(line(job, "done\",\"result\":\"made"));
+            HttpServerResponse response = responses.remove(job);
+            if (response != null) { // null if the connection has just broken
+                listener.onJobEnded(this, job.id, "served");
+                response.end(statusLine(job, "done\",\"result\":\"made"));
             }
         }
-        for (WorkerModel.Job job : model.refill()) {
-            HttpServerResponse response = out.get(job);
+        for (WorkerModel.Job job : model.startQueued()) {
+            HttpServerResponse response = responses.get(job);
             if (response != null) {
-                response.write(line(job, "started"));
+                response.write(statusLine(job, "started"));
             }
         }
-        long next = model.next(now);
+        long next = model.microsUntilNextCompletion(now);
         if (next >= 0) {
             long ms = Math.max(1, (next + 999) / 1000);
-            timer = vertx.setTimer(model.cold(now) ? Math.min(ms, COLD_STEP_MS) : ms, t -> step());
+            timer = vertx.setTimer(model.cold(now) ? Math.min(ms, COLD_STEP_INTERVAL_MS) : ms, t -> advance());
         }
     }
 
-    /** Work done and work that could have been done until now. */
+    /** Completed work and possible work until now. */
     double[] progress() {
-        step();
-        return new double[] {model.done(), model.could()};
+        advance();
+        return new double[] {model.completedWork(), model.possibleWork()};
     }
 
-    private String line(WorkerModel.Job job, String state) {
+    private String statusLine(WorkerModel.Job job, String state) {
         return "{\"id\":\"" + job.id + "\",\"from\":\"" + id + "\",\"state\":\"" + state + "\"}\n";
     }
 }
--- a/src/main/java/saffronferry/rig/WorkerModel.java
+++ b/src/main/java/saffronferry/rig/WorkerModel.java
@@ -7,87 +7,91 @@
 import saffronferry.lab.scenario.Scenario.Kind;
 
 /**
- * What a stand-in worker can do: jobs in its slots share its cores, others wait in order or are turned away,
- * and one just started has a part of its capacity, as the laboratory's has. Pure; the clock, microseconds,
- * is handed in and never runs backwards.
+ * Capacity model of a stand-in worker: jobs in slots share the cores, further jobs wait in FIFO order or are
+ * rejected, and a cold worker has a share of its capacity, as in the simulator. Performs no I/O; the time, in
+ * microseconds, is passed in and never decreases.
  */
 final class WorkerModel {
-    /** A job at the worker; {@code left} is work in microseconds at speed 1. */
+    /** A job at the worker; {@code remaining} is work in microseconds at speed 1. */
     static final class Job {
         final String id;
-        private double left;
+        private double remaining;
 
         Job(String id, double work) {
             this.id = id;
-            left = work;
+            remaining = work;
         }
     }
 
     private final Kind kind;
     private final double speed;
-    private final long coldSince; // 0: warm
+    /** 0: warm. */
+    private final long coldSince;
+
     private final List<Job> running = new ArrayList<>();
     private final Deque<Job> queue = new ArrayDeque<>();
-    private double slowness = 1;
-    private double done; // work in microseconds at speed 1
-    private double could;
-    private long at;
+    private double slowdown = 1;
+    /** Work in microseconds at speed 1. */
+    private double completedWork;
+
+    private double possibleWork;
+    private long updatedAt;
 
-    /** {@code coldSince} 0: it is warm. */
+    /** Creates a worker that is warm if {@code coldSince} is 0. */
     WorkerModel(Kind kind, double speed, long coldSince, long now) {
         this.kind = kind;
         this.speed = speed;
         this.coldSince = coldSince;
-        at = now;
+        updatedAt = now;
     }
 
-    private double coldShare(long now) {
+    private double capacityShare(long now) {
         if (coldSince == 0 || kind.cold() == 0) {
             return 1;
         }
         double byTime = (now - coldSince) / (double) kind.cold();
-        double byWork = done / (full() * kind.cold() * 0.5);
+        double byWork = completedWork / (warmCapacity() * kind.cold() * 0.5);
         return Math.min(1, kind.coldFrom() + (1 - kind.coldFrom()) * Math.max(byTime, byWork));
     }
 
     boolean cold(long now) {
-        return coldShare(now) < 1;
+        return capacityShare(now) < 1;
     }
 
-    /** Work a second at speed 1 that it does when warm. */
-    double full() {
+    /** Capacity when warm, in work per second at speed 1. */
+    double warmCapacity() {
         return Math.min(kind.slots(), kind.cores()) * speed;
     }
 
-    /** Work a second at speed 1 that it could do now. */
+    /** Current capacity, in work per second at speed 1. */
     double capacity(long now) {
-        return full() * coldShare(now) / slowness;
+        return warmCapacity() * capacityShare(now) / slowdown;
     }
 
-    /** Work done until the last {@link #advance}, in microseconds at speed 1. */
-    double done() {
-        return done;
+    /** Work completed until the last {@link #advance}, in microseconds at speed 1. */
+    double completedWork() {
+        return completedWork;
     }
 
-    /** Work it could have done until then, never idle. */
-    double could() {
-        return could;
+    /** Work that it could have completed until then without idle time. */
+    double possibleWork() {
+        return possibleWork;
     }
 
-    int free() {
+    int freeSlots() {
         return queue.isEmpty() ? kind.slots() - running.size() : 0;
     }
 
-    int held() {
+    int jobCount() {
         return running.size() + queue.size();
     }
 
-    void slow(double factor) {
-        slowness = factor;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    /** Takes a job in; false if there is no room. To be advanced to now before. */
-    boolean deliver(Job job) {
+    /** Accepts a job, or returns false if slots and queue are full. Call {@link #advance} first. */
+    boolean offer(Job job) {
         if (running.size() >= kind.slots() && queue.size() >= kind.queue()) {
             return false;
         }
@@ -105,41 +109,41 @@
         if (running.isEmpty()) {
             return 0;
         }
-        double crowded = held() > kind.thrashAt() ? 1 / (1 + kind.thrash() * (held() - kind.thrashAt())) : 1;
-        return speed * Math.min(1, kind.cores() / (double) running.size()) * crowded * coldShare(now) / slowness;
+        double thrashFactor = jobCount() > kind.thrashAt() ? 1 / (1 + kind.thrash() * (jobCount() - kind.thrashAt())) : 1;
+        return speed * Math.min(1, kind.cores() / (double) running.size()) * thrashFactor * capacityShare(now) / slowdown;
     }
 
-    /** Brings work up to now; the jobs that are done. */
+    /** Advances all running jobs to {@code now} and returns those that have finished. */
     List<Job> advance(long now) {
-        double each = rate(at) * (now - at);
-        could += capacity(at) * (now - at);
+        double workPerJob = rate(updatedAt) * (now - updatedAt);
+        possibleWork += capacity(updatedAt) * (now - updatedAt);
         for (Job job : running) {
-            done += Math.min(each, Math.max(0, job.left));
-            job.left -= each;
+            completedWork += Math.min(workPerJob, Math.max(0, job.remaining));
+            job.remaining -= workPerJob;
         }
-        at = now;
-        List<Job> over = running.stream().filter(job -> job.left <= 0.5).toList();
-        running.removeAll(over);
-        return over;
+        updatedAt = now;
+        List<Job> finished = running.stream().filter(job -> job.remaining <= 0.5).toList();
+        running.removeAll(finished);
+        return finished;
     }
 
-    /** Begins what fits now; the jobs that have begun. */
-    List<Job> refill() {
-        List<Job> begun = new ArrayList<>();
+    /** Moves queued jobs into free slots and returns them. */
+    List<Job> startQueued() {
+        List<Job> started = new ArrayList<>();
         while (running.size() < kind.slots() && !queue.isEmpty()) {
-            begun.add(queue.peek());
+            started.add(queue.peek());
             running.add(queue.poll());
         }
-        return begun;
+        return started;
     }
 
-    /** Microseconds until the next job may be done, or -1 where none runs. */
-    long next(long now) {
+    /** Microseconds until the next job may finish, or -1 if none runs. */
+    long microsUntilNextCompletion(long now) {
         double rate = rate(now);
         if (rate <= 0) {
             return -1;
         }
-        double least = running.stream().mapToDouble(job -> job.left).min().orElse(0);
+        double least = running.stream().mapToDouble(job -> job.remaining).min().orElse(0);
         return Math.max(500, (long) Math.ceil(least / rate));
     }
 }
--- a/src/main/java/saffronferry/rig/package-info.java
+++ b/src/main/java/saffronferry/rig/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The fault rig: several real processes of the program on loopback, between stand-in workers, discovery and
- * clients, with faults put between and into them by a scenario of the laboratory's form; what holds is
- * judged from outside.
+ * The fault rig: runs several real dispatcher processes on loopback against stand-in workers, a stand-in
+ * discovery service and a load generator. A scenario, in the same format as the simulator's, injects faults
+ * into the processes and the links between them. Rules and bounds are checked only from what clients and
+ * workers observe.
  */
 package saffronferry.rig;
--- a/src/test/java/saffronferry/rig/FaultRigTest.java
+++ b/src/test/java/saffronferry/rig/FaultRigTest.java
@@ -71,15 +71,15 @@
         assertEquals(5 * (0.33 + 0.67 / 2), m.capacity(1_000_000 + kind.cold() / 2), 1e-6);
         WorkerModel warm = new WorkerModel(kind, 1, 0, 0);
         for (int i = 0; i < 15; i++) {
-            assertTrue(warm.deliver(new WorkerModel.Job("j" + i, 1e6)));
-            warm.refill();
+            assertTrue(warm.offer(new WorkerModel.Job("j" + i, 1e6)));
+            warm.startQueued();
         }
-        assertTrue("five run, ten wait", !warm.deliver(new WorkerModel.Job("x", 1e6)));
-        assertEquals(0, warm.free());
+        assertTrue("five run, ten wait", !warm.offer(new WorkerModel.Job("x", 1e6)));
+        assertEquals(0, warm.freeSlots());
         assertEquals(0, warm.advance(999_000).size());
         assertEquals(5, warm.advance(1_000_001).size());
-        assertEquals(5, warm.refill().size());
-        assertEquals(5e6, warm.done(), 10);
+        assertEquals(5, warm.startQueued().size());
+        assertEquals(5e6, warm.completedWork(), 10);
     }
 
     /**
--- a/src/test/java/saffronferry/rig/IdleDispatcherTest.java
+++ b/src/test/java/saffronferry/rig/IdleDispatcherTest.java
@@ -63,12 +63,12 @@
 
     @Test
     public void aConsolesControlFiguresAreReadAndNoOthers() {
-        assertEquals(Map.of("console_bytes_list_in", 12.0, "console_core_seconds", 0.25), ControlMetrics.of("""
+        assertEquals(Map.of("console_bytes_list_in", 12.0, "console_core_seconds", 0.25), ControlMetrics.parse("""
                 # HELP app_control_bytes x
                 app_responses{kind="a",result="ok"} 3
                 app_control_bytes{kind="list",way="in"} 12
                 app_control_core_seconds 0.250
                 """));
-        assertEquals(Map.of(), ControlMetrics.of(""));
+        assertEquals(Map.of(), ControlMetrics.parse(""));
     }
 }
