--- a/src/main/java/saffronferry/scale/CostMeter.java
+++ b/src/main/java/saffronferry/scale/CostMeter.java
@@ -7,9 +7,9 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.world.World;
 
-/** What one play's dispatchers cost, each by itself. */
+/** Records the cost of each dispatcher of one simulation. */
 final class CostMeter implements World.Wrap {
-    /** What a decision is about. */
+    /** The input of a decision. The names are written to results. */
     enum DecisionKind {
         PICK,
         REPORT,
@@ -18,7 +18,7 @@
         DATAGRAM
     }
 
-    /** What is said for control, and in which direction. */
+    /** Kind and direction of a control message. The names are written to results. */
     enum MessageKind {
         DATAGRAM_OUT,
         DATAGRAM_IN,
@@ -28,7 +28,10 @@
         PROBE_IN
     }
 
-    /** What one dispatcher costs, over all its lives; times in nanoseconds, while clients ask. */
+    /**
+     * The cost of one dispatcher over all its restarts; times in nanoseconds. Unless named after the start, the
+     * totals cover only the time in which clients send requests.
+     */
     static final class DispatcherCost {
         final long[] decisions = new long[DecisionKind.values().length];
         final long[] nanos = new long[DecisionKind.values().length];
@@ -40,9 +43,9 @@
         long startBytes;
         long startNanos;
         long wholeListBytes;
-        /** Whether its first whole list has come: that belongs to its start, however late it is. */
+        /** Whether the first complete list was received; it belongs to the start, however late it arrives. */
         boolean firstListReceived;
-        /** Whether the line that is being taken in is that one. */
+        /** Whether the line being processed is that first complete list. */
         boolean readingFirstList;
 
         DispatcherCost(int seconds) {
@@ -66,7 +69,7 @@
         }
     }
 
-    /** So many keep their list as {@code serve} does, to be weighed; kept by all it would fill the heap. */
+    /** Dispatchers that retain their list, so that its heap is measured; the lists of all would fill the heap. */
     static final int LISTS_RETAINED = 8;
 
     final List<DispatcherCost> costs = new ArrayList<>();
@@ -76,7 +79,7 @@
     private final long endsAt;
     private final LongConsumer progress;
 
-    /** {@code progress} is told the time reached, as brains are handed it, at least once in each tick. */
+    /** {@code progress} receives the virtual time, at least once per tick. */
     CostMeter(Scenario scenario, LongConsumer progress) {
         listCodec = new WorkerListCodec(scenario);
         endsAt = World.DAY_STARTS + scenario.length();
@@ -93,12 +96,12 @@
         return dispatchers[dispatcher];
     }
 
-    /** Whether clients ask at that time: only then decisions count. */
+    /** Whether clients send requests at that time; only then are costs counted. */
     boolean isMeasured(long now) {
         return now >= World.DAY_STARTS && now < endsAt;
     }
 
-    /** A line of the list has come; the first whole one of a dispatcher's first life is its start's. */
+    /** Records a received list line; the first complete one of the first start is attributed to the start. */
     void recordListReceived(DispatcherCost cost, boolean whole, int bytes, long now) {
         cost.readingFirstList = whole && !cost.firstListReceived;
         cost.firstListReceived |= whole;
@@ -110,7 +113,7 @@
         }
     }
 
-    /** To read a line of the list has taken so long. */
+    /** Records the CPU time of parsing a list line. */
     void recordListParse(DispatcherCost cost, long nanos, long now) {
         if (cost.readingFirstList || now < World.DAY_STARTS) {
             cost.startNanos += nanos;
@@ -120,7 +123,7 @@
         }
     }
 
-    /** A decision has taken so long. */
+    /** Records the CPU time of a decision. */
     void recordDecision(DispatcherCost cost, DecisionKind kind, long nanos, long now) {
         if (cost.readingFirstList || now < World.DAY_STARTS) {
             cost.startNanos += nanos;
@@ -145,7 +148,7 @@
         progress.accept(now);
     }
 
-    /** Lets go of the lists that are kept beside the modules; how many there were. */
+    /** Releases the retained lists and returns how many there were. */
     int releaseLists() {
         int released = 0;
         for (InstrumentedDispatcher dispatcher : dispatchers) {
@@ -154,7 +157,7 @@
         return released;
     }
 
-    /** Lets go of the modules. */
+    /** Releases the decision modules. */
     void releaseModules() {
         for (InstrumentedDispatcher dispatcher : dispatchers) {
             dispatcher.releaseModule();
--- a/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
+++ b/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
@@ -19,9 +19,9 @@
 import saffronferry.state.ListUpdate;
 
 /**
- * A dispatcher without sockets: between its module and its world, it turns lists into bytes and reads them as
- * {@code serve} does, and takes down what is said and what decisions cost. Datagrams are bytes already, which
- * the module makes and reads by its own codec.
+ * A dispatcher without sockets: wraps the decision module, encodes worker lists to bytes and parses them as
+ * {@code serve} does, and records control messages and the CPU time of decisions. Datagrams are bytes already,
+ * encoded and decoded by the module's own codec.
  */
 final class InstrumentedDispatcher implements Brain {
     private static final int PROBE_BYTES = "GET /metrics/load HTTP/1.1\r\nhost: 10.0.82.7:9100\r\n\r\n".length();
@@ -32,7 +32,7 @@
     private final CostMeter meter;
     private final DispatcherCost cost;
     private Brain module;
-    /** As {@code serve} keeps it beside the module; null where it is not weighed. */
+    /** The worker list as {@code serve} keeps it in addition to the module; null if its heap is not measured. */
     private Map<String, ListUpdate.Entry> retainedList;
 
     InstrumentedDispatcher(Brain module, CostMeter meter, DispatcherCost cost, boolean retainsList) {
@@ -76,17 +76,17 @@
         return load == null ? "" : "slots_free=" + load.freeSlots();
     }
 
-    /** The copy that a start is given comes from a file: it is read like another list, but nobody sent it. */
+    /** A warm copy comes from a file: it is parsed like any other list, but not counted as received. */
     private List<Step> reportList(long now, News.Resolved resolved) {
         byte[] line = meter.listCodec.encode(resolved.entries(), resolved.kind());
         if (resolved.kind() != ListKind.WARM_COPY) {
             meter.recordListReceived(cost, resolved.kind() == ListKind.WHOLE, line.length, now);
         }
-        long begun = meter.clock.now();
+        long startNanos = meter.clock.now();
         ListUpdate update = meter.listCodec.decode(line);
         List<WorkerInfo> entries =
                 update.entries().stream().map(ListUpdate.Entry::info).toList();
-        meter.recordListParse(cost, meter.clock.elapsedSince(begun), now);
+        meter.recordListParse(cost, meter.clock.elapsedSince(startNanos), now);
         retain(update);
         return decide(DecisionKind.LIST, now, () -> module.report(now, new News.Resolved(resolved.kind(), entries)));
     }
@@ -108,9 +108,9 @@
     }
 
     private List<Step> decide(DecisionKind kind, long now, Supplier<List<Step>> decision) {
-        long begun = meter.clock.now();
+        long startNanos = meter.clock.now();
         List<Step> steps = decision.get();
-        meter.recordDecision(cost, kind, meter.clock.elapsedSince(begun), now);
+        meter.recordDecision(cost, kind, meter.clock.elapsedSince(startNanos), now);
         for (Step step : steps) {
             if (step instanceof Step.TellPeer datagram) {
                 meter.recordMessage(cost, MessageKind.DATAGRAM_OUT, datagram.bytes().length, now);
--- a/src/main/java/saffronferry/scale/ScaleSimulation.java
+++ b/src/main/java/saffronferry/scale/ScaleSimulation.java
@@ -19,21 +19,22 @@
 import saffronferry.scale.CostMeter.DispatcherCost;
 import saffronferry.scale.CostMeter.MessageKind;
 
-/** Plays a scenario with hollow dispatchers and says what each of them costs. */
+/** Simulates a scenario with dispatchers without sockets and reports the cost of each of them. */
 public final class ScaleSimulation {
-    /** Rules that were broken, told in full. */
+    /** Rule violations that are listed; of the others only the total is reported. */
     private static final int MAX_REPORTED_VIOLATIONS = 3;
 
     private ScaleSimulation() {}
 
     /**
-     * A play and its figures, by name.
+     * A simulation and its figures, by name.
      *
-     * @param set the keys that a sweep has set other than the numbers of dispatchers and workers, as written
-     * @param broken the limits and rules that were broken, a line each
+     * @param set the scenario keys that a sweep has set, as written, other than the numbers of dispatchers and
+     *     workers
+     * @param violations the violated limits and rules, one line each
      */
     public record Run(Scenario scenario, Map<String, String> set, Map<String, Double> figures, List<String> violations) {
-        /** As the result file has it. */
+        /** The entry of this run in the result file. */
         public JSONObject json() {
             JSONObject json = new JSONObject()
                     .put("dispatchers", scenario.dispatchers())
@@ -47,7 +48,7 @@
         }
     }
 
-    /** A sweep's result. */
+    /** The result file of a sweep. */
     public static JSONObject json(String scenario, long seed, List<Run> plays) {
         JSONArray all = new JSONArray();
         plays.forEach(play -> all.put(play.json()));
@@ -55,9 +56,10 @@
     }
 
     /**
-     * Plays it. Figures of time and heap hang on the machine; all others are the same for the same seed.
+     * Runs a simulation. Figures of time and heap depend on the machine; all others are the same for the same
+     * seed.
      *
-     * @param progress told the seconds of the day reached; below 0 before the first request
+     * @param progress receives the second of the simulation; negative before the first request
      */
     public static Run run(Scenario scenario, Map<String, String> set, long seed, LongConsumer progress) {
         CostMeter meter = new CostMeter(scenario, now -> progress.accept((now - World.DAY_STARTS) / 1_000_000));
@@ -141,7 +143,7 @@
                 .sum();
     }
 
-    /** After the play its world is gone: what is left of the heap is let go of part by part. */
+    /** Measures the heap after the simulation by releasing first the retained lists, then the modules. */
     private static void measureHeap(CostMeter meter, Map<String, Double> figures) {
         double withLists = HeapUsage.usedMb();
         int lists = meter.releaseLists();
--- a/src/main/java/saffronferry/scale/ThreadCpuClock.java
+++ b/src/main/java/saffronferry/scale/ThreadCpuClock.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * Processor time of the calling thread, in nanoseconds: unlike the wall's time it leaves out what other work
- * on the machine takes. To look costs time of its own, which {@link #since} leaves out.
+ * CPU time of the calling thread, in nanoseconds, which unlike wall-clock time excludes other load of the
+ * machine. {@link #elapsedSince} subtracts the cost of reading the clock.
  */
 final class ThreadCpuClock {
     private static final int CALIBRATION_READS = 20_001;
@@ -14,12 +14,12 @@
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     private final long readCostNanos;
 
-    /** Measures first what a look costs: the median of many. */
+    /** Calibrates the cost of reading the clock: the median of many reads. */
     ThreadCpuClock() {
         long[] readCosts = new long[CALIBRATION_READS];
         for (int i = 0; i < CALIBRATION_READS; i++) {
-            long begun = now();
-            readCosts[i] = now() - begun;
+            long startNanos = now();
+            readCosts[i] = now() - startNanos;
         }
         Arrays.sort(readCosts);
         readCostNanos = readCosts[CALIBRATION_READS / 2];
@@ -29,8 +29,8 @@
         return threads.getCurrentThreadCpuTime();
     }
 
-    /** What the thread has spent since an earlier {@link #now}, without the look itself. */
-    long elapsedSince(long begun) {
-        return Math.max(0, now() - begun - readCostNanos);
+    /** CPU time of the thread since an earlier {@link #now}, without the cost of reading the clock. */
+    long elapsedSince(long startNanos) {
+        return Math.max(0, now() - startNanos - readCostNanos);
     }
 }
--- a/src/main/java/saffronferry/scale/WorkerListCodec.java
+++ b/src/main/java/saffronferry/scale/WorkerListCodec.java
@@ -14,11 +14,11 @@
 import saffronferry.wire.ListParser;
 
 /**
- * Discovery's lines as bytes: those of one line are made once for all dispatchers that are told it, and each
- * of them reads them by itself.
+ * Encodes worker list updates as discovery's JSON lines and parses them. A line is encoded once for all
+ * dispatchers that receive it; each dispatcher parses it separately.
  */
 final class WorkerListCodec {
-    /** What is kept of lines made: enough for a burst of changes, or for some whole lists. */
+    /** Limit of the cache of encoded lines: enough for a burst of changes or for several complete lists. */
     private static final long MAX_CACHED_BYTES = 16_000_000;
 
     private final List<String> kinds;
@@ -34,7 +34,7 @@
         parser = new ListParser(kinds, zones);
     }
 
-    /** The bytes of one line, its line feed included. */
+    /** Returns the bytes of one line, including the line feed. */
     byte[] encode(List<WorkerInfo> entries, ListKind kind) {
         byte[] line = encodedLines.get(entries);
         if (line == null) {
@@ -89,10 +89,10 @@
         };
     }
 
-    /** What a dispatcher reads from a line; an entry that it cannot read ends the play. */
+    /** Parses a line; an invalid entry ends the simulation with an {@link IllegalStateException}. */
     ListUpdate decode(byte[] line) {
         return parser.parse(new String(line, StandardCharsets.UTF_8), bad -> {
-            throw new IllegalStateException("a line of the list cannot be read: " + bad);
+            throw new IllegalStateException("invalid entry in worker list line: " + bad);
         });
     }
 }
--- a/src/main/java/saffronferry/scale/fit/DataPoint.java
+++ b/src/main/java/saffronferry/scale/fit/DataPoint.java
@@ -1,4 +1,4 @@
 package saffronferry.scale.fit;
 
-/** A figure that was measured at a size. */
+/** The value of a figure measured at a size. */
 public record DataPoint(double size, double value) {}
--- a/src/main/java/saffronferry/scale/fit/FigureSource.java
+++ b/src/main/java/saffronferry/scale/fit/FigureSource.java
@@ -7,10 +7,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Where a figure of a page comes from, as the page writes it: a play's, as {@code FILE FIGURE @ KEY=VALUE,
- * KEY=VALUE} (the mean, where several plays meet that); or of a fit over a size, as {@code fit FILE FIGURE
- * over KEY at SIZE by FORM @ KEY=VALUE}, where {@code slope} in place of {@code fit} stands for the slope
- * and {@code half} for half of the forecast's 95 % interval. Without {@code by} it is a line.
+ * The source of a figure, as written on a page: either measured runs, as {@code FILE FIGURE @ KEY=VALUE,
+ * KEY=VALUE} (the mean if several runs match), or a fit over a size, as {@code fit FILE FIGURE over KEY at SIZE
+ * by FORM @ KEY=VALUE}. {@code slope} in place of {@code fit} is the slope, {@code half} the half width of the
+ * 95 % prediction interval. Without {@code by} the model is a line.
  */
 public final class FigureSource {
     private static final Pattern RUN_PATTERN = Pattern.compile("(\\S+\\.json) (\\w+)(?: @ (.+))?");
@@ -36,7 +36,7 @@
         this.conditions = conditions;
     }
 
-    /** Reads a source; {@link IllegalArgumentException} says what it should have been. */
+    /** Parses a source; throws {@link IllegalArgumentException} with the expected format. */
     public static FigureSource parse(String text) {
         Matcher run = RUN_PATTERN.matcher(text);
         Matcher fitted = FIT_PATTERN.matcher(text);
@@ -57,7 +57,7 @@
                 fitted.group(1), fitted.group(2), fitted.group(3), fitted.group(4), size, model, where(fitted.group(7)));
     }
 
-    /** Conditions written as KEY=VALUE, KEY=VALUE; null stands for none. */
+    /** Parses conditions written as KEY=VALUE, KEY=VALUE; null is no conditions. */
     public static Map<String, String> where(String text) {
         Map<String, String> conditions = new LinkedHashMap<>();
         for (String condition : text == null ? new String[0] : text.split(",")) {
@@ -71,7 +71,7 @@
         return conditions;
     }
 
-    /** What the result files say. */
+    /** Computes the figure from the result files. */
     public double value(Function<String, ResultFile> files) {
         if (!isFit()) {
             return files.apply(file).mean(figure, conditions);
@@ -84,7 +84,7 @@
         };
     }
 
-    /** All forms over the same points; of a fit alone. */
+    /** Compares all growth models over the same points; only valid for a fit. */
     public ModelComparison comparison(Function<String, ResultFile> files) {
         return ModelComparison.of(files.apply(file).points(figure, sizeKey, conditions));
     }
@@ -97,7 +97,7 @@
         return model;
     }
 
-    /** The size that the figure is for; 0 for a slope. */
+    /** The size of the forecast; 0 for a slope. */
     public double size() {
         return size;
     }
--- a/src/main/java/saffronferry/scale/fit/Fit.java
+++ b/src/main/java/saffronferry/scale/fit/Fit.java
@@ -8,15 +8,15 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A form fitted to points by least squares (Apache Commons Math's {@link SimpleRegression}). Units are those
- * of the figure; slopes are a unit of the form's regressor.
+ * A growth model fitted to points by least squares (Apache Commons Math's {@link SimpleRegression}). Values are
+ * in the unit of the figure, slopes per unit of the model's regressor.
  *
- * <p>Two plays at one size say nothing of the form, so what tells forms apart is the error at each size of a
- * fit that was made without it: {@link #errorLeftOut}.
+ * <p>Repeated runs at one size do not distinguish growth models, so models are compared by the error at each
+ * size of a fit to all other sizes: {@link #leaveSizeOutError}.
  */
 public final class Fit {
     private static final double PREDICTION_LEVEL = 0.95;
-    /** Fewer sizes leave nothing by which a form could be told from another. */
+    /** Fewer sizes cannot distinguish growth models. */
     static final int MIN_SIZES = 3;
 
     private final GrowthModel model;
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Fits a form.
+     * Fits a model.
      *
      * @throws IllegalArgumentException with fewer than three sizes
      */
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Half of the 95 % prediction interval at a size, by Student's t: where one more play there would lie,
-     * if the form is right. It says nothing of a wrong form.
+     * Half width of the 95 % prediction interval at a size, by Student's t: the range of one more run at that
+     * size, provided that the model is right.
      */
     public double predictionHalfWidth(double size) {
         double x = model.regressor(size);
@@ -96,13 +96,13 @@
                 .sum();
     }
 
-    /** Akaike's criterion by the residuals; the lower one of two forms is the better one. */
+    /** Akaike information criterion from the residuals; the model with the lower value is better. */
     public double aic() {
         int n = points.size();
         return n * Math.log(Math.max(residualSquares(), Double.MIN_NORMAL) / n) + 2 * (model.parameters() + 1);
     }
 
-    /** The root of the mean square error at each size of a fit to all other sizes. */
+    /** Root mean square error at each size of a fit to all other sizes (leave-one-size-out cross-validation). */
     public double leaveSizeOutError() {
         double squares = 0;
         for (double size : sizes(points)) {
--- a/src/main/java/saffronferry/scale/fit/GrowthModel.java
+++ b/src/main/java/saffronferry/scale/fit/GrowthModel.java
@@ -2,7 +2,7 @@
 
 import java.util.function.DoubleUnaryOperator;
 
-/** How a figure may grow with a size n, simplest first: a + b times what is named here. */
+/** Models of how a figure grows with a size n, simplest first: a + b * regressor(n). */
 public enum GrowthModel {
     CONSTANT("constant", n -> 0),
     LINE("line", n -> n),
@@ -21,7 +21,7 @@
         return label;
     }
 
-    /** How many parameters are fitted. */
+    /** Number of fitted parameters. */
     int parameters() {
         return this == CONSTANT ? 1 : 2;
     }
--- a/src/main/java/saffronferry/scale/fit/ModelComparison.java
+++ b/src/main/java/saffronferry/scale/fit/ModelComparison.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * All forms fitted to the same points, and the one that fits best: the least error at sizes left out, or a
- * simpler form whose error is within a tenth of it, or beyond what a double can tell.
+ * All growth models fitted to the same points, and the best of them: the simplest one whose cross-validation
+ * error is within 10 % of the smallest error, or below rounding error.
  */
 public record ModelComparison(List<Fit> fits, Fit best) {
     private static final double SIMPLER_MODEL_TOLERANCE = 1.1;
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     /**
-     * Fits all forms.
+     * Fits all models.
      *
      * @throws IllegalArgumentException with fewer than three sizes
      */
--- a/src/main/java/saffronferry/scale/fit/ResultFile.java
+++ b/src/main/java/saffronferry/scale/fit/ResultFile.java
@@ -8,8 +8,8 @@
 import org.json.JSONObject;
 
 /**
- * A result file: plays at several sizes, each with its figures. All that is wrong is an {@link
- * IllegalArgumentException} that names the file and the key, or the line where it is no JSON.
+ * A result file: runs at several sizes, each with its figures. Invalid content is reported as an {@link
+ * IllegalArgumentException} that names the file and the key, or the line of a JSON syntax error.
  */
 public final class ResultFile {
     private final String file;
@@ -18,25 +18,25 @@
     /**
      * Reads a result.
      *
-     * @param file what errors call it
-     * @param text its content
+     * @param file the file name for error messages
+     * @param text the content of the file
      */
     public ResultFile(String file, String text) {
         this.file = file;
         try {
             plays = new JSONObject(text).getJSONArray("plays");
         } catch (JSONException e) {
-            // the library's word names the line, or the key
+            // the library's message names the line or the key
             throw new IllegalArgumentException(file + ": " + e.getMessage());
         }
     }
 
     /**
-     * A figure of all plays that meet some conditions, by size.
+     * A figure of all runs that meet some conditions, by size.
      *
      * @param figure a key of {@code figures}
-     * @param over a key of a play, another one of its figures, or a key that a sweep has set
-     * @param where keys and the values they must have
+     * @param sizeKey a key of a run, another one of its figures, or a key that a sweep has set
+     * @param conditions keys and their required values
      */
     public List<DataPoint> points(String figure, String sizeKey, Map<String, String> conditions) {
         List<DataPoint> points = new ArrayList<>();
@@ -53,9 +53,9 @@
         return points;
     }
 
-    /** The mean of a figure over the plays that meet some conditions. */
+    /** The mean of a figure over the runs that meet some conditions. */
     public double mean(String figure, Map<String, String> conditions) {
-        // a size is of no concern here, and each play has figures
+        // the size is not used, so the figure itself is passed as a key that every run has
         return points(figure, figure, conditions).stream()
                 .mapToDouble(DataPoint::value)
                 .average()
--- a/src/main/java/saffronferry/scale/fit/package-info.java
+++ b/src/main/java/saffronferry/scale/fit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Figures over a size, from a result file: a straight line with its spread, a forecast, and whether a line is
- * the form that fits at all. Pure.
+ * Regression of a figure over a size, from the runs of a result file: fits with prediction intervals, forecasts,
+ * and the choice of the growth model that fits best. Performs no I/O.
  */
 package saffronferry.scale.fit;
