--- a/src/test/java/saffronferry/rig/FaultRigTest.java
+++ b/src/test/java/saffronferry/rig/FaultRigTest.java
@@ -15,15 +15,15 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioReader;
 
-/** The rig itself: what it plays, what it sees, what it leaves behind. */
+/** Tests of the fault rig itself: link faults, the worker model, and cleanup after a run. */
 public class RigTest {
-    private static final Path DEAF = Path.of("examples/rig/deaf.toml");
+    private static final Path PEERS_CUT_SCENARIO = Path.of("examples/rig/deaf.toml");
 
     static Scenario scenario(String... values) throws Exception {
-        return ScenarioReader.read(DEAF, List.of(values));
+        return ScenarioReader.read(PEERS_CUT_SCENARIO, List.of(values));
     }
 
-    /** Which of four dispatchers hear which: a row for each sender, a mark for each that it reaches. */
+    /** Reachability among four dispatchers: a row per sender, with the number of copies that each receiver gets. */
     private static String reach(Scenario s, long at, double chance) {
         PeerLinks links = new PeerLinks(s, 0);
         return IntStream.range(0, 4)
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void eachCutReachesWhomItShould() throws Exception {
+    public void eachCutShapeBlocksTheExpectedLinks() throws Exception {
         String[][] cases = {
             {".000 0.00 00.0 000.", "shape=\"all\""},
             {".000 1.00 11.0 111.", "shape=\"all\"", "one_way=true"},
@@ -56,15 +56,15 @@
                     .toArray(String[]::new);
             assertEquals(String.join(" ", c), c[0], reach(scenario(values), 1_000_000, 0.5));
         }
-        Scenario flaps = scenario("fleet.dispatchers=4", "trouble[1].flap_s=6");
-        assertEquals(".000 0.00 00.0 000.", reach(flaps, 5_000_000, 0.5));
-        assertEquals("healed", ".111 1.11 11.1 111.", reach(flaps, 7_000_000, 0.5));
-        assertEquals("cut again", ".000 0.00 00.0 000.", reach(flaps, 13_000_000, 0.5));
+        Scenario flapping = scenario("fleet.dispatchers=4", "trouble[1].flap_s=6");
+        assertEquals(".000 0.00 00.0 000.", reach(flapping, 5_000_000, 0.5));
+        assertEquals("healed", ".111 1.11 11.1 111.", reach(flapping, 7_000_000, 0.5));
+        assertEquals("cut again", ".000 0.00 00.0 000.", reach(flapping, 13_000_000, 0.5));
     }
 
-    /** A stand-in's capacity while it is cold is what the rules judge by: it must be what the file says. */
+    /** The rules for cold workers are checked against the model's capacity, so it must match the scenario. */
     @Test
-    public void aColdWorkerDoesItsPart() throws Exception {
+    public void coldCapacityFollowsTheScenario() throws Exception {
         Scenario.Kind kind = scenario().kinds().get(0);
         WorkerModel m = new WorkerModel(kind, 1, 1_000_000, 1_000_000);
         assertEquals(5 * 0.33, m.capacity(1_000_000), 1e-9);
@@ -74,7 +74,7 @@
             assertTrue(warm.offer(new WorkerModel.Job("j" + i, 1e6)));
             warm.startQueued();
         }
-        assertTrue("five run, ten wait", !warm.offer(new WorkerModel.Job("x", 1e6)));
+        assertTrue("five run and ten wait, so the next job is rejected", !warm.offer(new WorkerModel.Job("x", 1e6)));
         assertEquals(0, warm.freeSlots());
         assertEquals(0, warm.advance(999_000).size());
         assertEquals(5, warm.advance(1_000_001).size());
@@ -83,11 +83,11 @@
     }
 
     /**
-     * Three processes, one killed and started again, one stopped and continued, one cut off: each request has
-     * an end, and nothing is left of the processes, whatever the day was.
+     * Three processes: one is killed and restarted, one paused and resumed, one cut off from its peers. Every
+     * request ends, no rule is broken, and no process is left.
      */
     @Test
-    public void aDayWithFaultsIsPlayedAndNothingIsLeft() throws Exception {
+    public void runWithFaultsEndsWithoutViolationsOrLeftProcesses() throws Exception {
         Scenario s = ScenarioReader.parse("small.toml", """
                 length_s = 5
                 [fleet]
@@ -132,7 +132,7 @@
         }
         assertTrue(
                 seen.toString(), seen.getInt("requests") > 20 && seen.getInt("served") > seen.getInt("requests") / 2);
-        assertTrue("the judge has looked: " + seen, seen.getInt("judged") > 2 * seen.getInt("served"));
+        assertTrue("the rules were evaluated: " + seen, seen.getInt("judged") > 2 * seen.getInt("served"));
         assertTrue("datagrams crossed the relay: " + seen, seen.getInt("datagrams") > 50);
         assertEquals(seen.toString(), 0, seen.getInt("rules_broken"));
     }
--- a/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
+++ b/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
@@ -8,10 +8,10 @@
 import org.junit.Test;
 import saffronferry.lab.scenario.ScenarioReader;
 
-/** What each process of a small fleet under light load is seen to spend. */
+/** Measures the resource usage of each process of a small fleet under light load. */
 public class FleetUseTest {
     @Test
-    public void eachProcessIsMeasuredBetweenTwoLooks() throws Exception {
+    public void eachProcessIsMeasuredBetweenTwoSnapshots() throws Exception {
         long before = ProcessHandle.current().children().count();
         JSONObject seen = FaultRig.run(ScenarioReader.parse("small.toml", """
                 length_s = 4
@@ -36,10 +36,10 @@
                             && p.getDouble("resident_mb") > 20
                             && p.getDouble("wake_ups_per_s") > 1);
             assertTrue(
-                    "they speak with each other: " + p,
+                    "peers exchange datagrams: " + p,
                     p.getDouble("bytes_per_s_datagrams_in") > 0 && p.getDouble("bytes_per_s_datagrams_out") > 0);
-            assertTrue("discovery says that it is there: " + p, p.getDouble("bytes_per_s_lists_in") > 0);
-            assertTrue("what is no count is no rate: " + p, !p.has("bytes_per_s_per_second"));
+            assertTrue("discovery sends keepalives: " + p, p.getDouble("bytes_per_s_lists_in") > 0);
+            assertTrue("a rate of the console is not differentiated: " + p, !p.has("bytes_per_s_per_second"));
         }
         JSONObject sum = FleetResourceUsage.summary(new JSONArray("[{\"dispatcher\":0,\"x\":1},{\"dispatcher\":1,\"x\":4}]"));
         assertEquals(2.5, sum.getDouble("x_mean"), 1e-9);
--- a/src/test/java/saffronferry/rig/HardCasesTest.java
+++ b/src/test/java/saffronferry/rig/HardCasesTest.java
@@ -15,13 +15,13 @@
 import saffronferry.lab.scenario.Scenario;
 
 /**
- * The fleet's hard cases with six real processes: two thirds of the workers are replaced by cold ones while parts of
- * the fleet hear nothing, die or stand still. Judged from outside: each request has its one end, no rule is broken,
- * and what reaches a cold worker keeps the rule.
+ * Severe fault scenarios with six real processes: two thirds of the workers are replaced by cold ones while
+ * dispatchers are cut off from their peers, killed or paused. Checks from outside that each request ends exactly
+ * once, that no rule is broken, and that the work sent to cold workers stays within its limit.
  */
 @RunWith(Parameterized.class)
 public class HardCasesTest {
-    private static final List<String> SMALL = List.of(
+    private static final List<String> SMALL_FLEET = List.of(
             "fleet.dispatchers=6",
             "fleet.workers=6",
             "length_s=6",
@@ -33,25 +33,26 @@
             "discovery.add_s=0.2",
             "fleet.kind[0].cold_s=4",
             "bounds.cold_multiple=3",
-            "bounds.failed=0.05"); // jobs that run longer than these short deadlines
+            // some jobs run longer than these short deadlines
+            "bounds.failed=0.05");
 
     @Parameters(name = "{0}")
     public static Object[][] cases() {
         return new Object[][] {
-            {"all deaf", 0, new String[] {"load.share=0.9"}},
+            {"no peer link works", 0, new String[] {"load.share=0.9"}},
             {
-                "halves, healed and cut again each second",
+                "fleet cut in halves, link flapping each second",
                 0,
                 new String[] {"trouble[1].shape=\"half\"", "trouble[1].flap_s=1"}
             },
-            {"higher numbers are never heard", 0, new String[] {"trouble[1].one_way=true"}},
+            {"one-way cut of all links", 0, new String[] {"trouble[1].one_way=true"}},
             {
-                "two thirds lost, the rest doubled and late",
+                "60 % datagram loss, the rest duplicated and delayed",
                 0,
                 new String[] {"trouble[1].loss=0.6", "trouble[1].doubled=1", "trouble[1].delay_s=0.5"}
             },
             {
-                "half are killed while they lend and borrow",
+                "half of the dispatchers killed while they transfer budget",
                 3,
                 new String[] {
                     "trouble[1].kind=\"dispatcher_restart\"",
@@ -62,7 +63,7 @@
                 }
             },
             {
-                "one stands still past all leases and goes on",
+                "one dispatcher paused past all leases and resumed",
                 1,
                 new String[] {
                     "trouble[1].kind=\"dispatcher_stop\"",
@@ -73,7 +74,7 @@
                 }
             },
             {
-                "news of workers overtakes, one is asked most",
+                "reordered worker updates and uneven load",
                 0,
                 new String[] {
                     "trouble[1].kind=\"list_disorder\"",
@@ -88,18 +89,18 @@
 
     @Parameter(0)
     public String name;
-    /** How many processes are troubled themselves: their own requests may end with them. */
+    /** Processes that are killed or paused themselves: the requests that they hold may fail. */
     @Parameter(1)
-    public int troubled;
+    public int faultyDispatchers;
 
     @Parameter(2)
     public String[] values;
 
     @Test
-    public void eachRequestHasItsEndAndNoRuleIsBroken() throws Exception {
+    public void eachRequestEndsAndNoRuleIsBroken() throws Exception {
         Scenario s = RigTest.scenario(Stream.concat(
                         Stream.concat(
-                                SMALL.stream(),
+                                SMALL_FLEET.stream(),
                                 Stream.of("load.share=0.7").filter(v -> !values[0].startsWith("load.share"))),
                         Stream.of(values))
                 .toArray(String[]::new));
@@ -110,15 +111,15 @@
         assertTrue(
                 "asked: " + seen, seen.getInt("requests") > 60 && seen.getInt("served") > seen.getInt("requests") / 2);
         assertTrue(
-                "cold workers were there: " + seen,
+                "cold workers were present: " + seen,
                 seen.getJSONArray("cold_workers").length() >= 4);
         JSONArray bounds = seen.getJSONArray("bounds");
         for (int i = 0; i < bounds.length(); i++) {
             JSONObject bound = bounds.getJSONObject(i);
-            boolean own = troubled > 0 && bound.getString("bound").equals("failed");
-            assertTrue(bound + " in " + seen, own || bound.getBoolean("held"));
+            boolean exempt = faultyDispatchers > 0 && bound.getString("bound").equals("failed");
+            assertTrue(bound + " in " + seen, exempt || bound.getBoolean("held"));
         }
-        if (troubled == 0) {
+        if (faultyDispatchers == 0) {
             assertEquals(seen.toString(), 0, seen.getInt("no_answer") + seen.getInt("died_with_it"));
         }
     }
--- a/src/test/java/saffronferry/rig/IdleDispatcherTest.java
+++ b/src/test/java/saffronferry/rig/IdleDispatcherTest.java
@@ -10,11 +10,11 @@
 import org.junit.Test;
 import saffronferry.lab.scenario.ScenarioReader;
 
-/** What one real dispatcher spends where nothing happens but changes of the list. */
+/** Measures the resource usage of one real dispatcher that receives worker list changes and no requests. */
 public class IdleDispatcherTest {
-    /** A small one: its figures are there and of the right kind; how large they are is the command's. */
+    /** Checks that all figures are present and plausible; limits are checked by the command. */
     @Test
-    public void anIdleDispatcherIsMeasuredAndNothingIsLeft() throws Exception {
+    public void idleDispatcherIsMeasuredAndNoProcessIsLeft() throws Exception {
         long before = ProcessHandle.current().children().count();
         JSONObject play = IdleDispatcher.run(
                 ScenarioReader.parse("small.toml", """
@@ -26,23 +26,23 @@
         assertEquals(before, ProcessHandle.current().children().count());
         JSONObject f = play.getJSONObject("figures");
         assertEquals(play.toString(), 30, play.getInt("workers"));
-        assertTrue("changes came while it was measured: " + f, f.getInt("list_changes") > 0);
-        assertTrue("their bytes are counted: " + f, f.getLong("list_bytes_in") > 100 * f.getInt("list_changes"));
+        assertTrue("the list changed during the measurement: " + f, f.getInt("list_changes") > 0);
+        assertTrue("the bytes of the changes are counted: " + f, f.getLong("list_bytes_in") > 100 * f.getInt("list_changes"));
         assertTrue(
-                "30 entries, and one more while one drains: " + f,
+                "30 entries, or 31 while one drains: " + f,
                 f.getLong("list_whole_bytes") > 3_000 && f.getLong("list_whole_bytes") < 6_000);
         assertTrue(
-                "it spends something, and no more than there is: " + f,
+                "CPU usage is positive and at most 8 cores: " + f,
                 f.getDouble("core_percent") > 0 && f.getDouble("core_percent") < 800);
-        assertTrue("the loop's part is known: " + f, f.getDouble("core_percent_loop") > 0);
+        assertTrue("CPU usage of the event loop is reported: " + f, f.getDouble("core_percent_loop") > 0);
         assertTrue(
-                "a JVM's size: " + f,
+                "memory is plausible for a JVM: " + f,
                 f.getDouble("resident_mb") > 20 && f.getDouble("resident_mb") <= f.getDouble("resident_peak_mb"));
-        assertTrue("its ticks wake it: " + f, f.getDouble("wake_ups_per_s") > 1);
+        assertTrue("its timer wakes it: " + f, f.getDouble("wake_ups_per_s") > 1);
     }
 
     @Test
-    public void whatAProcessUsesIsReadFromTheSystem() throws Exception {
+    public void processUsageIsReadFromProc() throws Exception {
         ProcessUsage first = ProcessUsage.of(ProcessHandle.current().pid());
         long work = 0;
         ProcessUsage last = first;
@@ -52,7 +52,7 @@
             }
             last = ProcessUsage.of(ProcessHandle.current().pid());
         }
-        assertTrue("worked: " + work, last.corePercent(first, 0.05) >= 100 - 1e-6);
+        assertTrue("result of the busy loop: " + work, last.corePercent(first, 0.05) >= 100 - 1e-6);
         assertTrue(last.corePercentByThread(first, 0.05).values().stream()
                         .mapToDouble(p -> p)
                         .sum()
@@ -62,7 +62,7 @@
     }
 
     @Test
-    public void aConsolesControlFiguresAreReadAndNoOthers() {
+    public void onlyControlMetricsAreReadFromTheConsole() {
         assertEquals(Map.of("console_bytes_list_in", 12.0, "console_core_seconds", 0.25), ControlMetrics.parse("""
                 # HELP app_control_bytes x
                 app_responses{kind="a",result="ok"} 3
--- a/src/test/java/saffronferry/scale/ScaleSimulationTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -31,7 +31,7 @@
 import saffronferry.lab.scenario.ScenarioReader;
 import saffronferry.lab.world.World;
 
-/** Hollow dispatchers: what they read is bytes, what is counted is what was said, and limits are judged. */
+/** Scale simulation: lists are parsed from bytes, control messages are counted, and limits are checked. */
 class ScaleTest {
     private static final String SMALL = """
             length_s = 3
@@ -61,14 +61,14 @@
         return all;
     }
 
-    // ---- bytes and not objects ----
+    // ---- encoding and counting ----
 
     @Test
-    void aLineIsMadeOnceAndReadByEachFromItsBytes() throws Exception {
+    void lineIsEncodedOnceAndParsedByEachDispatcher() throws Exception {
         WorkerListCodec lines = new WorkerListCodec(small(""));
         List<WorkerInfo> told = workers();
         byte[] line = lines.encode(told, ListKind.WHOLE);
-        assertSame(line, lines.encode(List.copyOf(told), ListKind.WHOLE), "made once");
+        assertSame(line, lines.encode(List.copyOf(told), ListKind.WHOLE), "encoded once");
         JSONObject json = new JSONObject(new String(line, StandardCharsets.UTF_8));
         assertTrue(json.getBoolean("complete") && json.getJSONArray("members").length() == told.size());
         assertEquals('\n', line[line.length - 1]);
@@ -81,13 +81,13 @@
             assertNotSame(told.get(i).address(), read.get(i).address());
             assertNotSame(read.get(i).address(), again.get(i).address(), "each dispatcher has its own");
         }
-        // one byte changed is another list
+        // a changed byte changes the parsed list
         byte[] other = line.clone();
         other[new String(line, StandardCharsets.UTF_8).indexOf("10.0.0.0") + 7] = '9';
         assertEquals("10.0.0.9:9100", lines.decode(other).entries().get(0).info().address());
     }
 
-    /** Takes down what a module is told; says one datagram for each thing it is told. */
+    /** Records its inputs; answers each of them with one datagram and one probe. */
     private static final class RecordingBrain implements Brain {
         final List<News> news = new ArrayList<>();
 
@@ -109,16 +109,16 @@
     }
 
     @Test
-    void theModuleIsToldWhatWasReadAndWhatIsSaidIsCounted() throws Exception {
+    void moduleReceivesParsedInputAndMessagesAreCounted() throws Exception {
         CostMeter meter = new CostMeter(small(""), now -> {});
         RecordingBrain recorder = new RecordingBrain();
-        Brain hollow = meter.wrap(recorder, 0);
+        Brain instrumented = meter.wrap(recorder, 0);
         List<WorkerInfo> told = workers();
         long now = World.DAY_STARTS + 1_500_000;
-        hollow.report(now, new News.Resolved(ListKind.CHANGES, told));
+        instrumented.report(now, new News.Resolved(ListKind.CHANGES, told));
         byte[] datagram = {1, 2, 3};
-        hollow.report(now, new News.PeerSaid(4, datagram));
-        hollow.report(now, new News.Resolved(ListKind.WARM_COPY, told));
+        instrumented.report(now, new News.PeerSaid(4, datagram));
+        instrumented.report(now, new News.Resolved(ListKind.WARM_COPY, told));
         List<WorkerInfo> seen = ((News.Resolved) recorder.news.get(0)).entries();
         assertEquals(told, seen);
         assertNotSame(told.get(0), seen.get(0));
@@ -127,7 +127,7 @@
         assertEquals(
                 meter.listCodec.encode(told, ListKind.CHANGES).length,
                 cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()],
-                "a start's copy is from a file");
+                "the warm copy is read from a file and not counted");
         assertEquals(3, cost.bytes[CostMeter.MessageKind.DATAGRAM_IN.ordinal()]);
         assertEquals(120, cost.bytes[CostMeter.MessageKind.DATAGRAM_OUT.ordinal()]);
         assertEquals(3, cost.messages[CostMeter.MessageKind.PROBE_OUT.ordinal()]);
@@ -136,49 +136,49 @@
         assertEquals(0, meter.costs.get(1).controlBytes());
     }
 
-    /** The first whole list belongs to the start, however late it comes; the next one is the day's. */
+    /** The first complete list is attributed to the start, however late it arrives; the next one is not. */
     @Test
-    void theFirstWholeListIsTheStartsAndNoOther() throws Exception {
+    void onlyTheFirstCompleteListIsAttributedToTheStart() throws Exception {
         CostMeter meter = new CostMeter(small(""), now -> {});
-        Brain hollow = meter.wrap(new RecordingBrain(), 0);
+        Brain instrumented = meter.wrap(new RecordingBrain(), 0);
         CostMeter.DispatcherCost cost = meter.costs.get(0);
         int whole = meter.listCodec.encode(workers(), ListKind.WHOLE).length;
         for (int time = 0; time < 2; time++) {
             assertEquals(0, cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()]);
-            hollow = time == 0 ? hollow : meter.wrap(new RecordingBrain(), 0); // a restart
-            hollow.report(World.DAY_STARTS + 1, new News.Resolved(ListKind.WHOLE, workers()));
+            instrumented = time == 0 ? instrumented : meter.wrap(new RecordingBrain(), 0); // a restart
+            instrumented.report(World.DAY_STARTS + 1, new News.Resolved(ListKind.WHOLE, workers()));
         }
         assertEquals(whole, cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()]);
         assertEquals(whole, cost.wholeListBytes);
-        assertEquals(1, cost.decisions[CostMeter.DecisionKind.LIST.ordinal()], "nor does its time count for the day");
+        assertEquals(1, cost.decisions[CostMeter.DecisionKind.LIST.ordinal()], "the time of the first list is not counted either");
         assertEquals(1, cost.parses);
         assertTrue(cost.startNanos > 0);
         assertEquals(whole, cost.startBytes);
     }
 
-    /** What is before the first request, or after the last, is none of the day's. */
+    /** Costs before the first request or after the last one are not counted. */
     @Test
-    void onlyTheDayCounts() throws Exception {
+    void onlyTheTimeUnderLoadIsCounted() throws Exception {
         CostMeter meter = new CostMeter(small(""), now -> {});
-        Brain hollow = meter.wrap(new RecordingBrain(), 0);
-        hollow.report(World.DAY_STARTS - 1, new News.PeerSaid(1, new byte[10]));
-        hollow.report(World.DAY_STARTS + 3_000_000, new News.PeerSaid(1, new byte[10]));
+        Brain instrumented = meter.wrap(new RecordingBrain(), 0);
+        instrumented.report(World.DAY_STARTS - 1, new News.PeerSaid(1, new byte[10]));
+        instrumented.report(World.DAY_STARTS + 3_000_000, new News.PeerSaid(1, new byte[10]));
         CostMeter.DispatcherCost cost = meter.costs.get(0);
         assertEquals(0, cost.controlBytes());
-        assertTrue(cost.startBytes > 10, "told apart: " + cost.startBytes);
+        assertTrue(cost.startBytes > 10, "counted for the start: " + cost.startBytes);
         assertEquals(0, cost.decisions[CostMeter.DecisionKind.DATAGRAM.ordinal()]);
     }
 
-    // ---- plays ----
+    // ---- simulations ----
 
-    /** All figures but those of time and heap are the seed's alone, and the day is the laboratory's. */
+    /** All figures except those of time and heap depend only on the seed, and match the simulator's. */
     @Test
-    void aPlayIsTheSameForTheSameSeed() throws Exception {
+    void runIsReproducibleForTheSameSeed() throws Exception {
         Scenario scenario = small("[[trouble]]\nkind = \"replace\"\nat_s = 0.5\nsize = 1\n");
-        Map<String, Double> one = seedsOwn(play(scenario).figures());
-        assertEquals(one, seedsOwn(play(scenario).figures()));
+        Map<String, Double> one = deterministic(play(scenario).figures());
+        assertEquals(one, deterministic(play(scenario).figures()));
         assertNotEquals(
-                one, seedsOwn(ScaleSimulation.run(scenario, Map.of(), 2, second -> {}).figures()));
+                one, deterministic(ScaleSimulation.run(scenario, Map.of(), 2, second -> {}).figures()));
         for (String figure : List.of(
                 "datagram_bytes_out_per_s",
                 "datagram_bytes_in_per_s",
@@ -194,25 +194,25 @@
                 0.0001);
     }
 
-    private static Map<String, Double> seedsOwn(Map<String, Double> figures) {
-        Map<String, Double> own = new HashMap<>(figures);
-        own.keySet()
+    private static Map<String, Double> deterministic(Map<String, Double> figures) {
+        Map<String, Double> kept = new HashMap<>(figures);
+        kept.keySet()
                 .removeIf(f -> f.endsWith("_us")
                         || f.endsWith("_ms")
                         || f.endsWith("_percent")
                         || f.contains("heap")
                         || f.equals("decision_us_per_request"));
-        return own;
+        return kept;
     }
 
-    /** Each figure can have a limit, and is measured under that name. */
+    /** Each figure that can have a limit is measured under the same name. */
     @Test
     void everyFigureIsMeasuredUnderTheNameOfItsLimit() throws Exception {
         assertEquals(Limits.FIGURES.keySet(), play(small("")).figures().keySet());
     }
 
     @Test
-    void limitsAreJudgedFromTheirSide() throws Exception {
+    void minimumAndMaximumLimitsAreChecked() throws Exception {
         ScaleSimulation.Run play = play(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
         assertEquals(2, play.violations().size(), play.violations().toString());
         assertTrue(
@@ -228,25 +228,25 @@
         assertEquals(3.0, first.getDouble("seconds"));
     }
 
-    /** A region lost takes its dispatchers along and no other; it is felt, and no rule breaks. */
+    /** The loss of a region or rack and a cut between regions have a measurable effect and break no rule. */
     @Test
-    void aRegionLostAndRegionsCutApartBreakNoRule() throws Exception {
+    void regionLossAndRegionCutBreakNoRule() throws Exception {
         String lost = "[[trouble]]\nkind = \"region_loss\"\nat_s = 0.5\nlength_s = 1\nzone = \"b\"\n";
         String cut = "[[trouble]]\nkind = \"peer_cut\"\nshape = \"regions\"\nat_s = 0\nlength_s = 3\n";
         String rack = "[[trouble]]\nkind = \"rack_loss\"\nat_s = 0.5\nlength_s = 1\nzone = \"a\"\n";
-        double calm = figure(regions(""), "datagram_bytes_in_per_s");
+        double uncut = figure(regions(""), "datagram_bytes_in_per_s");
         double apart = figure(regions(cut), "datagram_bytes_in_per_s");
-        assertTrue(apart < calm, apart + " heard, uncut " + calm);
+        assertTrue(apart < uncut, apart + " received with the cut, without " + uncut);
         for (String trouble : List.of(lost, cut, rack)) {
             assertEquals(List.of(), play(regions(trouble)).violations(), trouble);
         }
         double served = figure(regions(lost), "served_share");
-        assertTrue(served < figure(regions(""), "served_share"), "clients there meet nobody: " + served);
+        assertTrue(served < figure(regions(""), "served_share"), "clients of the lost region are not served: " + served);
     }
 
-    /** Each example, made small: a dispatcher in each zone, four workers beside it. */
+    /** Each example scenario, reduced to one dispatcher and four workers per zone. */
     @Test
-    void everyExampleCanBePlayedAndBreaksNoRule() throws Exception {
+    void everyExampleRunsAndBreaksNoRule() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("examples/scale"))) {
             for (Path file : files.sorted().toList()) {
                 Scenario whole = ScenarioReader.read(file);
--- a/src/test/java/saffronferry/scale/fit/CapacityPage.java
+++ b/src/test/java/saffronferry/scale/fit/CapacityPage.java
@@ -18,9 +18,10 @@
 import java.util.regex.Pattern;
 
 /**
- * A page's tables against the result files. A table with the columns name, value and source has figures: each
- * is looked up or fitted again. One with need, limit, ratio and from has rows: each is worked out again from
- * figures. One with row, ratio and rank has the worst rows, in order. All that differs is told, with line.
+ * Checks the tables of a page against the result files. Each figure of a table with the columns name, value and
+ * source is looked up or fitted again. Each row of a table with need, limit, ratio and from is computed again
+ * from the figures. A table with row, ratio and rank lists the worst rows in order. Each deviation is reported
+ * with its line.
  */
 final class CapacityPage {
     private static final Pattern CODE = Pattern.compile("`code (\\S+\\.java) (\\w+)`");
@@ -31,7 +32,7 @@
     private final String text;
     private final Function<String, ResultFile> results;
     private final Function<String, String> code;
-    private final List<String> wrong = new ArrayList<>();
+    private final List<String> errors = new ArrayList<>();
     private final Map<String, Double> values = new LinkedHashMap<>();
     private final Set<String> stretched = new LinkedHashSet<>();
     private final Map<String, String> ratios = new LinkedHashMap<>();
@@ -45,8 +46,8 @@
         this.code = code;
     }
 
-    /** All that is wrong, a line each. */
-    List<String> wrong() {
+    /** Checks the page and returns its errors, one line each. */
+    List<String> errors() {
         List<String> header = List.of();
         List<Map<String, String>> worst = new ArrayList<>();
         String[] lines = text.split("\n", -1);
@@ -61,14 +62,14 @@
                 header = cells;
             } else if (!cells.get(0).startsWith("---")) {
                 try {
-                    take(header, cells, worst);
+                    checkRow(header, cells, worst);
                 } catch (IllegalArgumentException e) {
-                    tell(e.getMessage());
+                    report(e.getMessage());
                 }
             }
         }
         checkWorst(worst);
-        return wrong;
+        return errors;
     }
 
     int figures() {
@@ -87,7 +88,7 @@
         return cells;
     }
 
-    private void take(List<String> header, List<String> cells, List<Map<String, String>> worst) {
+    private void checkRow(List<String> header, List<String> cells, List<Map<String, String>> worst) {
         if (cells.size() != header.size()) {
             throw new IllegalArgumentException(cells.size() + " cells under " + header.size() + " headings");
         }
@@ -117,11 +118,11 @@
         Matcher inCode = CODE.matcher(source);
         if (inCode.matches()) {
             values.put(name, constant(inCode.group(1), inCode.group(2)));
-            same(name, value[0], values.get(name));
+            expectNumber(name, value[0], values.get(name));
         } else if (source.startsWith("`")) {
             FigureSource from = FigureSource.parse(unquoted(source));
             values.put(name, from.value(results));
-            same(name, value[0], values.get(name));
+            expectNumber(name, value[0], values.get(name));
             if (from.isFit()) {
                 fit(name, row, value, from);
             }
@@ -149,7 +150,7 @@
             if (value.length != 2) {
                 throw new IllegalArgumentException(name + ": a forecast has its half width, as 3 ± 1");
             }
-            same(name + " half width", value[1], fit.predictionHalfWidth(from.size()));
+            expectNumber(name + " half width", value[1], fit.predictionHalfWidth(from.size()));
         }
     }
 
@@ -172,10 +173,10 @@
             return;
         }
         double need = evaluate(name, from);
-        same(name + " need", row.get("need"), need);
+        expectNumber(name + " need", row.get("need"), need);
         boolean far = names(from).stream().anyMatch(stretched::contains);
         if (far != row.get("range").startsWith("stretched")) {
-            tell(name + ": range says " + row.get("range") + ", but "
+            report(name + ": range says " + row.get("range") + ", but "
                     + (far ? "a figure of it is stretched" : "none of its figures is"));
         }
         String limit = unquoted(row.get("limit"));
@@ -183,9 +184,9 @@
             expect(name + " ratio", row.get("ratio"), "-");
         } else {
             double most = names(limit).isEmpty() ? number(limit).doubleValue() : evaluate(name, limit);
-            same(name + " ratio", row.get("ratio"), need / most);
+            expectNumber(name + " ratio", row.get("ratio"), need / most);
             if (ratios.put(name, row.get("ratio")) != null) {
-                tell(name + ": a second row of that name");
+                report(name + ": a second row of that name");
             }
         }
     }
@@ -216,7 +217,7 @@
         return names;
     }
 
-    // ---- the worst, in order ----
+    // ---- ranking of the worst rows ----
 
     private void checkWorst(List<Map<String, String>> worst) {
         List<String> inOrder = ratios.entrySet().stream()
@@ -230,38 +231,38 @@
             expect("rank", row.get("rank"), Integer.toString(i + 1));
             String ratio = ratios.getOrDefault(row.get("row"), "");
             if (i < inOrder.size() && !ratio.equals(ratios.get(inOrder.get(i)))) {
-                tell("rank " + (i + 1) + " is " + inOrder.get(i) + ", not " + row.get("row"));
+                report("rank " + (i + 1) + " is " + inOrder.get(i) + ", not " + row.get("row"));
             }
             expect("ratio of " + row.get("row"), row.get("ratio"), ratios.get(row.get("row")));
         }
     }
 
-    // ---- what is said and what is so ----
+    // ---- comparison of stated and computed values ----
 
     private static String unquoted(String cell) {
         return cell.replace("`", "");
     }
 
-    private static BigDecimal number(String said) {
+    private static BigDecimal number(String stated) {
         try {
-            return new BigDecimal(said.replace(",", ""));
+            return new BigDecimal(stated.replace(",", ""));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("expected a number, got " + said);
+            throw new IllegalArgumentException("expected a number, got " + stated);
         }
     }
 
-    /** Compared at the number of decimals that the page has. */
-    private void same(String what, String said, double is) {
-        BigDecimal number = number(said);
-        BigDecimal rounded = new BigDecimal(is).setScale(Math.max(0, number.scale()), RoundingMode.HALF_UP);
+    /** Compares at the number of decimals that the page states. */
+    private void expectNumber(String what, String stated, double computed) {
+        BigDecimal number = number(stated);
+        BigDecimal rounded = new BigDecimal(computed).setScale(Math.max(0, number.scale()), RoundingMode.HALF_UP);
         if (number.compareTo(rounded) != 0) {
-            tell(what + ": says " + said + ", is " + rounded.toPlainString() + " (" + (float) is + ")");
+            report(what + ": says " + stated + ", is " + rounded.toPlainString() + " (" + (float) computed + ")");
         }
     }
 
-    private void expect(String what, String said, String is) {
-        if (!String.valueOf(is).equals(said)) {
-            tell(what + ": says " + said + ", is " + is);
+    private void expect(String what, String stated, String computed) {
+        if (!String.valueOf(computed).equals(stated)) {
+            report(what + ": says " + stated + ", is " + computed);
         }
     }
 
@@ -272,7 +273,7 @@
         return plain.contains(".") ? plain : String.format(Locale.ROOT, "%,d", Long.parseLong(plain));
     }
 
-    private void tell(String what) {
-        wrong.add(page + " line " + line + ": " + what);
+    private void report(String what) {
+        errors.add(page + " line " + line + ": " + what);
     }
 }
--- a/src/test/java/saffronferry/scale/fit/CapacityPageTest.java
+++ b/src/test/java/saffronferry/scale/fit/CapacityPageTest.java
@@ -13,7 +13,7 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-/** The capacity page says what the committed result files say, and the check finds it where it does not. */
+/** Checks that the capacity page matches the committed result files, and that the check finds deviations. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
     private static final Path RESULTS = Path.of("docs/measurements/scale");
@@ -52,29 +52,29 @@
     private static List<String> wrong(String page, String result) {
         return new CapacityPage(
                         "p", page, name -> new ResultFile(name, result), file -> "static final int MOST_WORD = 1_12;")
-                .wrong();
+                .errors();
     }
 
     @Test
-    void thePageSaysWhatWasMeasured() {
+    void pageMatchesTheResultFiles() {
         Map<String, ResultFile> read = new HashMap<>();
         Function<String, ResultFile> results =
                 name -> read.computeIfAbsent(name, n -> new ResultFile(n, read(RESULTS.resolve(n))));
         CapacityPage page = new CapacityPage(PAGE.toString(), read(PAGE), results, file -> read(Path.of(file)));
-        List<String> wrong = page.wrong();
+        List<String> wrong = page.errors();
         assertEquals("", String.join("\n", wrong));
-        // guards against tables that are no longer taken for tables
+        // fails if a change of the page keeps its tables from being recognised
         assertTrue(page.figures() >= 100 && page.rows() >= 30, page.figures() + " figures, " + page.rows() + " rows");
     }
 
     @Test
-    void whatIsTrueIsFound() {
+    void correctPageHasNoErrors() {
         assertEquals(List.of(), wrong(SMALL, RESULT));
     }
 
-    /** Each change alone is found, and told with its line. */
+    /** Each single deviation is reported with its line. */
     @Test
-    void aFigureThatDriftsIsFound() {
+    void changedFigureIsReported() {
         String[][] changes = {
             {"| 12.0 |", "| 12.1 |", "p line 5: at_10: says 12.1, is 12.0 (12.04)"},
             {"| 162.0 ±", "| 162.1 ±", "p line 6: at_160: says 162.1, is 162.0"},
@@ -97,13 +97,13 @@
     }
 
     @Test
-    void aResultThatDriftsIsFound() {
+    void changedResultIsReported() {
         assertTrue(wrong(SMALL, RESULT.replace("12.04", "12.06")).get(0).startsWith("p line 5: at_10: says 12.0"));
         assertTrue(wrong(SMALL, RESULT.replace("82}", "89}")).get(0).startsWith("p line 6: at_160: says 162.0"));
     }
 
     @Test
-    void whatIsNoFigureIsTold() {
+    void invalidFigureIsReported() {
         assertEquals(
                 "p line 5: r.json: plays: none with {n=11}",
                 wrong(SMALL.replace("n=10`", "n=11`"), RESULT).get(0));
--- a/src/test/java/saffronferry/scale/fit/FigureSourceTest.java
+++ b/src/test/java/saffronferry/scale/fit/FigureSourceTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Result files and where a figure comes from: what is read, and what is refused with file and key. */
+/** Parsing of result files and figure sources, and error messages with file and key. */
 class SourceTest {
     private static final String RESULT = """
             {"scenario": "s", "seed": 1, "plays": [
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void playsMeansFitsAndSlopesAreFound() {
+    void runsMeansFitsAndSlopesAreComputed() {
         assertEquals(1, value("r.json pick_us @ workers=100"));
         assertEquals(4, value("r.json pick_us @ workers=300, zones=2"));
         assertEquals(70, value("r.json pick_us @ network.loss=0.20"));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whatIsWrongIsToldWithFileAndKey() {
+    void errorsNameFileAndKey() {
         Map<String, String> wrong = Map.of(
                 "r.json pick_ms @ workers=100", "r.json: plays[0]: pick_ms: expected a number, got null",
                 "r.json pick_us @ workers=7", "r.json: plays: none with {workers=7}",
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aBrokenFileIsToldWithItsLineOrKey() {
+    void invalidFileIsReportedWithLineOrKey() {
         assertTrue(assertThrows(IllegalArgumentException.class, () -> new ResultFile("r.json", "{\n\"plays\": [}"))
                 .getMessage()
                 .matches("r\\.json: .*line 2.*"));
--- a/src/test/java/saffronferry/scale/fit/FitTest.java
+++ b/src/test/java/saffronferry/scale/fit/FitTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.DoubleStream;
 import org.junit.jupiter.api.Test;
 
-/** Fits of series whose answers are known, of noisy ones, and what cannot be fitted. */
+/** Fits of exact series with known parameters, of noisy series, and rejected input. */
 class FitTest {
     private static final double[] SIZES = {200, 2000, 8000, 21000};
 
@@ -22,9 +22,9 @@
                 .toList();
     }
 
-    /** Worked out by the formulas of least squares, apart from the library. */
+    /** Expected values computed from the least squares formulas, independently of the library. */
     @Test
-    void aLineHasItsSlopeSpreadAndForecast() {
+    void lineFitHasSlopeErrorAndForecast() {
         List<DataPoint> points =
                 List.of(new DataPoint(1, 2.2), new DataPoint(2, 2.8), new DataPoint(3, 3.6), new DataPoint(4, 4.5), new DataPoint(5, 5.1));
         Fit fit = Fit.of(GrowthModel.LINE, points);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void eachFormIsToldFromTheOthersWhereNothingIsLeftToChance() {
+    void eachModelIsIdentifiedFromExactData() {
         Map<GrowthModel, DoubleUnaryOperator> exact = Map.of(
                 GrowthModel.CONSTANT,
                 n -> 7,
@@ -56,9 +56,9 @@
         });
     }
 
-    /** Three plays a size, each off by 4 of some 600: the form is found, the truth in the interval. */
+    /** Three runs per size with noise of up to 4: the model is identified, and the interval holds the true value. */
     @Test
-    void noiseHidesNeitherTheFormNorTheTruth() {
+    void modelIsIdentifiedFromNoisyData() {
         DoubleUnaryOperator line = n -> 20 + 3 * n;
         DoubleUnaryOperator square = n -> 20 + 0.05 * n * n;
         int within = 0;
@@ -67,9 +67,9 @@
             List<DataPoint> straight = new ArrayList<>();
             List<DataPoint> bent = new ArrayList<>();
             for (double n : new double[] {24, 48, 96, 192, 24, 48, 96, 192, 24, 48, 96, 192}) {
-                double off = 8 * random.nextDouble() - 4;
-                straight.add(new DataPoint(n, line.applyAsDouble(n) + off));
-                bent.add(new DataPoint(n, square.applyAsDouble(n) + off));
+                double noise = 8 * random.nextDouble() - 4;
+                straight.add(new DataPoint(n, line.applyAsDouble(n) + noise));
+                bent.add(new DataPoint(n, square.applyAsDouble(n) + noise));
             }
             assertEquals(GrowthModel.N_SQUARED, ModelComparison.of(bent).best().model(), "seed " + seed);
             assertEquals(GrowthModel.LINE, ModelComparison.of(straight).best().model(), "seed " + seed);
@@ -79,9 +79,9 @@
         assertTrue(within >= 36, within + " of 40");
     }
 
-    /** What does not grow with the size is told so, however it scatters. */
+    /** Noise without growth is identified as a constant. */
     @Test
-    void scatterAloneIsNoGrowth() {
+    void noiseAloneIsFittedAsConstant() {
         assertEquals(
                 GrowthModel.CONSTANT,
                 ModelComparison.of(List.of(
@@ -94,9 +94,9 @@
                         .form());
     }
 
-    /** More plays at the same sizes are no more sizes. */
+    /** Repeated runs at the same size do not count as further sizes. */
     @Test
-    void twoSizesAreTooFew() {
+    void twoSizesAreRejected() {
         List<DataPoint> points = List.of(new DataPoint(1, 1), new DataPoint(2, 2), new DataPoint(1, 1.1), new DataPoint(2, 2.1));
         assertEquals(
                 "too few sizes: 2, needed 3",
