--- a/src/main/java/saffronferry/rig/FaultInjector.java
+++ b/src/main/java/saffronferry/rig/FaultInjector.java
@@ -19,6 +19,8 @@
     private static final long TERM_KILL_MS = 3_700;
 
     private static final long READINESS_POLL_MS = 100;
+    private static final long EXIT_POLL_US = 20_000;
+    private static final long MIN_DRAIN_US = 100_000;
 
     private final FaultRig rig;
     private final LoadGenerator loadGenerator;
@@ -132,7 +134,7 @@
         old.drain();
         rig.announce(old, "DRAINING", scenario.discovery().notice());
         startReplacement(old, 0);
-        schedule(Math.max(drain, 100_000), () -> {
+        schedule(Math.max(drain, MIN_DRAIN_US), () -> {
             old.crash();
             rig.announce(old, "DELETED", scenario.discovery().notice());
         });
@@ -151,7 +153,7 @@
 
     private void startDispatcher(DispatcherProcess d) {
         if (d.alive()) { // SIGKILL was sent, but the process has not exited yet
-            schedule(20_000, () -> startDispatcher(d));
+            schedule(EXIT_POLL_US, () -> startDispatcher(d));
             return;
         }
         try {
@@ -181,12 +183,12 @@
     }
 
     /** A planned restart as the platform does it: SIGTERM, grace period, SIGKILL, start. */
-    private void restartByTerm(DispatcherProcess d, long down) {
+    private void restartByTerm(DispatcherProcess d, long downtime) {
         signal(d, "TERM");
         vertx.setTimer(TERM_ACCEPT_MS, t -> loadGenerator.removeFromRotation(d.number));
         vertx.setTimer(TERM_KILL_MS, t -> {
             killDispatcher(d);
-            schedule(down, () -> startDispatcher(d));
+            schedule(downtime, () -> startDispatcher(d));
         });
     }
 
--- a/src/main/java/saffronferry/rig/FaultRig.java
+++ b/src/main/java/saffronferry/rig/FaultRig.java
@@ -89,12 +89,12 @@
         relay = new DatagramRelay(vertx, scenario.dispatchers(), this::now, random.split());
         for (int i = 0; i < scenario.dispatchers(); i++) {
             String host = addressBlock + (i + 1);
-            Path own = Files.createDirectory(folder.resolve("dispatcher-" + i));
+            Path dispatcherFolder = Files.createDirectory(folder.resolve("dispatcher-" + i));
             dispatchers.add(
                     usageOptions == null
-                            ? new DispatcherProcess(i, host, freePort(host), freePort(host), own)
+                            ? new DispatcherProcess(i, host, freePort(host), freePort(host), dispatcherFolder)
                             : new DispatcherProcess(
-                                    i, host, freePort(host), freePort(host), freePort(host), own, usageOptions.startCommand()));
+                                    i, host, freePort(host), freePort(host), freePort(host), dispatcherFolder, usageOptions.startCommand()));
             discoveries.add(new StandInDiscovery(vertx, i, verifier));
         }
         createWorkers();
@@ -119,8 +119,8 @@
 
     /** A loopback address block per rig, so that concurrent rigs and tests do not share addresses. */
     static String addressBlock() {
-        long self = ProcessHandle.current().pid() * 31 + System.nanoTime() / 1000;
-        return "127." + (64 + self % 150) + "." + (1 + self / 150 % 250) + ".";
+        long seed = ProcessHandle.current().pid() * 31 + System.nanoTime() / 1000;
+        return "127." + (64 + seed % 150) + "." + (1 + seed / 150 % 250) + ".";
     }
 
     static int freePort(String host) throws IOException {
@@ -185,20 +185,20 @@
     /**
      * Runs a scenario in real time.
      *
-     * @param keepLogs the folder for the dispatchers' logs, or null
+     * @param logFolder the folder for the dispatchers' logs, or null
      * @return the observed results; {@code held} is true if every rule and bound held
      * @throws IOException if processes or sockets cannot be created
      */
-    public static JSONObject run(Scenario scenario, long seed, Path keepLogs)
+    public static JSONObject run(Scenario scenario, long seed, Path logFolder)
             throws IOException, InterruptedException {
-        return run(scenario, seed, keepLogs, null);
+        return run(scenario, seed, logFolder, null);
     }
 
     /**
      * Runs a scenario in real time and, if {@code usageOptions} is not null, adds the resource usage of each
      * dispatcher as {@code processes}.
      */
-    public static JSONObject run(Scenario scenario, long seed, Path keepLogs, UsageOptions usageOptions)
+    public static JSONObject run(Scenario scenario, long seed, Path logFolder, UsageOptions usageOptions)
             throws IOException, InterruptedException {
         FaultRig rig = new FaultRig(scenario.drawn(seed), seed, usageOptions);
         Thread hook = new Thread(rig::closeQuietly);
@@ -219,7 +219,7 @@
                                     .map(Object::toString)
                                     .toList()));
         } finally {
-            rig.close(keepLogs);
+            rig.close(logFolder);
             Runtime.getRuntime().removeShutdownHook(hook);
         }
     }
@@ -357,7 +357,7 @@
     }
 
     /** Ends all processes and servers and deletes the folder, whether or not the run succeeded. */
-    private synchronized void close(Path keepLogs) throws IOException, InterruptedException {
+    private synchronized void close(Path logFolder) throws IOException, InterruptedException {
         if (closed) {
             return;
         }
@@ -368,9 +368,9 @@
         }
         for (DispatcherProcess d : dispatchers) {
             d.killAndWait();
-            if (keepLogs != null) {
-                Files.createDirectories(keepLogs);
-                Files.writeString(keepLogs.resolve("dispatcher-" + d.number + ".log"), d.log());
+            if (logFolder != null) {
+                Files.createDirectories(logFolder);
+                Files.writeString(logFolder.resolve("dispatcher-" + d.number + ".log"), d.log());
             }
         }
         reaper.close();
--- a/src/main/java/saffronferry/rig/LoadGenerator.java
+++ b/src/main/java/saffronferry/rig/LoadGenerator.java
@@ -88,10 +88,10 @@
     }
 
     private int pickWeighted(double[] weights, double at) {
-        double left = at * Arrays.stream(weights).sum();
+        double remaining = at * Arrays.stream(weights).sum();
         for (int i = 0; i < weights.length; i++) {
-            left -= weights[i];
-            if (left < 0) {
+            remaining -= weights[i];
+            if (remaining < 0) {
                 return i;
             }
         }
@@ -99,9 +99,9 @@
     }
 
     private double weight(DispatcherProcess d) {
-        long dead = deadSince[d.number];
+        long since = deadSince[d.number];
         boolean noticed =
-                dead > 0 && clock.getAsLong() - dead > scenario.network().frontNotice();
+                since > 0 && clock.getAsLong() - since > scenario.network().frontNotice();
         return noticed ? 0 : scenario.load().uneven().weight(d.number, dispatchers.size());
     }
 
--- a/src/main/java/saffronferry/rig/RunVerifier.java
+++ b/src/main/java/saffronferry/rig/RunVerifier.java
@@ -72,11 +72,11 @@
     /** The work that reached a cold worker, and the work that it did. */
     private static final class ColdWorkerStats {
         final Deque<Arrival> window = new ArrayDeque<>();
-        double multiple;
-        boolean fell;
-        double[] last = new double[2];
-        double[] all = new double[2];
-        double[] waiting = new double[2];
+        double maxMultiple;
+        boolean crashed;
+        double[] lastProgress = new double[2];
+        double[] totalProgress = new double[2];
+        double[] progressWhileWaiting = new double[2];
     }
 
     /** Called when work beyond the limit of a cold worker crashes it. */
@@ -88,7 +88,7 @@
     private final RuleChecker checker;
     private final Map<String, Request> openRequests = new HashMap<>();
     private final Set<String> endedRequests = new HashSet<>();
-    private final Map<StandInWorker, ColdWorkerStats> cold = new LinkedHashMap<>();
+    private final Map<StandInWorker, ColdWorkerStats> coldWorkers = new LinkedHashMap<>();
     private final Map<Integer, Set<String>> announcedStarts = new HashMap<>();
     private final List<int[]> countsBySecond = new ArrayList<>();
     private final int[] outcomeCounts = new int[ClientOutcome.values().length];
@@ -99,8 +99,8 @@
     private long lastRefusalAt = Long.MIN_VALUE / 2;
     private int requestCount;
     private int attemptCount;
-    private int copies;
-    private double worthAsked;
+    private int concurrentAttempts;
+    private double worthRequested;
     private double worthServed;
     private int servedInTime;
     /** Jobs with an id that no client has sent. */
@@ -137,7 +137,7 @@
         Request r = new Request(txn, rpcClass, work, dispatcher, new RuleChecker.Id(dispatcher, life, requestCount), now);
         openRequests.put(txn, r);
         requestCount++;
-        worthAsked += scenario.classes().get(rpcClass).worth();
+        worthRequested += scenario.classes().get(rpcClass).worth();
         countsAt(now)[0]++;
         return r;
     }
@@ -149,12 +149,13 @@
                 now, r.id, r.rpcClass, now + scenario.classes().get(r.rpcClass).deadline());
     }
 
+    /** Counts of requests sent, served and refused or failed in the second of a time. */
     private int[] countsAt(long at) {
-        int s = (int) Math.max(0, (at - start) / 1_000_000);
-        while (countsBySecond.size() <= s) {
+        int second = (int) Math.max(0, (at - start) / 1_000_000);
+        while (countsBySecond.size() <= second) {
             countsBySecond.add(new int[3]);
         }
-        return countsBySecond.get(s);
+        return countsBySecond.get(second);
     }
 
     /** The client has received its answer, or has given up. */
@@ -169,9 +170,9 @@
         Scenario.RpcClass spec = scenario.classes().get(r.rpcClass);
         if (end == ClientOutcome.SERVED) {
             double latencyGoal = Math.min(spec.deadline(), spec.aim() + spec.stretch() * r.work);
-            boolean timely = now - r.createdAt <= latencyGoal;
-            servedInTime += timely ? 1 : 0;
-            worthServed += spec.worth() * (timely ? 1 : spec.lateWorth());
+            boolean inTime = now - r.createdAt <= latencyGoal;
+            servedInTime += inTime ? 1 : 0;
+            worthServed += spec.worth() * (inTime ? 1 : spec.lateWorth());
             countsAt(r.createdAt)[1]++;
         } else if (end == ClientOutcome.REFUSED || end == ClientOutcome.FAILED) {
             countsAt(r.createdAt)[2]++;
@@ -209,11 +210,11 @@
     @Override
     public void onUpdateSent(int dispatcher, JSONObject update) {
         long now = clock.getAsLong();
-        List<String> named = new ArrayList<>();
+        List<String> listedIds = new ArrayList<>();
         for (Object o : update.getJSONArray("members")) {
             JSONObject entry = (JSONObject) o;
             String id = entry.getString("id");
-            named.add(id);
+            listedIds.add(id);
             checker.told(
                     now,
                     dispatcher,
@@ -228,7 +229,7 @@
             }
         }
         if (update.getBoolean("complete")) {
-            checker.toldWhole(now, dispatcher, named);
+            checker.toldWhole(now, dispatcher, listedIds);
         }
     }
 
@@ -245,7 +246,7 @@
             inventedJobs += known ? 0 : 1;
             return known ? 1 : -1;
         }
-        copies += r.activeAttempts > 0 ? 1 : 0;
+        concurrentAttempts += r.activeAttempts > 0 ? 1 : 0;
         r.attempts.add(at);
         r.activeAttempts++;
         if (!r.dispatcherKilled) {
@@ -258,17 +259,17 @@
     }
 
     private void reachesCold(long now, StandInWorker at, Request r) {
-        ColdWorkerStats c = cold.computeIfAbsent(at, w -> new ColdWorkerStats());
+        ColdWorkerStats c = coldWorkers.computeIfAbsent(at, w -> new ColdWorkerStats());
         c.window.add(new Arrival(now, r.work / 1e6));
         while (c.window.peek().at < now - scenario.rules().fall()) {
             c.window.poll();
         }
         double arrivedWork = c.window.stream().mapToDouble(Arrival::work).sum();
         double possibleWork = at.model.capacity(now) * scenario.rules().fall() / 1e6;
-        c.multiple = Math.max(c.multiple, arrivedWork / possibleWork);
-        boolean informed = announcedStarts.getOrDefault(r.dispatcher, Set.of()).contains(at.id);
-        if (checker.reachesCold(now, at.id, at.model.capacity(now), r.work, r.dispatcher, informed)) {
-            c.fell = true;
+        c.maxMultiple = Math.max(c.maxMultiple, arrivedWork / possibleWork);
+        boolean startAnnounced = announcedStarts.getOrDefault(r.dispatcher, Set.of()).contains(at.id);
+        if (checker.reachesCold(now, at.id, at.model.capacity(now), r.work, r.dispatcher, startAnnounced)) {
+            c.crashed = true;
             overloadListener.onOverloadCrash(at);
         }
     }
@@ -303,20 +304,20 @@
             if (w.startedAt == 0 || w.down() || w.draining() || !w.model.cold(now)) {
                 continue;
             }
-            ColdWorkerStats c = cold.computeIfAbsent(w, x -> new ColdWorkerStats());
+            ColdWorkerStats c = coldWorkers.computeIfAbsent(w, x -> new ColdWorkerStats());
             double[] progress = w.progress();
             for (int i = 0; i < 2; i++) {
-                c.all[i] += progress[i] - c.last[i];
-                c.waiting[i] += waiting ? progress[i] - c.last[i] : 0;
+                c.totalProgress[i] += progress[i] - c.lastProgress[i];
+                c.progressWhileWaiting[i] += waiting ? progress[i] - c.lastProgress[i] : 0;
             }
-            c.last = progress;
+            c.lastProgress = progress;
         }
     }
 
     // ---- result ----
 
-    private static double share(double part, double of) {
-        return of > 0 ? Math.round(part / of * 1e4) / 1e4 : 0;
+    private static double share(double part, double whole) {
+        return whole > 0 ? Math.round(part / whole * 1e4) / 1e4 : 0;
     }
 
     /** A bound, the observed value, and whether it holds. */
@@ -325,31 +326,31 @@
     /** All observations; {@code held} is true if every rule and bound held. */
     JSONObject result() {
         Scenario.Bounds b = scenario.bounds();
-        JSONArray coldOnes = new JSONArray();
+        JSONArray coldWorkerResults = new JSONArray();
         double maxMultiple = 0;
         double usedSum = 0;
         double leastUsed = 1;
-        int judged = 0;
-        for (Map.Entry<StandInWorker, ColdWorkerStats> e : cold.entrySet()) {
+        int judgedWorkers = 0;
+        for (Map.Entry<StandInWorker, ColdWorkerStats> e : coldWorkers.entrySet()) {
             ColdWorkerStats c = e.getValue();
             // less than 0.1 s of waiting requests is too little to judge a worker by
-            double cold = scenario.kinds().get(0).coldFrom() * e.getKey().model.warmCapacity();
-            boolean counts = c.waiting[1] > 1e5 * cold;
-            double part = share(c.waiting[0], c.waiting[1]);
-            maxMultiple = Math.max(maxMultiple, c.multiple);
-            if (counts) {
-                judged++;
-                usedSum += part;
-                leastUsed = Math.min(leastUsed, part);
+            double coldCapacity = scenario.kinds().get(0).coldFrom() * e.getKey().model.warmCapacity();
+            boolean judgeable = c.progressWhileWaiting[1] > 1e5 * coldCapacity;
+            double usedShare = share(c.progressWhileWaiting[0], c.progressWhileWaiting[1]);
+            maxMultiple = Math.max(maxMultiple, c.maxMultiple);
+            if (judgeable) {
+                judgedWorkers++;
+                usedSum += usedShare;
+                leastUsed = Math.min(leastUsed, usedShare);
             }
-            coldOnes.put(new JSONObject()
+            coldWorkerResults.put(new JSONObject()
                     .put("worker", e.getKey().id)
-                    .put("multiple", share(c.multiple, 1))
-                    .put("used", share(c.all[0], c.all[1]))
-                    .put("used_while_jobs_wait", part)
-                    .put("fell", c.fell));
+                    .put("multiple", share(c.maxMultiple, 1))
+                    .put("used", share(c.totalProgress[0], c.totalProgress[1]))
+                    .put("used_while_jobs_wait", usedShare)
+                    .put("fell", c.crashed));
         }
-        double mean = judged == 0 ? 1 : usedSum / judged;
+        double mean = judgedWorkers == 0 ? 1 : usedSum / judgedWorkers;
         int refused = outcomeCounts[ClientOutcome.REFUSED.ordinal()];
         int failed = outcomeCounts[ClientOutcome.FAILED.ordinal()];
         List<Bound> bounds = List.of(
@@ -377,15 +378,15 @@
         JSONObject result = new JSONObject()
                 .put("requests", requestCount)
                 .put("attempts", attemptCount)
-                .put("copies", copies)
+                .put("copies", concurrentAttempts)
                 .put("in_time", servedInTime)
-                .put("worth_served", share(worthServed, worthAsked));
+                .put("worth_served", share(worthServed, worthRequested));
         for (ClientOutcome end : ClientOutcome.values()) {
             result.put(end.name().toLowerCase(Locale.ROOT), outcomeCounts[end.ordinal()]);
         }
         JSONArray bySecond = new JSONArray();
         countsBySecond.forEach(s -> bySecond.put(new JSONArray(s)));
-        return result.put("cold_workers", coldOnes)
+        return result.put("cold_workers", coldWorkerResults)
                 .put("cold_used_mean", share(mean, 1))
                 .put("cold_multiple", share(maxMultiple, 1))
                 .put("judged", checker.judged())
