--- a/src/main/java/saffronferry/scale/ScaleSimulation.java
+++ b/src/main/java/saffronferry/scale/ScaleSimulation.java
@@ -49,9 +49,9 @@
     }
 
     /** The result file of a sweep. */
-    public static JSONObject json(String scenario, long seed, List<Run> plays) {
+    public static JSONObject json(String scenario, long seed, List<Run> runs) {
         JSONArray all = new JSONArray();
-        plays.forEach(play -> all.put(play.json()));
+        runs.forEach(run -> all.put(run.json()));
         return new JSONObject().put("scenario", scenario).put("seed", seed).put("plays", all);
     }
 
--- a/src/main/java/saffronferry/scale/fit/ResultFile.java
+++ b/src/main/java/saffronferry/scale/fit/ResultFile.java
@@ -13,7 +13,7 @@
  */
 public final class ResultFile {
     private final String file;
-    private final JSONArray plays;
+    private final JSONArray runs;
 
     /**
      * Reads a result.
@@ -24,7 +24,7 @@
     public ResultFile(String file, String text) {
         this.file = file;
         try {
-            plays = new JSONObject(text).getJSONArray("plays");
+            runs = new JSONObject(text).getJSONArray("plays");
         } catch (JSONException e) {
             // the library's message names the line or the key
             throw new IllegalArgumentException(file + ": " + e.getMessage());
@@ -40,11 +40,11 @@
      */
     public List<DataPoint> points(String figure, String sizeKey, Map<String, String> conditions) {
         List<DataPoint> points = new ArrayList<>();
-        for (int i = 0; i < plays.length(); i++) {
-            JSONObject play = play(i);
-            if (meetsAll(play, conditions)) {
-                double measured = number(figures(play, i), i, figure);
-                points.add(new DataPoint(number(play, i, sizeKey), measured));
+        for (int i = 0; i < runs.length(); i++) {
+            JSONObject run = run(i);
+            if (meetsAll(run, conditions)) {
+                double measured = number(figures(run, i), i, figure);
+                points.add(new DataPoint(number(run, i, sizeKey), measured));
             }
         }
         if (points.isEmpty()) {
@@ -62,22 +62,22 @@
                 .orElseThrow();
     }
 
-    private JSONObject play(int i) {
-        if (plays.opt(i) instanceof JSONObject play) {
-            return play;
+    private JSONObject run(int i) {
+        if (runs.opt(i) instanceof JSONObject run) {
+            return run;
         }
         throw new IllegalArgumentException(file + ": plays[" + i + "]: expected an object");
     }
 
-    private JSONObject figures(JSONObject play, int i) {
-        if (play.opt("figures") instanceof JSONObject figures) {
+    private JSONObject figures(JSONObject run, int i) {
+        if (run.opt("figures") instanceof JSONObject figures) {
             return figures;
         }
         throw new IllegalArgumentException(file + ": plays[" + i + "].figures: expected an object");
     }
 
-    private static Object value(JSONObject play, String key) {
-        for (JSONObject part : new JSONObject[] {play, play.optJSONObject("figures"), play.optJSONObject("set")}) {
+    private static Object value(JSONObject run, String key) {
+        for (JSONObject part : new JSONObject[] {run, run.optJSONObject("figures"), run.optJSONObject("set")}) {
             if (part != null && part.has(key)) {
                 return part.get(key);
             }
@@ -85,8 +85,8 @@
         return null;
     }
 
-    private static boolean meetsAll(JSONObject play, Map<String, String> conditions) {
-        return conditions.entrySet().stream().allMatch(e -> matches(value(play, e.getKey()), e.getValue()));
+    private static boolean meetsAll(JSONObject run, Map<String, String> conditions) {
+        return conditions.entrySet().stream().allMatch(e -> matches(value(run, e.getKey()), e.getValue()));
     }
 
     private static boolean matches(Object value, String expected) {
@@ -97,11 +97,11 @@
         }
     }
 
-    private double number(JSONObject play, int i, String key) {
-        if (value(play, key) instanceof Number number && Double.isFinite(number.doubleValue())) {
+    private double number(JSONObject run, int i, String key) {
+        if (value(run, key) instanceof Number number && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
         throw new IllegalArgumentException(
-                file + ": plays[" + i + "]: " + key + ": expected a number, got " + value(play, key));
+                file + ": plays[" + i + "]: " + key + ": expected a number, got " + value(run, key));
     }
 }
--- a/src/test/java/saffronferry/rig/FaultRigTest.java
+++ b/src/test/java/saffronferry/rig/FaultRigTest.java
@@ -116,7 +116,7 @@
                 """);
         long before = ProcessHandle.current().children().count();
         Path logs = Files.createTempDirectory("rig-logs");
-        JSONObject seen = FaultRig.run(s, 1, logs);
+        JSONObject result = FaultRig.run(s, 1, logs);
         assertEquals(before, ProcessHandle.current().children().count());
         String log = Files.readString(logs.resolve("dispatcher-0.log"));
         assertEquals(
@@ -131,9 +131,9 @@
             Files.delete(file);
         }
         assertTrue(
-                seen.toString(), seen.getInt("requests") > 20 && seen.getInt("served") > seen.getInt("requests") / 2);
-        assertTrue("the rules were evaluated: " + seen, seen.getInt("judged") > 2 * seen.getInt("served"));
-        assertTrue("datagrams crossed the relay: " + seen, seen.getInt("datagrams") > 50);
-        assertEquals(seen.toString(), 0, seen.getInt("rules_broken"));
+                result.toString(), result.getInt("requests") > 20 && result.getInt("served") > result.getInt("requests") / 2);
+        assertTrue("the rules were evaluated: " + result, result.getInt("judged") > 2 * result.getInt("served"));
+        assertTrue("datagrams crossed the relay: " + result, result.getInt("datagrams") > 50);
+        assertEquals(result.toString(), 0, result.getInt("rules_broken"));
     }
 }
--- a/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
+++ b/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
@@ -13,7 +13,7 @@
     @Test
     public void eachProcessIsMeasuredBetweenTwoSnapshots() throws Exception {
         long before = ProcessHandle.current().children().count();
-        JSONObject seen = FaultRig.run(ScenarioReader.parse("small.toml", """
+        JSONObject result = FaultRig.run(ScenarioReader.parse("small.toml", """
                 length_s = 4
                 [fleet]
                 zones = ["a"]
@@ -23,8 +23,8 @@
                 share = 0.3
                 """), 1, null, new FaultRig.UsageOptions(null, 1));
         assertEquals(before, ProcessHandle.current().children().count());
-        assertTrue(seen.toString(), seen.getInt("served") > 5);
-        JSONArray each = seen.getJSONArray("processes");
+        assertTrue(result.toString(), result.getInt("served") > 5);
+        JSONArray each = result.getJSONArray("processes");
         assertEquals(2, each.length());
         for (int i = 0; i < 2; i++) {
             JSONObject p = each.getJSONObject(i);
--- a/src/test/java/saffronferry/rig/HardCasesTest.java
+++ b/src/test/java/saffronferry/rig/HardCasesTest.java
@@ -105,22 +105,22 @@
                         Stream.of(values))
                 .toArray(String[]::new));
         long before = ProcessHandle.current().children().count();
-        JSONObject seen = FaultRig.run(s, 1, null);
+        JSONObject result = FaultRig.run(s, 1, null);
         assertEquals(
                 "processes are left", before, ProcessHandle.current().children().count());
         assertTrue(
-                "asked: " + seen, seen.getInt("requests") > 60 && seen.getInt("served") > seen.getInt("requests") / 2);
+                "asked: " + result, result.getInt("requests") > 60 && result.getInt("served") > result.getInt("requests") / 2);
         assertTrue(
-                "cold workers were present: " + seen,
-                seen.getJSONArray("cold_workers").length() >= 4);
-        JSONArray bounds = seen.getJSONArray("bounds");
+                "cold workers were present: " + result,
+                result.getJSONArray("cold_workers").length() >= 4);
+        JSONArray bounds = result.getJSONArray("bounds");
         for (int i = 0; i < bounds.length(); i++) {
             JSONObject bound = bounds.getJSONObject(i);
             boolean exempt = faultyDispatchers > 0 && bound.getString("bound").equals("failed");
-            assertTrue(bound + " in " + seen, exempt || bound.getBoolean("held"));
+            assertTrue(bound + " in " + result, exempt || bound.getBoolean("held"));
         }
         if (faultyDispatchers == 0) {
-            assertEquals(seen.toString(), 0, seen.getInt("no_answer") + seen.getInt("died_with_it"));
+            assertEquals(result.toString(), 0, result.getInt("no_answer") + result.getInt("died_with_it"));
         }
     }
 }
--- a/src/test/java/saffronferry/rig/IdleDispatcherTest.java
+++ b/src/test/java/saffronferry/rig/IdleDispatcherTest.java
@@ -16,7 +16,7 @@
     @Test
     public void idleDispatcherIsMeasuredAndNoProcessIsLeft() throws Exception {
         long before = ProcessHandle.current().children().count();
-        JSONObject play = IdleDispatcher.run(
+        JSONObject result = IdleDispatcher.run(
                 ScenarioReader.parse("small.toml", """
                 length_s = 2
                 [fleet]
@@ -24,21 +24,21 @@
                 workers = 30
                 """), 1, new IdleDispatcher.Options(null, 10, 0.1));
         assertEquals(before, ProcessHandle.current().children().count());
-        JSONObject f = play.getJSONObject("figures");
-        assertEquals(play.toString(), 30, play.getInt("workers"));
-        assertTrue("the list changed during the measurement: " + f, f.getInt("list_changes") > 0);
-        assertTrue("the bytes of the changes are counted: " + f, f.getLong("list_bytes_in") > 100 * f.getInt("list_changes"));
+        JSONObject figures = result.getJSONObject("figures");
+        assertEquals(result.toString(), 30, result.getInt("workers"));
+        assertTrue("the list changed during the measurement: " + figures, figures.getInt("list_changes") > 0);
+        assertTrue("the bytes of the changes are counted: " + figures, figures.getLong("list_bytes_in") > 100 * figures.getInt("list_changes"));
         assertTrue(
-                "30 entries, or 31 while one drains: " + f,
-                f.getLong("list_whole_bytes") > 3_000 && f.getLong("list_whole_bytes") < 6_000);
+                "30 entries, or 31 while one drains: " + figures,
+                figures.getLong("list_whole_bytes") > 3_000 && figures.getLong("list_whole_bytes") < 6_000);
         assertTrue(
-                "CPU usage is positive and at most 8 cores: " + f,
-                f.getDouble("core_percent") > 0 && f.getDouble("core_percent") < 800);
-        assertTrue("CPU usage of the event loop is reported: " + f, f.getDouble("core_percent_loop") > 0);
+                "CPU usage is positive and at most 8 cores: " + figures,
+                figures.getDouble("core_percent") > 0 && figures.getDouble("core_percent") < 800);
+        assertTrue("CPU usage of the event loop is reported: " + figures, figures.getDouble("core_percent_loop") > 0);
         assertTrue(
-                "memory is plausible for a JVM: " + f,
-                f.getDouble("resident_mb") > 20 && f.getDouble("resident_mb") <= f.getDouble("resident_peak_mb"));
-        assertTrue("its timer wakes it: " + f, f.getDouble("wake_ups_per_s") > 1);
+                "memory is plausible for a JVM: " + figures,
+                figures.getDouble("resident_mb") > 20 && figures.getDouble("resident_mb") <= figures.getDouble("resident_peak_mb"));
+        assertTrue("its timer wakes it: " + figures, figures.getDouble("wake_ups_per_s") > 1);
     }
 
     @Test
--- a/src/test/java/saffronferry/scale/ScaleSimulationTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -49,7 +49,7 @@
         return ScenarioReader.parse("small.toml", SMALL + more);
     }
 
-    private static ScaleSimulation.Run play(Scenario scenario) {
+    private static ScaleSimulation.Run run(Scenario scenario) {
         return ScaleSimulation.run(scenario, Map.of(), 1, second -> {});
     }
 
@@ -66,19 +66,19 @@
     @Test
     void lineIsEncodedOnceAndParsedByEachDispatcher() throws Exception {
         WorkerListCodec lines = new WorkerListCodec(small(""));
-        List<WorkerInfo> told = workers();
-        byte[] line = lines.encode(told, ListKind.WHOLE);
-        assertSame(line, lines.encode(List.copyOf(told), ListKind.WHOLE), "encoded once");
+        List<WorkerInfo> sentEntries = workers();
+        byte[] line = lines.encode(sentEntries, ListKind.WHOLE);
+        assertSame(line, lines.encode(List.copyOf(sentEntries), ListKind.WHOLE), "encoded once");
         JSONObject json = new JSONObject(new String(line, StandardCharsets.UTF_8));
-        assertTrue(json.getBoolean("complete") && json.getJSONArray("members").length() == told.size());
+        assertTrue(json.getBoolean("complete") && json.getJSONArray("members").length() == sentEntries.size());
         assertEquals('\n', line[line.length - 1]);
         List<WorkerInfo> read =
                 lines.decode(line).entries().stream().map(e -> e.info()).toList();
-        assertEquals(told, read);
+        assertEquals(sentEntries, read);
         List<WorkerInfo> again =
                 lines.decode(line).entries().stream().map(e -> e.info()).toList();
-        for (int i = 0; i < told.size(); i++) {
-            assertNotSame(told.get(i).address(), read.get(i).address());
+        for (int i = 0; i < sentEntries.size(); i++) {
+            assertNotSame(sentEntries.get(i).address(), read.get(i).address());
             assertNotSame(read.get(i).address(), again.get(i).address(), "each dispatcher has its own");
         }
         // a changed byte changes the parsed list
@@ -113,19 +113,19 @@
         CostMeter meter = new CostMeter(small(""), now -> {});
         RecordingBrain recorder = new RecordingBrain();
         Brain instrumented = meter.wrap(recorder, 0);
-        List<WorkerInfo> told = workers();
+        List<WorkerInfo> sentEntries = workers();
         long now = World.DAY_STARTS + 1_500_000;
-        instrumented.report(now, new News.Resolved(ListKind.CHANGES, told));
+        instrumented.report(now, new News.Resolved(ListKind.CHANGES, sentEntries));
         byte[] datagram = {1, 2, 3};
         instrumented.report(now, new News.PeerSaid(4, datagram));
-        instrumented.report(now, new News.Resolved(ListKind.WARM_COPY, told));
+        instrumented.report(now, new News.Resolved(ListKind.WARM_COPY, sentEntries));
         List<WorkerInfo> seen = ((News.Resolved) recorder.news.get(0)).entries();
-        assertEquals(told, seen);
-        assertNotSame(told.get(0), seen.get(0));
+        assertEquals(sentEntries, seen);
+        assertNotSame(sentEntries.get(0), seen.get(0));
         assertArrayEquals(datagram, ((News.PeerSaid) recorder.news.get(1)).bytes());
         CostMeter.DispatcherCost cost = meter.costs.get(0);
         assertEquals(
-                meter.listCodec.encode(told, ListKind.CHANGES).length,
+                meter.listCodec.encode(sentEntries, ListKind.CHANGES).length,
                 cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()],
                 "the warm copy is read from a file and not counted");
         assertEquals(3, cost.bytes[CostMeter.MessageKind.DATAGRAM_IN.ordinal()]);
@@ -175,10 +175,10 @@
     @Test
     void runIsReproducibleForTheSameSeed() throws Exception {
         Scenario scenario = small("[[trouble]]\nkind = \"replace\"\nat_s = 0.5\nsize = 1\n");
-        Map<String, Double> one = deterministic(play(scenario).figures());
-        assertEquals(one, deterministic(play(scenario).figures()));
+        Map<String, Double> figures = deterministic(run(scenario).figures());
+        assertEquals(figures, deterministic(run(scenario).figures()));
         assertNotEquals(
-                one, deterministic(ScaleSimulation.run(scenario, Map.of(), 2, second -> {}).figures()));
+                figures, deterministic(ScaleSimulation.run(scenario, Map.of(), 2, second -> {}).figures()));
         for (String figure : List.of(
                 "datagram_bytes_out_per_s",
                 "datagram_bytes_in_per_s",
@@ -186,11 +186,11 @@
                 "probe_bytes_out_per_s",
                 "messages_per_request",
                 "start_control_bytes")) {
-            assertTrue(one.get(figure) > 0, figure + " in " + one);
+            assertTrue(figures.get(figure) > 0, figure + " in " + figures);
         }
         assertEquals(
                 World.play(small(""), Policy.NETWORKED_QUEUES, 1).goal(),
-                play(small("")).figures().get("goal_share"),
+                run(small("")).figures().get("goal_share"),
                 0.0001);
     }
 
@@ -208,20 +208,20 @@
     /** Each figure that can have a limit is measured under the same name. */
     @Test
     void everyFigureIsMeasuredUnderTheNameOfItsLimit() throws Exception {
-        assertEquals(Limits.FIGURES.keySet(), play(small("")).figures().keySet());
+        assertEquals(Limits.FIGURES.keySet(), run(small("")).figures().keySet());
     }
 
     @Test
     void minimumAndMaximumLimitsAreChecked() throws Exception {
-        ScaleSimulation.Run play = play(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
-        assertEquals(2, play.violations().size(), play.violations().toString());
+        ScaleSimulation.Run run = run(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
+        assertEquals(2, run.violations().size(), run.violations().toString());
         assertTrue(
-                play.violations().get(0).matches("control_bytes_per_s [0-9.]+ over 10"),
-                play.violations().get(0));
+                run.violations().get(0).matches("control_bytes_per_s [0-9.]+ over 10"),
+                run.violations().get(0));
         assertTrue(
-                play.violations().get(1).matches("goal_share 0\\.\\d+ under 1"),
-                play.violations().get(1));
-        JSONObject json = ScaleSimulation.json("small.toml", 1, List.of(play));
+                run.violations().get(1).matches("goal_share 0\\.\\d+ under 1"),
+                run.violations().get(1));
+        JSONObject json = ScaleSimulation.json("small.toml", 1, List.of(run));
         JSONObject first = json.getJSONArray("plays").getJSONObject(0);
         assertEquals(10, first.getJSONObject("limits").getInt("control_bytes_per_s"));
         assertEquals(6, first.getInt("dispatchers"));
@@ -238,7 +238,7 @@
         double apart = figure(regions(cut), "datagram_bytes_in_per_s");
         assertTrue(apart < uncut, apart + " received with the cut, without " + uncut);
         for (String trouble : List.of(lost, cut, rack)) {
-            assertEquals(List.of(), play(regions(trouble)).violations(), trouble);
+            assertEquals(List.of(), run(regions(trouble)).violations(), trouble);
         }
         double served = figure(regions(lost), "served_share");
         assertTrue(served < figure(regions(""), "served_share"), "clients of the lost region are not served: " + served);
@@ -251,18 +251,18 @@
             for (Path file : files.sorted().toList()) {
                 Scenario whole = ScenarioReader.read(file);
                 int zones = whole.zones().size();
-                List<String> fewer = new ArrayList<>(
+                List<String> overrides = new ArrayList<>(
                         List.of("fleet.dispatchers=" + zones, "fleet.workers=" + 4 * zones, "length_s=4"));
                 for (int i = 0; i < whole.troubles().size(); i++) {
-                    fewer.add("trouble[" + i + "].at_s=1");
-                    fewer.add("trouble[" + i + "].length_s=2");
+                    overrides.add("trouble[" + i + "].at_s=1");
+                    overrides.add("trouble[" + i + "].length_s=2");
                 }
-                ScaleSimulation.Run play = play(ScenarioReader.read(file, fewer));
+                ScaleSimulation.Run run = run(ScenarioReader.read(file, overrides));
                 assertEquals(
                         List.of(),
-                        play.violations().stream().filter(b -> b.startsWith("rule")).toList(),
+                        run.violations().stream().filter(b -> b.startsWith("rule")).toList(),
                         file + "");
-                assertTrue(play.figures().get("served_share") > 0.5, file + ": " + play.figures());
+                assertTrue(run.figures().get("served_share") > 0.5, file + ": " + run.figures());
                 assertFalse(
                         file.endsWith("deploy.toml") ^ whole.limits().stated().isEmpty(), file + " states limits");
             }
@@ -274,6 +274,6 @@
     }
 
     private static double figure(Scenario scenario, String name) {
-        return play(scenario).figures().get(name);
+        return run(scenario).figures().get(name);
     }
 }
