--- a/src/main/java/saffronferry/rig/IdleDispatcher.java
+++ b/src/main/java/saffronferry/rig/IdleDispatcher.java
@@ -78,7 +78,7 @@
                     }
 
                     @Override
-                    public void onJobEnded(StandInWorker at, String txn, String how) {}
+                    public void onJobEnded(StandInWorker at, String txn, String ending) {}
                 },
                 "all",
                 0,
--- a/src/main/java/saffronferry/rig/RunVerifier.java
+++ b/src/main/java/saffronferry/rig/RunVerifier.java
@@ -133,8 +133,8 @@
     // ---- clients ----
 
     /** A client is about to send; the dispatcher is responsible from {@link #recordSent} on. */
-    Request openRequest(long now, String txn, int rpcClass, double work, int dispatcher, int life) {
-        Request r = new Request(txn, rpcClass, work, dispatcher, new RuleChecker.Id(dispatcher, life, requestCount), now);
+    Request openRequest(long now, String txn, int rpcClass, double work, int dispatcher, int generation) {
+        Request r = new Request(txn, rpcClass, work, dispatcher, new RuleChecker.Id(dispatcher, generation, requestCount), now);
         openRequests.put(txn, r);
         requestCount++;
         worthRequested += scenario.classes().get(rpcClass).worth();
@@ -159,22 +159,22 @@
     }
 
     /** The client has received its answer, or has given up. */
-    void recordOutcome(long now, Request r, ClientOutcome end) {
+    void recordOutcome(long now, Request r, ClientOutcome outcome) {
         if (r.completed) {
             return;
         }
         r.completed = true;
         openRequests.remove(r.txn);
         endedRequests.add(r.txn);
-        outcomeCounts[end.ordinal()]++;
+        outcomeCounts[outcome.ordinal()]++;
         Scenario.RpcClass spec = scenario.classes().get(r.rpcClass);
-        if (end == ClientOutcome.SERVED) {
+        if (outcome == ClientOutcome.SERVED) {
             double latencyGoal = Math.min(spec.deadline(), spec.aim() + spec.stretch() * r.work);
             boolean inTime = now - r.createdAt <= latencyGoal;
             servedInTime += inTime ? 1 : 0;
             worthServed += spec.worth() * (inTime ? 1 : spec.lateWorth());
             countsAt(r.createdAt)[1]++;
-        } else if (end == ClientOutcome.REFUSED || end == ClientOutcome.FAILED) {
+        } else if (outcome == ClientOutcome.REFUSED || outcome == ClientOutcome.FAILED) {
             countsAt(r.createdAt)[2]++;
             lastRefusalAt = now;
         }
@@ -183,7 +183,7 @@
             checker.due(now, r.id);
             return;
         }
-        switch (end) {
+        switch (outcome) {
             case SERVED -> checker.answered(now, r.id, "served", false);
             case REFUSED -> checker.answered(now, r.id, "refused", true);
             case FAILED -> checker.answered(now, r.id, "failed", false);
@@ -253,12 +253,12 @@
             checker.sent(now, r.id, at.id, at.zone, at.cell);
         }
         if (at.model.cold(now)) {
-            reachesCold(now, at, r);
+            recordColdArrival(now, at, r);
         }
         return r.work;
     }
 
-    private void reachesCold(long now, StandInWorker at, Request r) {
+    private void recordColdArrival(long now, StandInWorker at, Request r) {
         ColdWorkerStats c = coldWorkers.computeIfAbsent(at, w -> new ColdWorkerStats());
         c.window.add(new Arrival(now, r.work / 1e6));
         while (c.window.peek().at < now - scenario.rules().fall()) {
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public void onJobEnded(StandInWorker at, String txn, String how) {
+    public void onJobEnded(StandInWorker at, String txn, String ending) {
         Request r = openRequests.get(txn);
         if (r == null) {
             return;
@@ -286,7 +286,7 @@
                 clock.getAsLong(),
                 r.id,
                 r.attempts.lastIndexOf(at),
-                switch (how) {
+                switch (ending) {
                     case "served" -> Outcome.OK;
                     case "full" -> Outcome.FULL;
                     default -> Outcome.RESET;
@@ -381,8 +381,8 @@
                 .put("copies", concurrentAttempts)
                 .put("in_time", servedInTime)
                 .put("worth_served", share(worthServed, worthRequested));
-        for (ClientOutcome end : ClientOutcome.values()) {
-            result.put(end.name().toLowerCase(Locale.ROOT), outcomeCounts[end.ordinal()]);
+        for (ClientOutcome outcome : ClientOutcome.values()) {
+            result.put(outcome.name().toLowerCase(Locale.ROOT), outcomeCounts[outcome.ordinal()]);
         }
         JSONArray bySecond = new JSONArray();
         countsBySecond.forEach(s -> bySecond.put(new JSONArray(s)));
--- a/src/main/java/saffronferry/rig/StandInWorker.java
+++ b/src/main/java/saffronferry/rig/StandInWorker.java
@@ -25,7 +25,7 @@
         double onJobArrived(StandInWorker at, String txn);
 
         /** A job ended: {@code served}, {@code full} (rejected) or {@code lost} (connection or process ended). */
-        void onJobEnded(StandInWorker at, String txn, String how);
+        void onJobEnded(StandInWorker at, String txn, String ending);
     }
 
     /** Update interval of a cold worker, whose speed changes over time. */
