--- a/src/main/java/saffronferry/cli/RigCommand.java
+++ b/src/main/java/saffronferry/cli/RigCommand.java
@@ -1,5 +1,7 @@
 package saffronferry.cli;
 
+import saffronferry.rig.FaultRig;
+import saffronferry.rig.FleetResourceUsage;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -17,9 +19,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.rig.FleetUse;
 import saffronferry.rig.IdleDispatcher;
-import saffronferry.rig.Rig;
 
 /** The command {@code rig}: runs real dispatcher processes and injects faults. */
 @Command(name = "rig", description = "Runs scenarios with several real dispatchers and faults between them.")
@@ -52,7 +52,7 @@
         List<JSONObject> all = new ArrayList<>();
         printHeader();
         for (long seed : LabCommand.parseSeeds(seeds)) {
-            JSONObject result = Rig.play(scenario, seed, logs == null ? null : logs.resolve("seed-" + seed));
+            JSONObject result = FaultRig.run(scenario, seed, logs == null ? null : logs.resolve("seed-" + seed));
             all.add(result);
             printRow(result);
         }
@@ -119,7 +119,7 @@
         for (int workerCount : workers == null ? List.of(scenario.workers()) : workers) {
             List<String> values = new ArrayList<>(set == null ? List.of() : set);
             values.add("fleet.workers=" + workerCount);
-            JSONObject play = IdleDispatcher.play(LabCommand.readScenario(file, values), seed, options);
+            JSONObject play = IdleDispatcher.run(LabCommand.readScenario(file, values), seed, options);
             plays.put(play);
             JSONObject figures = play.getJSONObject("figures");
             out().printf(
@@ -181,8 +181,8 @@
             throw new IllegalArgumentException(
                     "--settle: is not before the end of the day, " + scenario.length() / 1e6 + " s: " + settle);
         }
-        JSONObject result = Rig.play(scenario, seed, logs, new Rig.Measured(readStartCommand(deploy), settle));
-        JSONObject figures = FleetUse.summary(result.getJSONArray("processes"));
+        JSONObject result = FaultRig.run(scenario, seed, logs, new FaultRig.UsageOptions(readStartCommand(deploy), settle));
+        JSONObject figures = FleetResourceUsage.summary(result.getJSONArray("processes"));
         for (String name : List.of("requests", "served", "refused", "failed", "datagrams", "rules_broken")) {
             figures.put(name, result.getInt(name));
         }
--- a/src/main/java/saffronferry/cli/ScaleCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleCommand.java
@@ -1,5 +1,7 @@
 package saffronferry.cli;
 
+import saffronferry.scale.ScaleSimulation.Run;
+import saffronferry.scale.ScaleSimulation;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -18,8 +20,6 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import saffronferry.lab.scenario.Scenario;
-import saffronferry.scale.Scale;
-import saffronferry.scale.Scale.Play;
 
 /** The command {@code scale}: measures what each dispatcher of a large simulated fleet costs. */
 @Command(
@@ -65,24 +65,24 @@
                             .toList()));
         }
         printHeader();
-        List<Play> plays = new ArrayList<>();
+        List<Run> plays = new ArrayList<>();
         for (int i = 0; i < scenarios.size(); i++) {
             Map<String, String> other = new LinkedHashMap<>(combinations.get(i));
             other.keySet().removeAll(KEYS_IN_ROW);
             String play = "play " + (i + 1) + " of " + scenarios.size();
-            plays.add(Scale.play(scenarios.get(i), other, seed, progressPrinter(play, scenarios.get(i))));
+            plays.add(ScaleSimulation.run(scenarios.get(i), other, seed, progressPrinter(play, scenarios.get(i))));
             printRow(plays.get(i));
             // Write the file after each run, so that an interrupted sweep keeps its results.
             if (out != null) {
-                Files.writeString(out, Scale.json(file.toString(), seed, plays).toString(1) + "\n");
+                Files.writeString(out, ScaleSimulation.json(file.toString(), seed, plays).toString(1) + "\n");
             }
         }
-        plays.forEach(play -> play.broken()
+        plays.forEach(play -> play.violations()
                 .forEach(line -> spec.commandLine()
                         .getErr()
                         .println(play.scenario().dispatchers() + " dispatchers, "
                                 + play.scenario().workers() + " workers: " + line)));
-        return plays.stream().allMatch(play -> play.broken().isEmpty()) ? 0 : Main.EXIT_CHECK_FAILED;
+        return plays.stream().allMatch(play -> play.violations().isEmpty()) ? 0 : Main.EXIT_CHECK_FAILED;
     }
 
     /** Every combination of the keys' values, with the last key's changing fastest. */
@@ -159,7 +159,7 @@
         out().flush();
     }
 
-    private void printRow(Play play) {
+    private void printRow(Run play) {
         Map<String, Double> figures = play.figures();
         if (System.console() != null) {
             spec.commandLine().getErr().print(CLEAR_LINE);
@@ -185,7 +185,7 @@
                         figures.get("control_bytes_worst_per_s"),
                         figures.get("start_control_bytes") / 1e3,
                         figures.get("heap_mb_per_dispatcher"),
-                        play.broken().size());
+                        play.violations().size());
         out().flush();
     }
 }
--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -1,5 +1,9 @@
 package saffronferry.cli;
 
+import saffronferry.scale.fit.DataPoint;
+import saffronferry.scale.fit.FigureSource;
+import saffronferry.scale.fit.GrowthModel;
+import saffronferry.scale.fit.ModelComparison;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -14,12 +18,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import saffronferry.scale.fit.Comparison;
 import saffronferry.scale.fit.Fit;
-import saffronferry.scale.fit.Form;
-import saffronferry.scale.fit.Point;
 import saffronferry.scale.fit.ResultFile;
-import saffronferry.scale.fit.Source;
 
 /** The command {@code scale-fit}: fits growth forms to measured figures, forecasts, and compares the forms. */
 @Command(
@@ -51,10 +51,10 @@
     @Override
     public Integer call() throws IOException {
         ResultFile result = new ResultFile(file.toString(), Files.readString(file));
-        List<Point> points = result.points(figure, over, Source.where(where));
-        Comparison comparison;
+        List<DataPoint> points = result.points(figure, over, FigureSource.where(where));
+        ModelComparison comparison;
         try {
-            comparison = Comparison.of(points);
+            comparison = ModelComparison.of(points);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(file + ": " + figure + " over " + over + ": " + e.getMessage());
         }
@@ -65,17 +65,17 @@
         return 0;
     }
 
-    private void printTable(Comparison comparison) {
+    private void printTable(ModelComparison comparison) {
         PrintWriter writer = spec.commandLine().getOut();
-        Fit line = comparison.of(Form.LINE);
+        Fit line = comparison.fit(GrowthModel.LINE);
         writer.printf(
                 Locale.ROOT,
                 "%s over %s, %d plays from %s to %s; forecast at %s%s%n",
                 figure,
                 over,
-                line.plays(),
-                formatSize(line.least()),
-                formatSize(line.most()),
+                line.runCount(),
+                formatSize(line.smallestSize()),
+                formatSize(line.largestSize()),
                 formatSize(at),
                 extrapolation(line));
         writer.printf(
@@ -85,57 +85,57 @@
             writer.printf(
                     Locale.ROOT,
                     "%-10s %12.5g %12.5g %12.5g %12.5g %12.5g %10.2f %12.5g %12.5g%s%n",
-                    fit.form().label(),
+                    fit.model().label(),
                     fit.intercept(),
                     fit.slope(),
                     fit.slopeStandardError(),
                     fit.residualError(),
-                    fit.errorLeftOut(),
+                    fit.leaveSizeOutError(),
                     fit.aic(),
-                    fit.at(at),
-                    fit.halfWidth(at),
+                    fit.predict(at),
+                    fit.predictionHalfWidth(at),
                     fit == comparison.best() ? "  best" : "");
         }
         writer.println(
                 comparison.best() == line
                         ? "a straight line is the best of these forms"
-                        : comparison.best().form().label() + " fits better than a straight line");
+                        : comparison.best().model().label() + " fits better than a straight line");
         writer.flush();
     }
 
     /** How far the forecast lies beyond the measured sizes; empty if it does not. */
     private String extrapolation(Fit line) {
-        return at <= line.most() ? "" : String.format(Locale.ROOT, ", %.1f times the largest", at / line.most());
+        return at <= line.largestSize() ? "" : String.format(Locale.ROOT, ", %.1f times the largest", at / line.largestSize());
     }
 
     private static String formatSize(double size) {
         return size == Math.rint(size) ? Long.toString((long) size) : Double.toString(size);
     }
 
-    private JSONObject json(Comparison comparison) {
+    private JSONObject json(ModelComparison comparison) {
         JSONArray forms = new JSONArray();
         for (Fit fit : comparison.fits()) {
             forms.put(new JSONObject()
-                    .put("form", fit.form().label())
+                    .put("form", fit.model().label())
                     .put("intercept", fit.intercept())
                     .put("slope", fit.slope())
                     .put("slope_standard_error", fit.slopeStandardError())
                     .put("residual_error", fit.residualError())
-                    .put("error_left_out", fit.errorLeftOut())
+                    .put("error_left_out", fit.leaveSizeOutError())
                     .put("aic", fit.aic())
-                    .put("forecast", fit.at(at))
-                    .put("half_width_95", fit.halfWidth(at)));
+                    .put("forecast", fit.predict(at))
+                    .put("half_width_95", fit.predictionHalfWidth(at)));
         }
-        Fit line = comparison.of(Form.LINE);
+        Fit line = comparison.fit(GrowthModel.LINE);
         return new JSONObject()
                 .put("file", file.getFileName().toString())
                 .put("figure", figure)
                 .put("over", over)
                 .put("at", at)
-                .put("least", line.least())
-                .put("most", line.most())
-                .put("plays", line.plays())
-                .put("best", comparison.best().form().label())
+                .put("least", line.smallestSize())
+                .put("most", line.largestSize())
+                .put("plays", line.runCount())
+                .put("best", comparison.best().model().label())
                 .put("forms", forms);
     }
 }
--- a/src/test/java/saffronferry/rig/IdleDispatcherTest.java
+++ b/src/test/java/saffronferry/rig/IdleDispatcherTest.java
@@ -10,13 +10,13 @@
 import org.junit.Test;
 import saffronferry.lab.scenario.ScenarioReader;
 
-/** What one real dispatcher spends where nothing happens but changes of the list. */
+/** Measures the resource usage of one real dispatcher that receives worker list changes and no requests. */
 public class IdleDispatcherTest {
-    /** A small one: its figures are there and of the right kind; how large they are is the command's. */
+    /** Checks that all figures are present and plausible; limits are checked by the command. */
     @Test
-    public void anIdleDispatcherIsMeasuredAndNothingIsLeft() throws Exception {
+    public void idleDispatcherIsMeasuredAndNoProcessIsLeft() throws Exception {
         long before = ProcessHandle.current().children().count();
-        JSONObject play = IdleDispatcher.play(
+        JSONObject result = IdleDispatcher.run(
                 ScenarioReader.parse("small.toml", """
                 length_s = 2
                 [fleet]
@@ -24,51 +24,51 @@
                 workers = 30
                 """), 1, new IdleDispatcher.Options(null, 10, 0.1));
         assertEquals(before, ProcessHandle.current().children().count());
-        JSONObject f = play.getJSONObject("figures");
-        assertEquals(play.toString(), 30, play.getInt("workers"));
-        assertTrue("changes came while it was measured: " + f, f.getInt("list_changes") > 0);
-        assertTrue("their bytes are counted: " + f, f.getLong("list_bytes_in") > 100 * f.getInt("list_changes"));
+        JSONObject figures = result.getJSONObject("figures");
+        assertEquals(result.toString(), 30, result.getInt("workers"));
+        assertTrue("the list changed during the measurement: " + figures, figures.getInt("list_changes") > 0);
+        assertTrue("the bytes of the changes are counted: " + figures, figures.getLong("list_bytes_in") > 100 * figures.getInt("list_changes"));
         assertTrue(
-                "30 entries, and one more while one drains: " + f,
-                f.getLong("list_whole_bytes") > 3_000 && f.getLong("list_whole_bytes") < 6_000);
+                "30 entries, or 31 while one drains: " + figures,
+                figures.getLong("list_whole_bytes") > 3_000 && figures.getLong("list_whole_bytes") < 6_000);
         assertTrue(
-                "it spends something, and no more than there is: " + f,
-                f.getDouble("core_percent") > 0 && f.getDouble("core_percent") < 800);
-        assertTrue("the loop's part is known: " + f, f.getDouble("core_percent_loop") > 0);
+                "CPU usage is positive and at most 8 cores: " + figures,
+                figures.getDouble("core_percent") > 0 && figures.getDouble("core_percent") < 800);
+        assertTrue("CPU usage of the event loop is reported: " + figures, figures.getDouble("core_percent_loop") > 0);
         assertTrue(
-                "a JVM's size: " + f,
-                f.getDouble("resident_mb") > 20 && f.getDouble("resident_mb") <= f.getDouble("resident_peak_mb"));
-        assertTrue("its ticks wake it: " + f, f.getDouble("wake_ups_per_s") > 1);
+                "memory is plausible for a JVM: " + figures,
+                figures.getDouble("resident_mb") > 20 && figures.getDouble("resident_mb") <= figures.getDouble("resident_peak_mb"));
+        assertTrue("its timer wakes it: " + figures, figures.getDouble("wake_ups_per_s") > 1);
     }
 
     @Test
-    public void whatAProcessUsesIsReadFromTheSystem() throws Exception {
-        ProcessUse first = ProcessUse.of(ProcessHandle.current().pid());
+    public void processUsageIsReadFromProc() throws Exception {
+        ProcessUsage first = ProcessUsage.of(ProcessHandle.current().pid());
         long work = 0;
-        ProcessUse last = first;
+        ProcessUsage last = first;
         while (last.cpuTicks() - first.cpuTicks() < 5) { // of 10 ms each
             for (int i = 0; i < 1_000_000; i++) {
                 work += i * work;
             }
-            last = ProcessUse.of(ProcessHandle.current().pid());
+            last = ProcessUsage.of(ProcessHandle.current().pid());
         }
-        assertTrue("worked: " + work, last.corePercent(first, 0.05) >= 100 - 1e-6);
+        assertTrue("result of the busy loop: " + work, last.corePercent(first, 0.05) >= 100 - 1e-6);
         assertTrue(last.corePercentByThread(first, 0.05).values().stream()
                         .mapToDouble(p -> p)
                         .sum()
                 > 50);
         assertTrue(last.residentMb() > 10 && last.peakMb() >= last.residentMb());
-        assertThrows(IOException.class, () -> ProcessUse.of(Long.MAX_VALUE));
+        assertThrows(IOException.class, () -> ProcessUsage.of(Long.MAX_VALUE));
     }
 
     @Test
-    public void aConsolesControlFiguresAreReadAndNoOthers() {
-        assertEquals(Map.of("console_bytes_list_in", 12.0, "console_core_seconds", 0.25), ControlFigures.of("""
+    public void onlyControlMetricsAreReadFromTheConsole() {
+        assertEquals(Map.of("console_bytes_list_in", 12.0, "console_core_seconds", 0.25), ControlMetrics.parse("""
                 # HELP app_control_bytes x
                 app_responses{kind="a",result="ok"} 3
                 app_control_bytes{kind="list",way="in"} 12
                 app_control_core_seconds 0.250
                 """));
-        assertEquals(Map.of(), ControlFigures.of(""));
+        assertEquals(Map.of(), ControlMetrics.parse(""));
     }
 }
