--- a/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
+++ b/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
@@ -63,16 +63,16 @@
             }
             case DRAIN_STOP -> {
                 boolean open = server.cancelDrain();
-                reply.send(open ? 200 : 409, open ? "taking clients\n" : "the process is shutting down\n");
+                reply.send(open ? 200 : 409, open ? "taking clients\n" : "the process is ending\n");
             }
-            case WRONG_METHOD -> reply.send(405, "method not allowed\n");
-            default -> reply.send(404, "no such operation\n");
+            case WRONG_METHOD -> reply.send(405, "another method is wanted here\n");
+            default -> reply.send(404, "no such call\n");
         }
     }
 
     private void changeBans(String worker, UnaryOperator<Bans> change, String outcome, ConsoleServer.Reply reply) {
         if (!ledger.isKnownSubchannel(worker)) {
-            reply.send(404, "unknown worker id\n");
+            reply.send(404, "no worker has this id\n");
             return;
         }
         Bans before = ledger.bans();
--- a/src/test/java/saffronferry/rig/FaultRigTest.java
+++ b/src/test/java/saffronferry/rig/FaultRigTest.java
@@ -16,7 +16,7 @@
 import saffronferry.lab.scenario.ScenarioReader;
 
 /** Tests of the fault rig itself: link faults, the worker model, and cleanup after a run. */
-public class RigTest {
+public class FaultRigTest {
     private static final Path PEERS_CUT_SCENARIO = Path.of("examples/rig/deaf.toml");
 
     static Scenario scenario(String... values) throws Exception {
--- a/src/test/java/saffronferry/rig/HardCasesTest.java
+++ b/src/test/java/saffronferry/rig/HardCasesTest.java
@@ -98,7 +98,7 @@
 
     @Test
     public void eachRequestEndsAndNoRuleIsBroken() throws Exception {
-        Scenario s = RigTest.scenario(Stream.concat(
+        Scenario s = FaultRigTest.scenario(Stream.concat(
                         Stream.concat(
                                 SMALL_FLEET.stream(),
                                 Stream.of("load.share=0.7").filter(v -> !values[0].startsWith("load.share"))),
