--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -8,6 +8,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saffronferry.DispatcherHarness.MS;
 import static saffronferry.DispatcherHarness.S;
+import static saffronferry.DispatcherHarness.jobClass;
+import static saffronferry.DispatcherHarness.worker;
 
 import java.util.Arrays;
 import java.util.List;
@@ -44,7 +46,7 @@
 
     @Test
     void sendsToFreeSlotsThenHoldsAndSendsTheOldestFirst() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
         }
@@ -56,7 +58,7 @@
 
     @Test
     void learnsSlotsFromReportsUnderLoad() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.report("a", 5);
         for (long id = 1; id <= 6; id++) {
             harness.request(id);
@@ -76,7 +78,7 @@
     /** A first report that misses a job on its way gives too few slots; later reports must outweigh it soon. */
     @Test
     void reportsOfAnIdleWorkerCorrectOneOfABusyWorker() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.request(1);
         harness.advance(100 * MS);
         harness.report("a", 4); // five slots, one of them in use; a slow average would learn 4.1
@@ -94,7 +96,7 @@
     /** A class that runs longer than the initial estimate must not keep its healthy workers out of service. */
     @Test
     void workersAreNotSuspectedForLongJobsOnceTheirRunningTimeIsLearned() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.report("a", 4);
         for (long id = 1; id <= 6; id++) {
             harness.request(id, 0, -1, 60 * S, false);
@@ -113,7 +115,7 @@
     /** One broken connection must not take a healthy worker out of service and move its jobs. */
     @Test
     void aWorkerIsSuspectedAfterTwoResetsInARowNotAfterOne() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.report("a", 4);
         harness.request(1);
         harness.request(2);
@@ -129,7 +131,7 @@
     /** A worker that fails its jobs at once always has free slots, and would attract all jobs. */
     @Test
     void aWorkerThatFailsJobsGetsNeitherTheirRetriesNorFurtherJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.report("a", 5);
         harness.request(1);
         String failing = harness.lastWorkerOf(1);
@@ -150,8 +152,8 @@
 
     @Test
     void aDrainingWorkerGetsNoJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
-        harness.change(DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
+        harness.change(worker("a", 0, WorkerState.DRAINING, 0));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
         }
@@ -161,8 +163,8 @@
 
     @Test
     void aWorkerMissingFromAWholeListGetsNoJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
-        harness.list(DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
+        harness.list(worker("b"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
         }
@@ -187,7 +189,7 @@
     @Test
     void retryAfterIsLimitedByTheSettings() {
         options.maxRetryAfter = 100 * MS;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         for (long id = 1; id <= 40; id++) {
             harness.request(id);
         }
@@ -202,11 +204,11 @@
     /** With no worker left that may take it, a request is answered at once instead of near its deadline. */
     @Test
     void aRequestThatNoWorkerMayTakeEndsAtOnce() {
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
+        options.classes = List.of(jobClass(Effect.KEYED, Group.CELL));
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b", 1, WorkerState.IN_SERVICE, 0));
         harness.request(1);
-        harness.change(DispatcherHarness.worker("a", 0, WorkerState.GONE, 0));
+        harness.change(worker("a", 0, WorkerState.GONE, 0));
         harness.endAttempt(1, 0, Outcome.RESET);
         harness.advance(100 * MS);
         assertEquals("failed", harness.finals.get(1L));
@@ -214,8 +216,8 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNotRepeated() {
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL));
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        options.classes = List.of(jobClass(Effect.UNSAFE, Group.ALL));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.request(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
         assertEquals("failed", harness.finals.get(1L));
@@ -227,9 +229,9 @@
     @Test
     void aKeyedRequestIsRepeatedOnlyInItsGroupAndWindow() {
         options.zones = 2;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
+        options.classes = List.of(jobClass(Effect.KEYED, Group.CELL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(DispatcherHarness.worker("a"), new Contract.WorkerInfo("b", WorkerState.IN_SERVICE, 0, 0, 0, 9));
+                .list(worker("a"), new Contract.WorkerInfo("b", WorkerState.IN_SERVICE, 0, 0, 0, 9));
         harness.request(1);
         String first = harness.lastWorkerOf(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
@@ -240,7 +242,7 @@
 
     @Test
     void aSilentWorkerIsSuspectedAndItsJobsAreHedged() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         for (int round = 0; round < 200; round++) {
             harness.request(1000 + round);
             harness.advance(50 * MS);
@@ -261,7 +263,7 @@
     @Test
     void theBackoffGrowsWhileAWorkerAnswersFull() {
         options.maxAttempts = 100;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.request(1);
         for (int i = 0; i < 400; i++) {
             DispatcherHarness.Send last = harness.sends.get(harness.sends.size() - 1);
@@ -281,7 +283,7 @@
     @Test
     void workersOfAZoneWithoutDispatchersAreAdopted() {
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
         }
@@ -298,7 +300,7 @@
         options.peers = 2;
         Contract.WorkerInfo[] workers = new Contract.WorkerInfo[40];
         for (int i = 0; i < workers.length; i++) {
-            workers[i] = DispatcherHarness.worker("10.0.0." + i);
+            workers[i] = worker("10.0.0." + i);
         }
         DispatcherHarness one = new DispatcherHarness(options.settings()).list(workers);
         options.self = 1;
@@ -320,7 +322,7 @@
     @Test
     void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndTheOwnerIsTold() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
         PeerMessage hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         harness.dispatcher.peerMessage(harness.now, 1, hello.bytes());
         harness.advance(60 * MS);
@@ -347,7 +349,7 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
-        harness.list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, harness.now));
+        harness.list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, harness.now));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // often enough for the peer not to count as silent
@@ -364,7 +366,7 @@
     void spillsOnlyToASlotThatANeighbourOffers() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 3);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
@@ -386,7 +388,7 @@
     void heldJobsAreSpilledWhenANeighbourOffersSlots() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
         harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
         harness.advance(S);
         for (long id = 1; id <= 8; id++) {
@@ -406,7 +408,7 @@
     void aSlotIsFreeAgainThoughTheMessageOfItsJobsEndIsLost() {
         options.peers = 2;
         for (boolean reportedAgain : new boolean[] {true, false}) {
-            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
             harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
             harness.advance(60 * MS);
             for (String own : List.of("a", "b", "c", "d")) {
@@ -430,7 +432,7 @@
     void jobsOnBorrowedSlotsAreReportedAgainUntilNoneIsReported() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 4);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
@@ -454,9 +456,9 @@
     @Test
     void aJobThatEndedWithAResetIsNotSentToAColdWorker() {
         options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Effect.SAFE, Group.ALL, 0, -1));
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.request(1, 0, -1, 30 * S, false);
-        harness.change(DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0), DispatcherHarness.worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
+        harness.change(worker("a", 0, WorkerState.DRAINING, 0), worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
         harness.endAttempt(1, 0, Outcome.RESET);
         harness.advance(S);
         assertEquals(0, harness.sendCount("cold"));
@@ -482,7 +484,7 @@
     @Test
     void aNewOwnerIsToldOfTheJobsOnItsWorkerAndOfTheirEnds() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id); // alone it owns both workers
         }
@@ -507,7 +509,7 @@
         // a deadline so long that no job counts as ended by its age
         options.classes =
                 List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * S, -1));
-        WorkerInfo[] all = {DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d")};
+        WorkerInfo[] all = {worker("a"), worker("b"), worker("c"), worker("d")};
         int[] hashes = Arrays.stream(all)
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
@@ -547,7 +549,7 @@
     void anOfferIsUsedThoughMostNeighboursOfferNothing() {
         options.peers = 41;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
             harness.dispatcher.peerMessage(harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
         }
@@ -565,7 +567,7 @@
     @Test
     void aMessageWithPBelowOneIsAnsweredWithAnOfferAtOnce() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
         harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
         harness.advance(60 * MS);
         harness.sentMessages.clear();
@@ -583,7 +585,7 @@
 
     @Test
     void newRequestsAreSentBeforeMarkedRepeats() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.request(1);
         harness.request(2);
         harness.request(3, 0, -1, 5 * S, true);
@@ -596,7 +598,7 @@
     @Test
     void requestsOverATenantsShareAreSentLast() {
         options.tenants = List.of(new Tenant("big", 1), new Tenant("small", 100));
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         for (long id = 1; id <= 5; id++) {
             harness.request(id, 0, 0, 5 * S, false);
         }
@@ -609,7 +611,7 @@
     @Test
     void subscribesOnDemandAndAgainAfterTheWatchEnds() {
         options.onDemand = true;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         assertEquals(1, harness.subscriptions);
         harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
         harness.advance(S);
@@ -620,7 +622,7 @@
     @Test
     void subscribesAgainWithinASecondHoweverOftenDiscoveryFailed() {
         options.onDemand = true;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         for (int i = 1; i <= 8; i++) {
             assertEquals(i, harness.subscriptions);
             harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
@@ -631,7 +633,7 @@
     @Test
     void malformedMessagesAreIgnored() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         for (byte[] bytes : List.of(
                 new byte[0], new byte[] {1, 2}, new byte[] {9, 0, 0, 0, 0, 0, 77}, new byte[] {0, 0, 0, 0, 0, 0, 1, 5
                 })) {
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saffronferry.DispatcherHarness.MS;
 import static saffronferry.DispatcherHarness.S;
+import static saffronferry.DispatcherHarness.jobClass;
+import static saffronferry.DispatcherHarness.worker;
 
 import java.lang.reflect.Field;
 import java.util.Collection;
@@ -38,7 +40,7 @@
         return field(of, name).get(of);
     }
 
-    private static DispatcherState.Worker worker(DispatcherHarness harness, String address) throws ReflectiveOperationException {
+    private static DispatcherState.Worker workerState(DispatcherHarness harness, String address) throws ReflectiveOperationException {
         return ((WorkerIndex) get(harness.dispatcher, "workerIndex")).byAddress.get(address);
     }
 
@@ -51,7 +53,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"healthCheckPosition", "probePosition"})
     void aPositionThatWrapsIsNoNegativeIndex(String position) throws Exception {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"));
         field(harness.dispatcher, position).setInt(harness.dispatcher, Integer.MAX_VALUE - 1);
         traffic(harness, 20, 10 * S);
         assertEquals(200, harness.sends.size());
@@ -61,14 +63,14 @@
     @Test
     void aWorkerThatAnswersFullIsTriedAgainHoweverOftenItDid() throws Exception {
         options.maxAttempts = 1;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
-        worker(harness, "a").consecutiveFulls = Integer.MAX_VALUE - 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
+        workerState(harness, "a").consecutiveFulls = Integer.MAX_VALUE - 2;
         for (long id = 1; id <= 70; id++) {
             harness.request(id);
             assertEquals(
-                    id, harness.sends.size(), "backs off until " + worker(harness, "a").backoffUntil + " at " + harness.now);
+                    id, harness.sends.size(), "backs off until " + workerState(harness, "a").backoffUntil + " at " + harness.now);
             harness.endAttempt(id, 0, Outcome.FULL);
-            long backoff = worker(harness, "a").backoffUntil - harness.now;
+            long backoff = workerState(harness, "a").backoffUntil - harness.now;
             assertTrue(backoff >= 3_200 * MS && backoff <= 4 * S, "backs off for " + backoff);
             harness.advance(4 * S);
         }
@@ -77,13 +79,13 @@
     @Test
     void aSuspectIsTriedAgainHoweverManyTrialsFailed() throws Exception {
         options.maxAttempts = 1;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
-        worker(harness, "a").failedTrials = Integer.MAX_VALUE - 2;
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
+        workerState(harness, "a").failedTrials = Integer.MAX_VALUE - 2;
         for (long id = 1; id <= 70; id++) {
             harness.request(id);
             assertEquals(id, harness.sends.size(), "not tried at " + harness.now);
             harness.endAttempt(id, 0, Outcome.CONNECT_FAILED);
-            long wait = worker(harness, "a").nextTrialAt - harness.now;
+            long wait = workerState(harness, "a").nextTrialAt - harness.now;
             assertTrue(wait >= 8 * S && wait <= 10 * S, "waits " + wait);
             harness.advance(11 * S);
         }
@@ -92,7 +94,7 @@
     @Test
     void subscribesWithinASecondHoweverOftenDiscoveryFailed() throws Exception {
         options.onDemand = true;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         for (int i = 0; i < 70; i++) {
             int before = harness.subscriptions;
             harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
@@ -104,7 +106,7 @@
     /** After two thousand million jobs of a class its running time is still learned, and still a finite number. */
     @Test
     void runningTimesStayFiniteHoweverManyJobsEnded() throws Exception {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         LearnedEstimates estimates = (LearnedEstimates) get(harness.dispatcher, "estimates");
         estimates.ended[0] = Integer.MAX_VALUE - 3;
         for (long id = 1; id <= 10; id++) {
@@ -134,7 +136,7 @@
                         c == 64 ? 1 : 0))
                 .toList();
         DispatcherHarness harness =
-                new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), new WorkerInfo("b", WorkerState.IN_SERVICE, 1, 0, 0, 0));
+                new DispatcherHarness(options.settings()).list(worker("a"), new WorkerInfo("b", WorkerState.IN_SERVICE, 1, 0, 0, 0));
         harness.request(1, 64, -1, 5 * S, false);
         harness.endAttempt(1, 0, Outcome.FULL); // b backs off for a while: no slot is found for class 64
         harness.request(2, 64, -1, 5 * S, false);
@@ -189,7 +191,7 @@
             options.tenants = List.of(new Tenant("t", 5));
             DispatcherHarness harness = new DispatcherHarness(options.settings())
                     .list(IntStream.range(0, 8)
-                            .mapToObj(i -> DispatcherHarness.worker("w" + i))
+                            .mapToObj(i -> worker("w" + i))
                             .toArray(WorkerInfo[]::new));
             for (int i = 0; i < 20; i++) {
                 harness.dispatcher.peerMessage(harness.now, 1, hello(1, peerRate));
@@ -209,7 +211,7 @@
     @Test
     void theFirstRequestsAfterAStartAreNotOverTheirShare() throws Exception {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"));
         for (int i = 0; i < 4; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, hello(1, 20));
             traffic(harness, 20, 200 * MS);
@@ -225,7 +227,7 @@
             for (int zones = 1; zones <= 3; zones++) {
                 options.peers = peers;
                 options.zones = zones;
-                DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
+                DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"));
                 harness.advance(5 * S);
                 harness.dispatcher.peerMessage(harness.now, peers - 1, hello(0, 0));
                 harness.advance(20 * S);
@@ -241,7 +243,7 @@
     @ValueSource(doubles = {Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, 1e18, -1e18})
     void anAbsurdReportChangesNoLearnedSlots(double freeSlots) throws Exception {
         for (double held : new double[] {Double.NaN, 2}) {
-            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
             harness.report("a", 3);
             harness.dispatcher.probed(harness.now, "b", Outcome.OK, new Report(held, 0, freeSlots));
             for (long id = 1; id <= 40; id++) {
@@ -259,7 +261,7 @@
     void aPeerThatFailsAfterALongStopIsForgottenSoon() {
         options.peers = 2;
         WorkerInfo[] all =
-                IntStream.range(0, 8).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new);
+                IntStream.range(0, 8).mapToObj(i -> worker("w" + i)).toArray(WorkerInfo[]::new);
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
         harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         harness.advance(3 * S);
@@ -276,7 +278,7 @@
     private DispatcherHarness withBorrowedSlots(int peerMessages) throws Exception {
         options.peers = 2;
         WorkerInfo[] all =
-                IntStream.range(0, 8).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new);
+                IntStream.range(0, 8).mapToObj(i -> worker("w" + i)).toArray(WorkerInfo[]::new);
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
         harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         harness.advance(100 * MS);
@@ -297,7 +299,7 @@
     private static int peerSlots(DispatcherHarness harness) throws Exception {
         int sum = 0;
         for (int i = 0; i < 8; i++) {
-            sum += worker(harness, "w" + i).peerSlots;
+            sum += workerState(harness, "w" + i).peerSlots;
         }
         return sum;
     }
@@ -317,7 +319,7 @@
         DispatcherHarness harness = withBorrowedSlots(1);
         for (WorkerState state : List.of(WorkerState.GONE, WorkerState.IN_SERVICE)) {
             harness.change(IntStream.range(0, 8)
-                    .mapToObj(i -> DispatcherHarness.worker("w" + i, 0, state, 0))
+                    .mapToObj(i -> worker("w" + i, 0, state, 0))
                     .toArray(WorkerInfo[]::new));
         }
         assertEquals(0, peerSlots(harness));
@@ -335,7 +337,7 @@
     /** Finished jobs kept until their deadlines would be as many as arrive in that time. */
     @Test
     void finishedJobsAreDropped() throws Exception {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         for (long id = 1; id <= 20_000; id++) {
             harness.request(id);
             harness.endAttempt(id, 0, Outcome.OK);
@@ -349,7 +351,7 @@
     void aZoneThatLosesItsDispatchersIsAdoptedAfterAWhile() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, 0));
         byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 5, 50 * MS).bytes();
         for (int i = 0; i < 6; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, hello);
@@ -378,7 +380,7 @@
     /** A client may ask for 255 slots for one job; held, such a job would keep P low. */
     @Test
     void aJobThatFitsNoWorkerIsRefusedAtOnceAndDoesNotLowerP() throws Exception {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.report("a", 4);
         harness.dispatcher.request(harness.now, new Contract.Request(1, 0, -1, harness.now + 5 * S, 255, false));
         harness.dispatcher.request(harness.now, new Contract.Request(2, 0, -1, harness.now + 5 * S, 3, false));
@@ -392,9 +394,9 @@
     @Test
     void repeatsOfJobsThatMayHaveRunAreBounded() {
         options.maxAttempts = 4;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        options.classes = List.of(jobClass(Effect.SAFE, Group.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(IntStream.range(0, 20).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new));
+                .list(IntStream.range(0, 20).mapToObj(i -> worker("w" + i)).toArray(WorkerInfo[]::new));
         int seen = 0;
         long asked = 20 * 200;
         for (long id = 1; id <= asked; id++) {
@@ -413,7 +415,7 @@
     /** A large worker breaks with 100 jobs on it; their repeats, held at once and sent later, are bounded too. */
     @Test
     void repeatsThatAreHeldAtOnceAreBounded() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.report("a", 100);
         harness.report("b", 100);
         for (long id = 1; id <= 200; id++) {
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saffronferry.DispatcherHarness.MS;
 import static saffronferry.DispatcherHarness.S;
+import static saffronferry.DispatcherHarness.worker;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -35,7 +36,7 @@
         options.onDemand = true;
         options.peers = peers;
         options.seed = seed;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.advance(10 * S);
         assertEquals(1, harness.subscriptions);
         harness.change(); // a line without changes
@@ -68,7 +69,7 @@
                 harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
                 nextCall(harness, nextId);
                 harness.advance(ANSWER_US);
-                harness.change(DispatcherHarness.worker("b", 0, WorkerState.DRAINING, 0));
+                harness.change(worker("b", 0, WorkerState.DRAINING, 0));
                 worst = Math.max(worst, harness.now - last);
                 int sent = harness.sends.size();
                 for (int i = 0; i < 20; i++) {
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.jobClass;
+import static saffronferry.DispatcherHarness.worker;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -44,8 +46,8 @@
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 2;
         options.tellsStart = true;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+        options.classes = List.of(jobClass(Effect.SAFE, Group.ALL));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
         harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.jobClass;
+import static saffronferry.DispatcherHarness.worker;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -60,7 +62,7 @@
         options.peers = 4;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
-        harness.list(DispatcherHarness.worker("old"), DispatcherHarness.worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
+        harness.list(worker("old"), worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
         assertEquals(Sharing.Fallback.ALONE, harness.dispatcher.sharing().fallback());
         assertEquals(0.25, harness.dispatcher.sharing().part());
         for (int peer : new int[] {1, 2}) {
@@ -74,7 +76,7 @@
     }
 
     private static final LearnedEstimates ESTIMATES =
-            new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
+            new LearnedEstimates(2, List.of(jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
 
     /** Ownership of a single dispatcher, with zones that keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
