--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -376,8 +376,7 @@
                 if (job == null || classBlocked[c] || !mayHaveSlot(job.spec.kind())) {
                     continue;
                 }
-                double score =
-                        overload ? job.spec.worth() / estimates.mean[c] : -(job.arrivedAt + (double) slackUs(c));
+                double score = overload ? job.spec.worth() / estimates.mean[c] : -(job.arrivedAt + (double) slackUs(c));
                 if (best == null || score > bestScore) {
                     best = job;
                     bestScore = score;
@@ -583,8 +582,8 @@
 
     // ---- messages between dispatchers ----
     private PeerMessage newMessage(PeerMessage.Type type) {
-        PeerMessage message = new PeerMessage(
-                type, settings.zone(), acceptance, combinedAcceptance, requestRate, exchangePeriod);
+        PeerMessage message =
+                new PeerMessage(type, settings.zone(), acceptance, combinedAcceptance, requestRate, exchangePeriod);
         message.at = now;
         message.cold = zoneHasCold;
         if (zoneHasCold || now < coldAnnouncedUntil) {
@@ -844,8 +843,8 @@
     }
 
     private void scheduleTrial(Worker worker) {
-        worker.nextTrialAt = now
-                + withJitter(FIRST_TRIAL_DELAY_US << Math.min(worker.failedTrials, MAX_TRIAL_DELAY_DOUBLINGS));
+        worker.nextTrialAt =
+                now + withJitter(FIRST_TRIAL_DELAY_US << Math.min(worker.failedTrials, MAX_TRIAL_DELAY_DOUBLINGS));
         worker.failedTrials = saturatingIncrement(worker.failedTrials);
     }
 
@@ -976,8 +975,8 @@
             case FULL -> {
                 // a worker that drains before the list says so rejects every job: back off, and longer each time
                 worker.backoffUntil = now
-                        + withJitter(FIRST_FULL_BACKOFF_US
-                                << Math.min(worker.consecutiveFulls, MAX_FULL_BACKOFF_DOUBLINGS));
+                        + withJitter(
+                                FIRST_FULL_BACKOFF_US << Math.min(worker.consecutiveFulls, MAX_FULL_BACKOFF_DOUBLINGS));
                 worker.consecutiveFulls = saturatingIncrement(worker.consecutiveFulls);
                 worker.lastFullAt = now;
                 worker.coldBudget.growth.waited(now);
@@ -1215,8 +1214,7 @@
     /** Assigns workers to zones and owners anew, and updates those whose assignment may have changed. */
     private void reassignWorkers() {
         int[] zoneMembers = Arrays.stream(peers)
-                .filter(peer -> peer.number == settings.self()
-                        || peer.lastHeardAt > 0 && peer.zone == settings.zone())
+                .filter(peer -> peer.number == settings.self() || peer.lastHeardAt > 0 && peer.zone == settings.zone())
                 .mapToInt(peer -> peer.number)
                 .toArray();
         BitSet servedZones = new BitSet();
@@ -1374,8 +1372,7 @@
                 continue;
             }
             sendToPeer(
-                    peer.number,
-                    peer.addHoldsReport(now, workerIndex.borrowed(), newMessage(PeerMessage.Type.HOLDS)));
+                    peer.number, peer.addHoldsReport(now, workerIndex.borrowed(), newMessage(PeerMessage.Type.HOLDS)));
         }
         sendConstrained();
         spillPressed();
--- a/src/main/java/saffronferry/LearnedEstimates.java
+++ b/src/main/java/saffronferry/LearnedEstimates.java
@@ -18,6 +18,7 @@
     private static final double BEST_TIME_RISE_RATE = 0.0005;
     /** Weight of a report above, and of one below, the maximum of free slots. */
     private static final double FREE_SLOTS_RISE_RATE = 0.3;
+
     private static final double FREE_SLOTS_FALL_RATE = 0.001;
     /** Upper bound of plausible values in a snapshot. */
     private static final double MAX_RESTORED_VALUE = 1e12;
--- a/src/main/java/saffronferry/PeerMessage.java
+++ b/src/main/java/saffronferry/PeerMessage.java
@@ -206,12 +206,23 @@
         }
         boolean isReturn = (bytes[6] & ~FLAGS) == Type.RETURNS.ordinal();
         boolean hasGrant = (bytes[6] & GRANT_FLAG) != 0 && !isReturn;
-        int granteeBytes = hasGrant && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES ? bytes[HEADER_BYTES + 2] & ~HEARD_SET_FLAG & 0xFF : 0;
-        int heardBytes = hasGrant && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES && (bytes[HEADER_BYTES + 2] & HEARD_SET_FLAG) != 0 ? granteeBytes : 0;
-        int entriesStart = HEADER_BYTES + (hasGrant ? GRANT_HEADER_BYTES + granteeBytes + heardBytes : isReturn ? RETURN_STAMP_BYTES : 0);
-        int otherZoneBytes = hasGrant && (bytes[6] & OTHER_ZONES_FLAG) != 0 && bytes.length > entriesStart ? 1 + (bytes[entriesStart] & 0xFF) : 0;
+        int granteeBytes = hasGrant && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES
+                ? bytes[HEADER_BYTES + 2] & ~HEARD_SET_FLAG & 0xFF
+                : 0;
+        int heardBytes = hasGrant
+                        && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES
+                        && (bytes[HEADER_BYTES + 2] & HEARD_SET_FLAG) != 0
+                ? granteeBytes
+                : 0;
+        int entriesStart = HEADER_BYTES
+                + (hasGrant ? GRANT_HEADER_BYTES + granteeBytes + heardBytes : isReturn ? RETURN_STAMP_BYTES : 0);
+        int otherZoneBytes = hasGrant && (bytes[6] & OTHER_ZONES_FLAG) != 0 && bytes.length > entriesStart
+                ? 1 + (bytes[entriesStart] & 0xFF)
+                : 0;
         entriesStart += otherZoneBytes;
-        if (bytes.length < entriesStart || granteeBytes > MAX_SET_BYTES || (bytes.length - entriesStart) % ENTRY_BYTES != 0) {
+        if (bytes.length < entriesStart
+                || granteeBytes > MAX_SET_BYTES
+                || (bytes.length - entriesStart) % ENTRY_BYTES != 0) {
             return null;
         }
         PeerMessage message = new PeerMessage(
@@ -223,10 +234,14 @@
                 (bytes[5] & 0xFF) * PERIOD_UNIT_US);
         message.cold = (bytes[6] & COLD_FLAG) != 0;
         if (hasGrant) {
-            message.word = BitSet.valueOf(Arrays.copyOfRange(bytes, HEADER_BYTES + GRANT_HEADER_BYTES, HEADER_BYTES + GRANT_HEADER_BYTES + granteeBytes));
+            message.word = BitSet.valueOf(Arrays.copyOfRange(
+                    bytes, HEADER_BYTES + GRANT_HEADER_BYTES, HEADER_BYTES + GRANT_HEADER_BYTES + granteeBytes));
             int setsEnd = entriesStart - otherZoneBytes;
-            message.hears = heardBytes == 0 ? message.word : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd - heardBytes, setsEnd));
-            message.elsewhere = otherZoneBytes == 0 ? null : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd + 1, entriesStart));
+            message.hears = heardBytes == 0
+                    ? message.word
+                    : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd - heardBytes, setsEnd));
+            message.elsewhere =
+                    otherZoneBytes == 0 ? null : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd + 1, entriesStart));
         }
         if (hasGrant || isReturn) {
             // The time nearest to now with this stamp: datagrams are delayed by less than two minutes.
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -143,8 +143,7 @@
         for (Peer peer : peers) {
             boolean self = shares.isSelf(peer.number);
             heard += self || peer.lastHeardAt > 0 ? 1 : 0;
-            counted +=
-                    self || peer.lastHeardAt > 0 && peer.zone == zone && shares.counts(peer.number, now) ? 1 : 0;
+            counted += self || peer.lastHeardAt > 0 && peer.zone == zone && shares.counts(peer.number, now) ? 1 : 0;
             lent += peer.totalLentUs;
             returned += peer.totalReturnedUs;
             borrowed += peer.totalBorrowedUs;
@@ -276,8 +275,7 @@
     }
 
     private void updateAvailableCount(Worker worker) {
-        boolean available =
-                worker.assignedZone == zone && worker.state == WorkerState.IN_SERVICE && !worker.suspect;
+        boolean available = worker.assignedZone == zone && worker.state == WorkerState.IN_SERVICE && !worker.suspect;
         if (available != worker.countedAvailable) {
             worker.countedAvailable = available;
             availableCount[kindGroupOf(worker)] += available ? 1 : -1;
--- a/src/main/java/saffronferry/fleet/CallPace.java
+++ b/src/main/java/saffronferry/fleet/CallPace.java
@@ -74,8 +74,10 @@
         boolean overloaded = timedOut && comingBack == 0;
         comingBack = timedOut ? Math.max(0, comingBack - 1) : COMING_BACK;
         // The longest delay is allowed after a timeout only, not when a watch has merely ended.
-        long limit = reason == WatchEnd.SILENT ? SILENT : reason == WatchEnd.DOWN ? DOWN : overloaded ? longest : IN_TIME;
-        double wantedSpread = line * (timedOut ? EACH_AGAIN * (overloaded ? Math.pow(GROWTH, failures) : 1) : EACH_BACK);
+        long limit =
+                reason == WatchEnd.SILENT ? SILENT : reason == WatchEnd.DOWN ? DOWN : overloaded ? longest : IN_TIME;
+        double wantedSpread =
+                line * (timedOut ? EACH_AGAIN * (overloaded ? Math.pow(GROWTH, failures) : 1) : EACH_BACK);
         failures = overloaded ? Math.min(failures + 1, MOST_FAILURES) : Math.max(failures, 1);
         watching = false;
         long spread = (long) Math.min(limit - 2 * pause, wantedSpread);
--- a/src/main/java/saffronferry/fleet/ColdShares.java
+++ b/src/main/java/saffronferry/fleet/ColdShares.java
@@ -94,7 +94,13 @@
      * @param at when the message was sent, by the shared clock
      */
     public void says(
-            int dispatcher, boolean inOtherZone, BitSet grantees, BitSet heard, BitSet inOtherZones, long at, long now) {
+            int dispatcher,
+            boolean inOtherZone,
+            BitSet grantees,
+            BitSet heard,
+            BitSet inOtherZones,
+            long at,
+            long now) {
         if (inOtherZones != null && !inOtherZone) {
             elsewhere.or(inOtherZones);
             elsewhere.clear(words.length, Math.max(words.length, elsewhere.length()));
--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -1,13 +1,13 @@
 package saffronferry.lab.policy;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.Effect;
 import saffronferry.Contract.Group;
 import saffronferry.Contract.JobClass;
@@ -94,7 +94,9 @@
 
     private void send(long now, OpenRequest openRequest, List<BalancerAction> steps) {
         WorkerView worker =
-                openRequest.attempts.size() < settings.maxAttempts() && now < openRequest.request.validUntil() ? choose(now, openRequest) : null;
+                openRequest.attempts.size() < settings.maxAttempts() && now < openRequest.request.validUntil()
+                        ? choose(now, openRequest)
+                        : null;
         if (worker == null) {
             refuseOrFail(openRequest, steps);
             return;
@@ -110,16 +112,19 @@
         List<WorkerView> candidates = inService;
         if (openRequest.possiblyRun != null && jobClass.effect() != Effect.SAFE) {
             WorkerView possiblyRunOn = openRequest.possiblyRun.worker();
-            boolean retryAllowed = jobClass.effect() == Effect.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
+            boolean retryAllowed =
+                    jobClass.effect() == Effect.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
             candidates = !retryAllowed
                     ? List.of()
                     : inService.stream()
                             .filter(w -> jobClass.group() == Group.ALL
-                                    || w.zone == possiblyRunOn.zone && (jobClass.group() == Group.ZONE || w.cell == possiblyRunOn.cell))
+                                    || w.zone == possiblyRunOn.zone
+                                            && (jobClass.group() == Group.ZONE || w.cell == possiblyRunOn.cell))
                             .toList();
         }
         if (jobClass.kind() >= 0) {
-            candidates = candidates.stream().filter(w -> w.kind == jobClass.kind()).toList();
+            candidates =
+                    candidates.stream().filter(w -> w.kind == jobClass.kind()).toList();
         }
         for (int i = 0; i < MAX_CHOICES && !candidates.isEmpty(); i++) {
             WorkerView w = chooser.choose(candidates, random);
@@ -138,7 +143,10 @@
         boolean retryIsSafe = openRequest.possiblyRun == null
                 || jobClass.effect() == Effect.SAFE
                 || jobClass.effect() == Effect.KEYED && jobClass.group() == Group.ALL;
-        steps.add(retryIsSafe ? new BalancerAction.Refuse(openRequest.request.id(), 0) : new BalancerAction.Fail(openRequest.request.id()));
+        steps.add(
+                retryIsSafe
+                        ? new BalancerAction.Refuse(openRequest.request.id(), 0)
+                        : new BalancerAction.Fail(openRequest.request.id()));
     }
 
     @Override
--- a/src/main/java/saffronferry/lab/policy/DispatchLogic.java
+++ b/src/main/java/saffronferry/lab/policy/DispatchLogic.java
@@ -1,9 +1,9 @@
 package saffronferry.lab.policy;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
 import java.util.List;
 import saffronferry.Balancer;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.Settings;
 
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -15,7 +15,7 @@
 import saffronferry.lab.scenario.Scenario.Bounds;
 import saffronferry.lab.scenario.Scenario.Clients;
 import saffronferry.lab.scenario.Scenario.Discovery;
-import saffronferry.lab.scenario.Scenario.WorkerKind;
+import saffronferry.lab.scenario.Scenario.Fault;
 import saffronferry.lab.scenario.Scenario.LinkFault;
 import saffronferry.lab.scenario.Scenario.Load;
 import saffronferry.lab.scenario.Scenario.Network;
@@ -24,7 +24,7 @@
 import saffronferry.lab.scenario.Scenario.RpcClass;
 import saffronferry.lab.scenario.Scenario.Rules;
 import saffronferry.lab.scenario.Scenario.Tenant;
-import saffronferry.lab.scenario.Scenario.Fault;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /** Reads scenario files. Every key has a default, a unit and bounds; all problems are reported together. */
 public final class ScenarioReader {
@@ -216,7 +216,8 @@
                 s.number("late_worth", 0.3, 0, 1, "share of the worth that a late answer keeps"),
                 EFFECTS.get(s.text("effect", "repeatable", List.of("repeatable", "by_key", "once"))),
                 GROUPS.get(s.text("group", "all", List.of("all", "zone", "cell"))),
-                secondsToMicros(s.number("key_ttl_s", 40, 0, 3_600, "seconds for which repeated requests are deduplicated")),
+                secondsToMicros(
+                        s.number("key_ttl_s", 40, 0, 3_600, "seconds for which repeated requests are deduplicated")),
                 secondsToMicros(s.number("work_s", 0.2, 0.0001, 3_600, "seconds of work, mean")),
                 s.number("tail", 0.8, 0, 4, "standard deviation of the logarithm of the work"));
         s.rejectUnknownKeys();
@@ -264,7 +265,8 @@
                 s.number("jitter", 0.2, 0, 10, "relative"),
                 s.number("loss", 0.01, 0, 1, "share of datagrams lost"),
                 secondsToMicros(s.number("connect_timeout_s", 0.25, 0.001, 60, "seconds")),
-                secondsToMicros(s.number("front_notice_s", 2.5, 0, 600, "seconds until the front end notices a dead dispatcher")));
+                secondsToMicros(s.number(
+                        "front_notice_s", 2.5, 0, 600, "seconds until the front end notices a dead dispatcher")));
         s.rejectUnknownKeys();
         return n;
     }
@@ -291,8 +293,10 @@
 
     private Rules rules(Section s) {
         Rules r = new Rules(
-                secondsToMicros(s.number("slack_s", 0.02, 0, 10, "seconds after the deadline in which an answer is accepted")),
-                secondsToMicros(s.number("drain_s", 2, 0, 60, "seconds after the notice of a drain in which new work may still arrive")),
+                secondsToMicros(
+                        s.number("slack_s", 0.02, 0, 10, "seconds after the deadline in which an answer is accepted")),
+                secondsToMicros(s.number(
+                        "drain_s", 2, 0, 60, "seconds after the notice of a drain in which new work may still arrive")),
                 s.number("fall_multiple", 3, 0.1, 100, "multiple of a cold worker's capacity"),
                 secondsToMicros(s.number("fall_s", 3, 0.1, 600, "seconds, length of the window")),
                 s.whole("most_tries", 4, 1, 100, "attempts"),
@@ -317,7 +321,8 @@
                 s.number("loss", 1, 0, 1, "of the datagrams concerned"),
                 s.number("doubled", 0, 0, 1, "of the datagrams concerned"),
                 secondsToMicros(s.number("delay_s", 0, 0, 600, "seconds, largest random delay of a datagram")),
-                secondsToMicros(s.number("flap_s", 0, 0, 600, "seconds for which it is active and inactive in turn; 0: always active")));
+                secondsToMicros(s.number(
+                        "flap_s", 0, 0, 600, "seconds for which it is active and inactive in turn; 0: always active")));
     }
 
     private static Bounds bounds(Section s) {
@@ -352,7 +357,8 @@
                 secondsToMicros(s.number("until_s", length / 1e6, 0, 36_000, "seconds")));
         for (String kind : d.kinds()) {
             if (!FAULT_KINDS.contains(kind)) {
-                s.addProblem("kinds", "names no kind of trouble: \"" + kind + "\"" + Section.suggestion(kind, FAULT_KINDS));
+                s.addProblem(
+                        "kinds", "names no kind of trouble: \"" + kind + "\"" + Section.suggestion(kind, FAULT_KINDS));
             }
         }
         if (d.from() >= d.until()) {
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -12,9 +12,9 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 import saffronferry.Balancer;
-import saffronferry.HandoverState;
-import saffronferry.Contract.JobClass;
 import saffronferry.BalancerEvent;
+import saffronferry.Contract.JobClass;
+import saffronferry.HandoverState;
 import saffronferry.limit.AcceptGate;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
@@ -333,7 +333,8 @@
         applyDrainPhase();
         vertx.setTimer(
                 ACCEPT_AFTER_SIGTERM_MS,
-                t -> wire.coordinator().capDeadlines(countedDeadline + AFTER_COUNTED_DEADLINE_MS - ACCEPT_AFTER_SIGTERM_MS));
+                t -> wire.coordinator()
+                        .capDeadlines(countedDeadline + AFTER_COUNTED_DEADLINE_MS - ACCEPT_AFTER_SIGTERM_MS));
     }
 
     /** Applies the phase of the drain to clients, now and whenever it changes over time. */
--- a/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
+++ b/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
@@ -1,18 +1,18 @@
 package saffronferry.scale;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
-import saffronferry.lab.policy.DispatchLogic;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.scale.CostMeter.DecisionKind;
 import saffronferry.scale.CostMeter.DispatcherCost;
 import saffronferry.scale.CostMeter.MessageKind;
@@ -88,7 +88,8 @@
                 update.entries().stream().map(ListUpdate.Entry::info).toList();
         meter.recordListParse(cost, meter.clock.elapsedSince(startNanos), now);
         retain(update);
-        return decide(DecisionKind.LIST, now, () -> module.report(now, new BalancerEvent.Resolved(resolved.kind(), entries)));
+        return decide(
+                DecisionKind.LIST, now, () -> module.report(now, new BalancerEvent.Resolved(resolved.kind(), entries)));
     }
 
     private void retain(ListUpdate update) {
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -11,14 +11,14 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import saffronferry.Balancer;
-import saffronferry.HandoverState;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
-import saffronferry.BalancerEvent;
-import saffronferry.BalancerAction;
+import saffronferry.HandoverState;
 import saffronferry.ops.Bans;
 import saffronferry.ops.Metrics;
 import saffronferry.ops.Metrics.Result;
@@ -305,8 +305,7 @@
             throw new IllegalStateException("attempt for an RPC that is not open");
         }
         long now = clock.now();
-        CallAttempt attempt =
-                new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, step.subchannel(), this);
+        CallAttempt attempt = new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, step.subchannel(), this);
         rpc.attempts.add(attempt);
         rpc.openAttempts++;
         String address = resolverResult.address(step.subchannel());
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import saffronferry.Balancer;
-import saffronferry.Contract.JobClass;
 import saffronferry.BalancerEvent;
+import saffronferry.Contract.JobClass;
 import saffronferry.agree.Gossip;
 import saffronferry.limit.AttemptRoom;
 import saffronferry.limit.Descriptors;
@@ -87,7 +87,8 @@
                 descriptors,
                 log);
         peerSocket = new PeerSocket(vertx, options.peers(), this::onDatagram, transport.controlSpend(), log);
-        channelServer = new ChannelServer(vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, figures, log);
+        channelServer = new ChannelServer(
+                vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, figures, log);
     }
 
     /** Opens the peer socket, which the first decisions already use, and then applies the known list. */
--- a/src/test/java/saffronferry/HandoverStateTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -34,7 +34,9 @@
     }
 
     private static int sent(List<BalancerAction> steps) {
-        return (int) steps.stream().filter(BalancerAction.StartAttempt.class::isInstance).count();
+        return (int) steps.stream()
+                .filter(BalancerAction.StartAttempt.class::isInstance)
+                .count();
     }
 
     /** Submits a number of jobs at once and returns how many of them are sent. */
@@ -62,7 +64,8 @@
         Balancer next = balancer();
         next.report(
                 2 * S,
-                new BalancerEvent.RunsBeside(new HandoverState(Map.of(), taught().beside().learned())));
+                new BalancerEvent.RunsBeside(
+                        new HandoverState(Map.of(), taught().beside().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
--- a/src/test/java/saffronferry/LearnedEstimatesTest.java
+++ b/src/test/java/saffronferry/LearnedEstimatesTest.java
@@ -10,7 +10,8 @@
 
 /** Estimates for workers that several dispatchers use. */
 class LearnedEstimatesTest {
-    private final LearnedEstimates known = new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL)), 500_000);
+    private final LearnedEstimates known =
+            new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL)), 500_000);
 
     @Test
     void availableAndTotalSlotsAreLearnedSeparately() {
--- a/src/test/java/saffronferry/PeerMessageTest.java
+++ b/src/test/java/saffronferry/PeerMessageTest.java
@@ -33,7 +33,9 @@
             for (int peers : new int[] {1, 9, 100, 800}) {
                 byte[] bytes = transferOffer(NOW - late, peers).bytes();
                 PeerMessage m = PeerMessage.read(bytes, NOW);
-                assertTrue(bytes.length <= PeerMessage.MOST_BYTES && Math.abs(m.at - (NOW - late)) < 4_100, "late " + late);
+                assertTrue(
+                        bytes.length <= PeerMessage.MOST_BYTES && Math.abs(m.at - (NOW - late)) < 4_100,
+                        "late " + late);
                 assertEquals(peers, m.word.cardinality());
                 assertTrue(m.cold && m.entries == 1 && m.lent(0));
                 assertEquals(18, m.amount(0));
@@ -86,7 +88,8 @@
             DispatcherState.Peer y = new DispatcherState.Peer(1);
             y.borrowedBudget.taken(c.lentBefore);
             PeerMessage m = PeerMessage.read(transferOffer(c.at, 2).bytes(), NOW);
-            y.recordOffers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
+            y.recordOffers(
+                    new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
             assertEquals(c.counts, y.offerCovers(0, 1, 600_000), c.name);
             if (c.counts) {
                 y.consumeOffer(0, 1, 600_000);
@@ -101,12 +104,20 @@
         DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
         DispatcherState.Peer lender = new DispatcherState.Peer(0);
         PeerMessage offer = transferOffer(NOW, 2);
-        lender.recordOffers(new DispatcherState.Worker[] {null}, PeerMessage.read(offer.bytes(), NOW), NOW, 0, 400_000); // an unknown worker
-        assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000) && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
+        lender.recordOffers(
+                new DispatcherState.Worker[] {null},
+                PeerMessage.read(offer.bytes(), NOW),
+                NOW,
+                0,
+                400_000); // an unknown worker
+        assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000)
+                && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
         assertTrue(lender.hasUnusedLoan(false, NOW, 400_000), "no job waits");
         byte[] bytes = lender.returnUnusedBudget(new PeerMessage(PeerMessage.Type.RETURNS, 0, 1, 1, 1, 50 * MS))
                 .bytes();
-        assertTrue(!lender.hasUnusedLoan(false, NOW, 400_000) && !lender.offerCovers(0, 1, 1), "no longer usable once it is returned");
+        assertTrue(
+                !lender.hasUnusedLoan(false, NOW, 400_000) && !lender.offerCovers(0, 1, 1),
+                "no longer usable once it is returned");
         for (int cut = 0; cut < bytes.length; cut++) {
             PeerMessage.read(Arrays.copyOf(bytes, cut), NOW);
         }
@@ -125,7 +136,10 @@
             }
             PeerMessage m = PeerMessage.read(bytes, c.backAt);
             assertEquals(c.back, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name);
-            assertEquals(0, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name + ", duplicated");
+            assertEquals(
+                    0,
+                    out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt),
+                    c.name + ", duplicated");
         }
         assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
         w.coldBudget.spend(900_000);
@@ -133,7 +147,9 @@
         w.coldBudget.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // refilled meanwhile
         w.coldBudget.back(900_000);
         w.coldBudget.spend(1_700_000);
-        assertTrue(!w.coldBudget.covers(1, NOW + 2_000_000, 1, 8, 0.5), "a refund is limited to what would have been kept");
+        assertTrue(
+                !w.coldBudget.covers(1, NOW + 2_000_000, 1, 8, 0.5),
+                "a refund is limited to what would have been kept");
     }
 
     /** Transferred budget is charged before the datagram is sent. */
--- a/src/test/java/saffronferry/fleet/CallPaceTest.java
+++ b/src/test/java/saffronferry/fleet/CallPaceTest.java
@@ -96,7 +96,8 @@
                     assertTrue(pace.again(random, WatchEnd.DOWN) <= 5_000_000, "during an outage of any length");
                 }
                 pace.served();
-                assertTrue(pace.again(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had delivered the list");
+                assertTrue(
+                        pace.again(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had delivered the list");
                 pace.served();
                 long silent = pace.again(random, WatchEnd.SILENT);
                 assertTrue(silent <= 2_000_000, "after 3 s of silence");
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -10,10 +10,10 @@
 import org.json.JSONObject;
 import org.junit.Test;
 import saffronferry.Balancer;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.BalancerEvent;
 import saffronferry.ops.Metrics;
 import saffronferry.settings.SettingsReader;
 
