--- a/src/test/java/saffronferry/scale/fit/FigureSourceTest.java
+++ b/src/test/java/saffronferry/scale/fit/FigureSourceTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Parsing of result files and figure sources, and error messages with file and key. */
-class SourceTest {
+class FigureSourceTest {
     private static final String RESULT = """
             {"scenario": "s", "seed": 1, "plays": [
              {"workers": 100, "zones": 2, "figures": {"pick_us": 1.0, "who": "a"}},
