--- a/src/test/java/saffronferry/scale/ScaleSimulationTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -32,7 +32,7 @@
 import saffronferry.lab.world.ClusterSimulation;
 
 /** Scale simulation: lists are parsed from bytes, control messages are counted, and limits are checked. */
-class ScaleTest {
+class ScaleSimulationTest {
     private static final String SMALL = """
             length_s = 3
             [fleet]
