--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -80,7 +80,7 @@
             try {
                 return balancer.pick(clock.now(), request);
             } catch (RuntimeException | Error e) {
-                // after an error in pick the balancer does not track the RPC, so it has to be answered here
+                // an RPC that the balancer lost through an error would otherwise get no answer
                 answer(rpc, Result.ERRORS, Channel::failed);
                 throw e;
             }
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -156,7 +156,7 @@
         }
     }
 
-    /** Sets the listener for datagrams about settings; without one, they go to the balancer, which drops them unread. */
+    /** Sets the listener for datagrams about settings; without one, they go to the balancer, which drops them. */
     public void onSettingsDatagram(BiConsumer<Integer, byte[]> listener) {
         settingsListener = listener;
     }
