--- /dev/null
+++ b/src/main/java/saffronferry/lab/policy/DispatchLogic.java
@@ -0,0 +1,44 @@
+package saffronferry.lab.policy;
+
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
+import java.util.List;
+import saffronferry.Balancer;
+import saffronferry.Contract.Request;
+import saffronferry.Contract.Settings;
+
+/**
+ * The decisions of an emulated dispatcher, with the methods of the facade {@link Balancer}. Times are in
+ * microseconds and never go backwards.
+ */
+public interface DispatchLogic {
+    /** Handles a new RPC, which must be given exactly one final answer. */
+    List<BalancerAction> pick(long now, Request rpc);
+
+    /** Handles an event. */
+    List<BalancerAction> report(long now, BalancerEvent news);
+
+    /** Handles the timer of a {@link BalancerAction.WakeAfter}. */
+    List<BalancerAction> tick(long now, long token);
+
+    /** The decisions of the product, through the facade that {@code serve} uses. */
+    static DispatchLogic networkedQueues(Settings settings) {
+        Balancer balancer = new Balancer(settings);
+        return new DispatchLogic() {
+            @Override
+            public List<BalancerAction> pick(long now, Request rpc) {
+                return balancer.pick(now, rpc);
+            }
+
+            @Override
+            public List<BalancerAction> report(long now, BalancerEvent news) {
+                return balancer.report(now, news);
+            }
+
+            @Override
+            public List<BalancerAction> tick(long now, long token) {
+                return balancer.tick(now, token);
+            }
+        };
+    }
+}
--- a/src/main/java/saffronferry/rig/Settings.java
+++ b/src/main/java/saffronferry/rig/ScenarioSettings.java
@@ -6,16 +6,16 @@
 import org.json.JSONObject;
 import saffronferry.lab.scenario.Scenario;
 
-/** A scenario as the configuration of real dispatchers. */
-final class Settings {
-    private Settings() {}
+/** Converts a scenario to the {@code settings} of real dispatchers. */
+final class ScenarioSettings {
+    private ScenarioSettings() {}
 
     private static double seconds(long micros) {
         return micros / 1e6;
     }
 
-    /** The key {@code settings} for one dispatcher; {@code perSecond}: requests the fleet can do. */
-    static JSONObject of(Scenario s, int number, double perSecond) {
+    /** The settings of one dispatcher; {@code requestsPerSecond} is what the fleet can serve. */
+    static JSONObject of(Scenario s, int number, double requestsPerSecond) {
         JSONArray profiles = new JSONArray();
         JSONArray stretch = new JSONArray();
         JSONArray kinds = new JSONArray();
@@ -46,11 +46,11 @@
                 .forEach(t -> realms.put(new JSONObject()
                         .put("name", t.name())
                         .put("share", t.share() / shares)
-                        .put("allowancePerS", perSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares))));
+                        .put("allowancePerS", requestsPerSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares))));
         double cold =
                 s.kinds().stream().mapToDouble(k -> seconds(k.cold())).max().orElse(0);
         double from =
-                s.kinds().stream().mapToDouble(Scenario.Kind::coldFrom).min().orElse(1);
+                s.kinds().stream().mapToDouble(Scenario.WorkerKind::coldFrom).min().orElse(1);
         return new JSONObject()
                 .put("clients", new JSONObject(Map.of("marksRetry", false)))
                 .put(
@@ -77,7 +77,7 @@
                                 .put("connIdle", 60.0)
                                 .put("connectTimeout", seconds(s.network().connectTimeout()))
                                 .put("maxRetryAfter", seconds(s.rules().maxRetryAfter()))
-                                .put("mostTries", s.rules().mostTries())
+                                .put("mostTries", s.rules().maxAttempts())
                                 .put("parallelTries", true)
                                 .put("peers", true)
                                 .put("probes", true)
@@ -100,8 +100,8 @@
                                 .put("askWithin", 10.0)
                                 .put("cold", cold)
                                 .put("coldShare", from)
-                                .put("fall", seconds(s.rules().fall()))
-                                .put("fallMultiple", s.rules().fallMultiple())
+                                .put("fall", seconds(s.rules().coldWindow()))
+                                .put("fallMultiple", s.rules().coldOverloadMultiple())
                                 .put("stopSendingWithin", seconds(s.rules().drain())))
                 .put("slotNo", number)
                 .put("weights", "off")
--- a/src/main/java/saffronferry/scale/ListLines.java
+++ b/src/main/java/saffronferry/scale/WorkerListCodec.java
@@ -14,42 +14,42 @@
 import saffronferry.wire.ListParser;
 
 /**
- * Discovery's lines as bytes: those of one line are made once for all dispatchers that are told it, and each
- * of them reads them by itself.
+ * Encodes worker list updates as discovery's JSON lines and parses them. A line is encoded once for all
+ * dispatchers that receive it; each dispatcher parses it separately.
  */
-final class ListLines {
-    /** What is kept of lines made: enough for a burst of changes, or for some whole lists. */
-    private static final long MOST_BYTES = 16_000_000;
+final class WorkerListCodec {
+    /** Limit of the cache of encoded lines: enough for a burst of changes or for several complete lists. */
+    private static final long MAX_CACHED_BYTES = 16_000_000;
 
     private final List<String> kinds;
     private final List<String> zones;
     private final ListParser parser;
-    private final Map<List<WorkerInfo>, byte[]> made = new LinkedHashMap<>();
-    private long bytes;
+    private final Map<List<WorkerInfo>, byte[]> encodedLines = new LinkedHashMap<>();
+    private long cachedBytes;
     private long revision;
 
-    ListLines(Scenario scenario) {
+    WorkerListCodec(Scenario scenario) {
         kinds = scenario.kinds().stream().map(Scenario.Kind::name).toList();
         zones = scenario.zones();
         parser = new ListParser(kinds, zones);
     }
 
-    /** The bytes of one line, its line feed included. */
-    byte[] line(List<WorkerInfo> entries, ListKind kind) {
-        byte[] line = made.get(entries);
+    /** Returns the bytes of one line, including the line feed. */
+    byte[] encode(List<WorkerInfo> entries, ListKind kind) {
+        byte[] line = encodedLines.get(entries);
         if (line == null) {
-            line = make(entries, kind != ListKind.CHANGES);
-            made.put(entries, line);
-            bytes += line.length;
-            for (Iterator<byte[]> oldest = made.values().iterator(); bytes > MOST_BYTES && made.size() > 1; ) {
-                bytes -= oldest.next().length;
+            line = encodeUncached(entries, kind != ListKind.CHANGES);
+            encodedLines.put(entries, line);
+            cachedBytes += line.length;
+            for (Iterator<byte[]> oldest = encodedLines.values().iterator(); cachedBytes > MAX_CACHED_BYTES && encodedLines.size() > 1; ) {
+                cachedBytes -= oldest.next().length;
                 oldest.remove();
             }
         }
         return line;
     }
 
-    private byte[] make(List<WorkerInfo> entries, boolean whole) {
+    private byte[] encodeUncached(List<WorkerInfo> entries, boolean whole) {
         StringBuilder text = new StringBuilder(160 * entries.size() + 64)
                 .append("{\"revision\":")
                 .append(++revision)
@@ -58,12 +58,12 @@
                 .append(",\"members\":[");
         for (int i = 0; i < entries.size(); i++) {
             text.append(i == 0 ? "" : ",");
-            member(text, entries.get(i));
+            appendMember(text, entries.get(i));
         }
         return text.append("]}\n").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private void member(StringBuilder text, WorkerInfo w) {
+    private void appendMember(StringBuilder text, WorkerInfo w) {
         text.append("{\"id\":")
                 .append(JSONObject.quote(w.address()))
                 .append(",\"host_port\":")
@@ -89,10 +89,10 @@
         };
     }
 
-    /** What a dispatcher reads from a line; an entry that it cannot read ends the play. */
-    ListUpdate read(byte[] line) {
+    /** Parses a line; an invalid entry ends the simulation with an {@link IllegalStateException}. */
+    ListUpdate decode(byte[] line) {
         return parser.parse(new String(line, StandardCharsets.UTF_8), bad -> {
-            throw new IllegalStateException("a line of the list cannot be read: " + bad);
+            throw new IllegalStateException("invalid entry in worker list line: " + bad);
         });
     }
 }
--- a/src/main/java/saffronferry/scale/fit/ResultFile.java
+++ b/src/main/java/saffronferry/scale/fit/ResultFile.java
@@ -8,76 +8,76 @@
 import org.json.JSONObject;
 
 /**
- * A result file: plays at several sizes, each with its figures. All that is wrong is an {@link
- * IllegalArgumentException} that names the file and the key, or the line where it is no JSON.
+ * A result file: runs at several sizes, each with its figures. Invalid content is reported as an {@link
+ * IllegalArgumentException} that names the file and the key, or the line of a JSON syntax error.
  */
 public final class ResultFile {
     private final String file;
-    private final JSONArray plays;
+    private final JSONArray runs;
 
     /**
      * Reads a result.
      *
-     * @param file what errors call it
-     * @param text its content
+     * @param file the file name for error messages
+     * @param text the content of the file
      */
     public ResultFile(String file, String text) {
         this.file = file;
         try {
-            plays = new JSONObject(text).getJSONArray("plays");
+            runs = new JSONObject(text).getJSONArray("plays");
         } catch (JSONException e) {
-            // the library's word names the line, or the key
+            // the library's message names the line or the key
             throw new IllegalArgumentException(file + ": " + e.getMessage());
         }
     }
 
     /**
-     * A figure of all plays that meet some conditions, by size.
+     * A figure of all runs that meet some conditions, by size.
      *
      * @param figure a key of {@code figures}
-     * @param over a key of a play, another one of its figures, or a key that a sweep has set
-     * @param where keys and the values they must have
+     * @param sizeKey a key of a run, another one of its figures, or a key that a sweep has set
+     * @param conditions keys and their required values
      */
-    public List<Point> points(String figure, String over, Map<String, String> where) {
-        List<Point> points = new ArrayList<>();
-        for (int i = 0; i < plays.length(); i++) {
-            JSONObject play = play(i);
-            if (meets(play, where)) {
-                double measured = number(figures(play, i), i, figure);
-                points.add(new Point(number(play, i, over), measured));
+    public List<DataPoint> points(String figure, String sizeKey, Map<String, String> conditions) {
+        List<DataPoint> points = new ArrayList<>();
+        for (int i = 0; i < runs.length(); i++) {
+            JSONObject run = run(i);
+            if (meetsAll(run, conditions)) {
+                double measured = number(figures(run, i), i, figure);
+                points.add(new DataPoint(number(run, i, sizeKey), measured));
             }
         }
         if (points.isEmpty()) {
-            throw new IllegalArgumentException(file + ": plays: none with " + where);
+            throw new IllegalArgumentException(file + ": plays: none with " + conditions);
         }
         return points;
     }
 
-    /** The mean of a figure over the plays that meet some conditions. */
-    public double mean(String figure, Map<String, String> where) {
-        // a size is of no concern here, and each play has figures
-        return points(figure, figure, where).stream()
-                .mapToDouble(Point::figure)
+    /** The mean of a figure over the runs that meet some conditions. */
+    public double mean(String figure, Map<String, String> conditions) {
+        // the size is not used, so the figure itself is passed as a key that every run has
+        return points(figure, figure, conditions).stream()
+                .mapToDouble(DataPoint::value)
                 .average()
                 .orElseThrow();
     }
 
-    private JSONObject play(int i) {
-        if (plays.opt(i) instanceof JSONObject play) {
-            return play;
+    private JSONObject run(int i) {
+        if (runs.opt(i) instanceof JSONObject run) {
+            return run;
         }
         throw new IllegalArgumentException(file + ": plays[" + i + "]: expected an object");
     }
 
-    private JSONObject figures(JSONObject play, int i) {
-        if (play.opt("figures") instanceof JSONObject figures) {
+    private JSONObject figures(JSONObject run, int i) {
+        if (run.opt("figures") instanceof JSONObject figures) {
             return figures;
         }
         throw new IllegalArgumentException(file + ": plays[" + i + "].figures: expected an object");
     }
 
-    private static Object value(JSONObject play, String key) {
-        for (JSONObject part : new JSONObject[] {play, play.optJSONObject("figures"), play.optJSONObject("set")}) {
+    private static Object value(JSONObject run, String key) {
+        for (JSONObject part : new JSONObject[] {run, run.optJSONObject("figures"), run.optJSONObject("set")}) {
             if (part != null && part.has(key)) {
                 return part.get(key);
             }
@@ -85,23 +85,23 @@
         return null;
     }
 
-    private static boolean meets(JSONObject play, Map<String, String> where) {
-        return where.entrySet().stream().allMatch(e -> same(value(play, e.getKey()), e.getValue()));
+    private static boolean meetsAll(JSONObject run, Map<String, String> conditions) {
+        return conditions.entrySet().stream().allMatch(e -> matches(value(run, e.getKey()), e.getValue()));
     }
 
-    private static boolean same(Object value, String wanted) {
+    private static boolean matches(Object value, String expected) {
         try {
-            return value != null && Double.parseDouble(value.toString()) == Double.parseDouble(wanted);
+            return value != null && Double.parseDouble(value.toString()) == Double.parseDouble(expected);
         } catch (NumberFormatException e) {
-            return value.toString().equals(wanted);
+            return value.toString().equals(expected);
         }
     }
 
-    private double number(JSONObject play, int i, String key) {
-        if (value(play, key) instanceof Number number && Double.isFinite(number.doubleValue())) {
+    private double number(JSONObject run, int i, String key) {
+        if (value(run, key) instanceof Number number && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
         throw new IllegalArgumentException(
-                file + ": plays[" + i + "]: " + key + ": expected a number, got " + value(play, key));
+                file + ": plays[" + i + "]: " + key + ": expected a number, got " + value(run, key));
     }
 }
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -11,17 +11,17 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import saffronferry.Balancer;
-import saffronferry.Beside;
+import saffronferry.HandoverState;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
-import saffronferry.News;
-import saffronferry.Step;
+import saffronferry.BalancerEvent;
+import saffronferry.BalancerAction;
 import saffronferry.ops.Bans;
-import saffronferry.ops.Figures;
-import saffronferry.ops.Figures.Result;
+import saffronferry.ops.Metrics;
+import saffronferry.ops.Metrics.Result;
 
 /**
  * Owns the state of all open RPCs. It consults the balancer, executes the steps the balancer returns, and ensures that
@@ -36,18 +36,18 @@
     private final Balancer balancer;
     private final Clock clock;
     private final OutboundOperations<M> outbound;
-    private final Figures figures;
+    private final Metrics figures;
     private final ResolverResult resolverResult = new ResolverResult();
     private final Map<Long, Rpc<M>> openRpcs = new HashMap<>();
     private final Set<String> namesInUse = new HashSet<>();
-    private final ArrayDeque<Supplier<List<Step>>> pendingWork = new ArrayDeque<>();
+    private final ArrayDeque<Supplier<List<BalancerAction>>> pendingWork = new ArrayDeque<>();
     private boolean processing;
     private long lastId;
     private long lastDeadline = Long.MAX_VALUE;
     private int unansweredCount;
 
     /** Creates a coordinator that counts answers and attempts by class in {@code figures}. */
-    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> outbound, Figures figures) {
+    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> outbound, Metrics figures) {
         this.balancer = balancer;
         this.clock = clock;
         this.outbound = outbound;
@@ -98,7 +98,7 @@
         Rpc<M> rpc = openRpcs.get(id);
         if (rpc != null && !rpc.answered()) {
             answer(rpc, null, channel -> {});
-            report(new News.ClientGone(id));
+            report(new BalancerEvent.ClientGone(id));
         }
     }
 
@@ -139,7 +139,7 @@
         removeIfDone(rpc);
         unansweredCount--;
         if (result != null) {
-            figures.answered(rpc.rpcClass, result);
+            figures.recordResult(rpc.rpcClass, result);
         }
         answer.accept(channel);
     }
@@ -157,7 +157,7 @@
     public void onListUpdate(ListUpdate update, boolean warmCopy) {
         List<WorkerInfo> entries = resolverResult.apply(update);
         ListKind kind = warmCopy ? ListKind.WARM_COPY : update.complete() ? ListKind.WHOLE : ListKind.CHANGES;
-        report(new News.Resolved(kind, entries));
+        report(new BalancerEvent.Resolved(kind, entries));
         // an attempt that is still connecting would send its first byte to a draining subchannel too late
         cancelUnsentAttempts(subchannel -> !resolverResult.inService(subchannel));
     }
@@ -173,7 +173,7 @@
         }
     }
 
-    public void report(News news) {
+    public void report(BalancerEvent news) {
         process(() -> balancer.report(clock.now(), news));
     }
 
@@ -184,14 +184,14 @@
         Bans previous = resolverResult.bans();
         List<WorkerInfo> changed = resolverResult.setBans(next, clock.now());
         if (!changed.isEmpty()) {
-            report(new News.Resolved(ListKind.CHANGES, changed));
+            report(new BalancerEvent.Resolved(ListKind.CHANGES, changed));
         }
         // the balancer cannot take back an attempt whose connection is still being established
-        cancelUnsentAttempts(subchannel -> next.has(subchannel) && !previous.has(subchannel));
+        cancelUnsentAttempts(subchannel -> next.contains(subchannel) && !previous.contains(subchannel));
     }
 
     /** The state for another process of this dispatcher that runs at the same time, during a replacement. */
-    public Beside beside() {
+    public HandoverState beside() {
         return balancer.beside();
     }
 
@@ -205,8 +205,8 @@
     }
 
     /** The current values of the gauges; counters are kept in the figures. */
-    public Figures.Now snapshot() {
-        return new Figures.Now(
+    public Metrics.Snapshot snapshot() {
+        return new Metrics.Snapshot(
                 unansweredCount,
                 resolverResult.size(),
                 resolverResult.bannedCount() + balancer.avoided(),
@@ -215,12 +215,12 @@
 
     @Override
     public void written(CallAttempt attempt) {
-        figures.tried(attempt.rpcClass);
+        figures.recordAttempt(attempt.rpcClass);
     }
 
     @Override
     public void progressed(CallAttempt attempt, boolean started) {
-        report(new News.AttemptMoved(attempt.rpcId, attempt.index, started));
+        report(new BalancerEvent.AttemptMoved(attempt.rpcId, attempt.index, started));
     }
 
     @Override
@@ -235,7 +235,7 @@
         }
         boolean answered = rpc.answered();
         removeIfDone(rpc);
-        report(new News.AttemptEnded(
+        report(new BalancerEvent.AttemptEnded(
                 attempt.rpcId, attempt.index, outcome, clock.now() - attempt.createdAt, answered, load));
     }
 
@@ -249,14 +249,14 @@
     // ---- steps requested by the balancer ----
 
     /** Executes steps; events they cause are queued, so that calls into the balancer are never nested. */
-    private void process(Supplier<List<Step>> work) {
+    private void process(Supplier<List<BalancerAction>> work) {
         pendingWork.add(work);
         if (processing) {
             return;
         }
         processing = true;
-        for (Supplier<List<Step>> next = pendingWork.poll(); next != null; next = pendingWork.poll()) {
-            Supplier<List<Step>> current = next;
+        for (Supplier<List<BalancerAction>> next = pendingWork.poll(); next != null; next = pendingWork.poll()) {
+            Supplier<List<BalancerAction>> current = next;
             runLoggingErrors(() -> current.get().forEach(step -> runLoggingErrors(() -> execute(step))));
         }
         processing = false;
@@ -276,30 +276,30 @@
         }
     }
 
-    private void execute(Step step) {
-        if (step instanceof Step.StartAttempt start) {
+    private void execute(BalancerAction step) {
+        if (step instanceof BalancerAction.StartAttempt start) {
             startAttempt(start);
-        } else if (step instanceof Step.CancelAttempt cancel) {
+        } else if (step instanceof BalancerAction.CancelAttempt cancel) {
             Rpc<M> rpc = openRpcs.get(cancel.rpc());
             if (rpc != null) {
                 cancel(rpc.attempts.get(cancel.attempt()), Outcome.CANCELLED);
             }
-        } else if (step instanceof Step.Refuse refuse) {
+        } else if (step instanceof BalancerAction.Refuse refuse) {
             answerIfOpen(refuse.rpc(), Result.SHED, channel -> channel.refused(refuse.retryAfter()));
-        } else if (step instanceof Step.Fail fail) {
+        } else if (step instanceof BalancerAction.Fail fail) {
             answerIfOpen(fail.rpc(), Result.ERRORS, Channel::failed);
-        } else if (step instanceof Step.Probe probe) {
+        } else if (step instanceof BalancerAction.Probe probe) {
             probe(probe.subchannel());
-        } else if (step instanceof Step.TellPeer send) {
+        } else if (step instanceof BalancerAction.TellPeer send) {
             outbound.sendToPeer(send.peer(), send.bytes());
-        } else if (step instanceof Step.Watch) {
+        } else if (step instanceof BalancerAction.Watch) {
             outbound.watchList(resolverResult.revision());
-        } else if (step instanceof Step.WakeAfter wake) {
+        } else if (step instanceof BalancerAction.WakeAfter wake) {
             outbound.schedule(wake.delay(), () -> tick(wake.token()));
         }
     }
 
-    private void startAttempt(Step.StartAttempt step) {
+    private void startAttempt(BalancerAction.StartAttempt step) {
         Rpc<M> rpc = openRpcs.get(step.rpc());
         if (rpc == null) {
             throw new IllegalStateException("attempt for an RPC that is not open");
@@ -312,7 +312,7 @@
         String address = resolverResult.address(step.subchannel());
         if (rpc.answered() || now >= rpc.deadline) {
             attempt.ended(Outcome.NOT_SENT, null);
-        } else if (resolverResult.bans().has(step.subchannel())) {
+        } else if (resolverResult.bans().contains(step.subchannel())) {
             // the step may have been decided before the ban
             attempt.ended(Outcome.NOT_SENT, null);
         } else if (address == null) {
@@ -336,9 +336,9 @@
     }
 
     private void probe(String subchannel) {
-        String address = resolverResult.bans().has(subchannel) ? null : resolverResult.address(subchannel);
+        String address = resolverResult.bans().contains(subchannel) ? null : resolverResult.address(subchannel);
         if (address == null) {
-            report(new News.Probed(subchannel, Outcome.CONNECT_FAILED, null));
+            report(new BalancerEvent.Probed(subchannel, Outcome.CONNECT_FAILED, null));
         } else {
             outbound.probeLoad(subchannel, address);
         }
--- a/src/main/java/saffronferry/state/SharingMetrics.java
+++ b/src/main/java/saffronferry/state/SharingMetrics.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import saffronferry.fleet.Sharing;
-import saffronferry.ops.Figures.More;
+import saffronferry.ops.Metrics.Metric;
 
 /** Metrics of what a dispatcher shares with other dispatchers. */
 final class SharingMetrics {
     private SharingMetrics() {}
 
-    static List<More> of(Sharing sharing) {
+    static List<Metric> of(Sharing sharing) {
         return List.of(
                 gauge("app_peers", "Dispatchers of the fleet, this one included.", sharing.peers()),
                 gauge("app_peers_heard", "Of these, those that are heard, this one included.", sharing.heard()),
@@ -28,11 +28,11 @@
                 counter("app_cold_borrowed_seconds", "Slot time borrowed.", sharing.borrowed()));
     }
 
-    private static More gauge(String name, String help, double value) {
-        return new More(name, "gauge", help, value);
+    private static Metric gauge(String name, String help, double value) {
+        return new Metric(name, "gauge", help, value);
     }
 
-    private static More counter(String name, String help, long micros) {
-        return new More(name, "counter", help, Math.round(micros / 1e3) / 1e3);
+    private static Metric counter(String name, String help, long micros) {
+        return new Metric(name, "counter", help, Math.round(micros / 1e3) / 1e3);
     }
 }
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -10,12 +10,12 @@
 import java.util.function.BiConsumer;
 import saffronferry.Balancer;
 import saffronferry.Contract.JobClass;
-import saffronferry.News;
+import saffronferry.BalancerEvent;
 import saffronferry.agree.Gossip;
 import saffronferry.limit.AttemptRoom;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
-import saffronferry.ops.Figures;
+import saffronferry.ops.Metrics;
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Clock;
 import saffronferry.state.ListUpdate;
@@ -64,7 +64,7 @@
             Vertx vertx,
             Options options,
             Balancer balancer,
-            Figures figures,
+            Metrics figures,
             Descriptors descriptors,
             BoundedTransport transport,
             BoundedLog log) {
@@ -74,7 +74,7 @@
         peerListen = options.peerListen();
         listPushed = options.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
-        AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new News.Room(open)));
+        AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new BalancerEvent.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
                 vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
@@ -83,7 +83,7 @@
                 options.discovery(),
                 options.lists(),
                 update -> coordinator.onListUpdate(update, false),
-                end -> coordinator.report(new News.WatchLost(end)),
+                end -> coordinator.report(new BalancerEvent.WatchLost(end)),
                 descriptors,
                 log);
         peerSocket = new PeerSocket(vertx, options.peers(), this::onDatagram, transport.controlSpend(), log);
@@ -162,10 +162,10 @@
     }
 
     private void onDatagram(int peer, byte[] bytes) {
-        if (settingsListener != null && Gossip.speaksOfSettings(bytes)) {
+        if (settingsListener != null && Gossip.isGossipDatagram(bytes)) {
             settingsListener.accept(peer, bytes);
         } else {
-            coordinator.report(new News.PeerSaid(peer, bytes));
+            coordinator.report(new BalancerEvent.PeerSaid(peer, bytes));
         }
     }
 
@@ -191,8 +191,8 @@
     public void probeLoad(String subchannel, String address) {
         subchannelClient.probe(
                 address,
-                () -> !coordinator.bans().has(subchannel),
-                (outcome, load) -> coordinator.report(new News.Probed(subchannel, outcome, load)));
+                () -> !coordinator.bans().contains(subchannel),
+                (outcome, load) -> coordinator.report(new BalancerEvent.Probed(subchannel, outcome, load)));
     }
 
     @Override
--- a/src/test/java/saffronferry/BesideTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -19,8 +19,8 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.settings.SettingsReader;
 
-/** Two processes of one dispatcher, the one about to replace the other: what each makes of the other's word. */
-class BesideTest {
+/** Two processes of one dispatcher while one replaces the other: how each uses the other's state. */
+class HandoverStateTest {
     private static final long S = 1_000_000;
 
     private static Balancer balancer() throws Exception {
@@ -28,16 +28,16 @@
         Balancer b = new Balancer(new SettingsReader(7, config.getJSONObject("settings")).settings);
         b.report(
                 S,
-                new News.Resolved(
+                new BalancerEvent.Resolved(
                         ListKind.WARM_COPY, List.of(new WorkerInfo("w", WorkerState.IN_SERVICE, 0, 0, 0, 1))));
         return b;
     }
 
-    private static int sent(List<Step> steps) {
-        return (int) steps.stream().filter(Step.StartAttempt.class::isInstance).count();
+    private static int sent(List<BalancerAction> steps) {
+        return (int) steps.stream().filter(BalancerAction.StartAttempt.class::isInstance).count();
     }
 
-    /** Asks for so many jobs at once and says how many of them are sent. */
+    /** Submits a number of jobs at once and returns how many of them are sent. */
     private static int fill(Balancer b, long now, int jobs) {
         int n = 0;
         for (int i = 0; i < jobs; i++) {
@@ -50,50 +50,50 @@
     private static Balancer taught() throws Exception {
         Balancer b = balancer();
         for (int i = 1; i <= 10; i++) {
-            b.report(S + i, new News.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 6)));
+            b.report(S + i, new BalancerEvent.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 6)));
         }
         return b;
     }
 
     @Test
-    void whatOneHasLearnedTheOtherBeginsWith() throws Exception {
+    void aNewProcessStartsWithTheEstimatesOfTheOther() throws Exception {
         Balancer fresh = balancer();
-        assertEquals(2, fill(fresh, 2 * S, 9), "nothing is known: two slots a worker");
+        assertEquals(2, fill(fresh, 2 * S, 9), "without estimates: two slots per worker");
         Balancer next = balancer();
         next.report(
                 2 * S,
-                new News.RunsBeside(new Beside(Map.of(), taught().beside().learned())));
+                new BalancerEvent.RunsBeside(new HandoverState(Map.of(), taught().beside().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
     @Test
-    void slotsThatTheOtherFillsAreTakenUntilItSaysOtherwise() throws Exception {
+    void slotsThatTheOtherProcessUsesCountAsTakenUntilItsNextState() throws Exception {
         Balancer b = taught();
-        b.report(2 * S, new News.RunsBeside(new Beside(Map.of("w", 4, "unknown", 3), new double[0])));
+        b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
         assertEquals(Map.of("w", 2), b.beside().jobs());
-        News three = new News.RunsBeside(new Beside(Map.of("w", 3), new double[0]));
+        BalancerEvent three = new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 3), new double[0]));
         assertEquals(1, sent(b.report(2 * S + 10_000, three)));
-        assertEquals(3, sent(b.report(2 * S + 20_000, new News.RunsBeside(Beside.NOBODY))));
+        assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.RunsBeside(HandoverState.NOBODY))));
     }
 
-    /** The fault of the upgrade days: with its jobs uncounted, each report seemed to come from a smaller worker. */
+    /** If the other process's jobs were not counted, each report would make the worker seem smaller during an upgrade. */
     @Test
-    void reportsAreNotFalsifiedByTheOthersJobs() throws Exception {
+    void slotEstimatesAccountForJobsOfTheOtherProcess() throws Exception {
         Balancer b = balancer();
         long now = 2 * S;
-        b.report(now, new News.RunsBeside(new Beside(Map.of("w", 4), new double[0])));
+        b.report(now, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4), new double[0])));
         for (int i = 0; i < 40; i++) {
             now += S;
             b.tick(now, 1);
-            b.report(now, new News.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 2)));
+            b.report(now, new BalancerEvent.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 2)));
         }
-        b.report(now, new News.RunsBeside(Beside.NOBODY));
+        b.report(now, new BalancerEvent.RunsBeside(HandoverState.NOBODY));
         assertEquals(6, fill(b, now, 9));
     }
 
     @Test
-    void nonsenseTeachesNothing() throws Exception {
+    void invalidEstimatesAreIgnored() throws Exception {
         double[] before = balancer().beside().learned();
         double[] infinite = before.clone();
         infinite[0] = Double.POSITIVE_INFINITY;
@@ -101,29 +101,29 @@
         negative[1] = -1;
         for (double[] learned : new double[][] {{}, {1, 2, 3}, infinite, negative}) {
             Balancer b = balancer();
-            b.report(2 * S, new News.RunsBeside(new Beside(new HashMap<>(), learned)));
+            b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(new HashMap<>(), learned)));
             assertArrayEquals(before, b.beside().learned());
         }
         Balancer knows = taught();
         double[] own = knows.beside().learned();
-        knows.report(2 * S, new News.RunsBeside(new Beside(Map.of(), before)));
-        assertArrayEquals(own, knows.beside().learned(), "it has learned something itself");
+        knows.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), before)));
+        assertArrayEquals(own, knows.beside().learned(), "a process with estimates of its own keeps them");
         assertTrue(own[0] > 5);
     }
 
-    /** Jobs that a cold worker is sent in its first seconds, each done as soon as it is sent. */
+    /** Number of jobs sent to a cold worker in its first seconds, each of which ends as soon as it is sent. */
     private static int sentCold(Balancer b) {
         b.report(
                 2 * S,
-                new News.Resolved(
+                new BalancerEvent.Resolved(
                         ListKind.WHOLE, List.of(new WorkerInfo("cold", WorkerState.IN_SERVICE, 0, 0, 2 * S, 1))));
         int n = 0;
         for (int i = 1; i <= 100; i++) {
             long now = 2 * S + i * 50_000L;
-            for (Step step : b.pick(now, new Request(i, 0, 0, now + 6 * S, 1, false))) {
-                if (step instanceof Step.StartAttempt a) {
+            for (BalancerAction step : b.pick(now, new Request(i, 0, 0, now + 6 * S, 1, false))) {
+                if (step instanceof BalancerAction.StartAttempt a) {
                     n++;
-                    b.report(now, new News.AttemptEnded(a.rpc(), 0, Outcome.OK, 500_000, true, null));
+                    b.report(now, new BalancerEvent.AttemptEnded(a.rpc(), 0, Outcome.OK, 500_000, true, null));
                 }
             }
             b.tick(now, 1);
@@ -131,13 +131,13 @@
         return n;
     }
 
-    /** For the rule on cold workers the two are one dispatcher: together they send what one may send alone. */
+    /** Both processes together may send to a cold worker what one may send alone. */
     @Test
-    void theBudgetOfColdWorkersIsForBothTogether() throws Exception {
+    void bothProcessesShareTheBudgetOfColdWorkers() throws Exception {
         int alone = sentCold(taught());
         Balancer one = taught();
-        one.report(2 * S, new News.RunsBeside(new Beside(Map.of(), new double[] {1})));
+        one.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), new double[] {1})));
         int ofTwo = sentCold(one);
-        assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " beside another, " + alone + " alone");
+        assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " with another process, " + alone + " alone");
     }
 }
--- /dev/null
+++ b/src/test/java/saffronferry/PeerMessageProbe.java
@@ -0,0 +1,10 @@
+package saffronferry;
+
+/** Decodes a datagram as a peer message, for tests in other packages. */
+public final class PeerMessageProbe {
+    private PeerMessageProbe() {}
+
+    public static Object read(byte[] bytes) {
+        return PeerMessage.read(bytes, 0);
+    }
+}
--- a/src/test/java/saffronferry/lifecycle/SocketsFixture.java
+++ b/src/test/java/saffronferry/lifecycle/SocketsFixture.java
@@ -27,29 +27,29 @@
 import org.junit.After;
 import org.junit.Before;
 
-/** A whole dispatcher on real sockets between scripted peers: discovery, two subchannels and a dispatcher. */
+/** A whole dispatcher on real sockets between scripted servers: discovery, two workers and a peer dispatcher. */
 abstract class SocketsFixture {
     static final String KEY = "Idempotency-Key";
     final List<AutoCloseable> open = new ArrayList<>();
     final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    Peer discovery;
-    Peer a;
-    Peer b;
+    ScriptedServer discovery;
+    ScriptedServer workerA;
+    ScriptedServer workerB;
     DatagramSocket peer;
-    int asked;
+    int requestCount;
     JSONObject config;
-    /** Where the program's log goes; null for our own. */
-    Path said;
-    /** The dispatcher's own temporary folder. */
+    /** The file for the log of launched programs; null to inherit the output of the test. */
+    Path logFile;
+    /** The temporary folder of the dispatcher. */
     Path folder;
 
     @Before
     public void setUp() throws IOException {
-        discovery = keep(new Peer(tell("{\"revision\":1,\"complete\":false,\"members\":[]}")));
-        a = keep(new Peer(Peer::serve));
-        b = keep(new Peer(Peer::serve));
-        peer = keep(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
+        discovery = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        workerA = closeAfterTest(new ScriptedServer(ScriptedServer::serve));
+        workerB = closeAfterTest(new ScriptedServer(ScriptedServer::serve));
+        peer = closeAfterTest(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
         peer.setSoTimeout(3000);
         config = new JSONObject(Files.readString(Path.of("examples/config.json")));
         int udp = freePort();
@@ -60,7 +60,7 @@
                 .put("peer_listen", "127.0.0.1:" + udp)
                 .put("peers", new JSONArray().put("127.0.0.1:" + udp).put("127.0.0.1:" + peer.getLocalPort()));
         config.getJSONObject("settings").put("peersTotal", 2);
-        members(entry("a", a.address(), 1, "SERVING", 0), entry("b", b.address(), 2, "SERVING", 0));
+        setKnownWorkers(entry("a", workerA.address(), 1, "SERVING", 0), entry("b", workerB.address(), 2, "SERVING", 0));
     }
 
     @After
@@ -68,8 +68,8 @@
         for (int i = open.size(); i > 0; i--) {
             open.get(i - 1).close();
         }
-        Peer.hangUpAll();
-        System.gc(); // a client of ours gives its descriptors back once nobody refers to it
+        ScriptedServer.closeAllConnections();
+        System.gc(); // an HttpClient frees its descriptors when it is collected
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
@@ -78,25 +78,25 @@
         Files.delete(folder);
     }
 
-    <T extends AutoCloseable> T keep(T resource) {
+    <T extends AutoCloseable> T closeAfterTest(T resource) {
         open.add(resource);
         return resource;
     }
 
-    /** A watch that tells one list and then only that it lives. */
-    static Peer.Script tell(String list) {
+    /** A discovery watch that sends one list, followed by keep-alive lines. */
+    static ScriptedServer.Script watchSending(String list) {
         return (request, out) -> {
-            Peer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            Peer.chunk(out, list);
+            ScriptedServer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            ScriptedServer.chunk(out, list);
             for (int i = 0; i < 60; i++) {
                 Thread.sleep(1000);
-                Peer.chunk(out, "");
+                ScriptedServer.chunk(out, "");
             }
             return false;
         };
     }
 
-    /** Below the ports that the system gives to outgoing connections, which would take a free one meanwhile. */
+    /** A free port below the ephemeral range, so that no outgoing connection can take it meanwhile. */
     @SuppressWarnings("try") // the resource only has to stay open meanwhile
     static int freePort() throws IOException {
         InetAddress here = InetAddress.getByName("127.0.0.1");
@@ -106,7 +106,7 @@
                     DatagramSocket udp = new DatagramSocket(port, here)) {
                 return port;
             } catch (java.net.BindException e) {
-                // taken: another one
+                // in use: try another one
             }
         }
         throw new IOException("no free port");
@@ -118,34 +118,34 @@
                 + "\",\"size\":1.0,\"up_since_ms\":" + upSince + "}";
     }
 
-    void members(String... entries) {
+    void setKnownWorkers(String... entries) {
         config.put(
                 "known",
                 new JSONObject("{\"revision\":1,\"complete\":true,\"members\":[" + String.join(",", entries) + "]}"));
     }
 
     void start() throws Exception {
-        start(node());
+        start(newServer());
     }
 
-    Node node() {
-        return new Node(new Config(config, folder));
+    DispatcherServer newServer() {
+        return new DispatcherServer(new Config(config, folder));
     }
 
-    void start(Node node) throws Exception {
-        keep(() -> node.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
-        node.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
+    void start(DispatcherServer server) throws Exception {
+        closeAfterTest(() -> server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+        server.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
     HttpRequest.Builder request(String path) {
         return HttpRequest.newBuilder(URI.create("http://" + config.getString("listen") + path));
     }
 
-    CompletableFuture<HttpResponse<String>> ask(String lane, int remaining, String... more) {
-        return ask("t" + ++asked, lane, remaining, more);
+    CompletableFuture<HttpResponse<String>> sendRequest(String lane, int remaining, String... more) {
+        return sendRequest("t" + ++requestCount, lane, remaining, more);
     }
 
-    CompletableFuture<HttpResponse<String>> ask(String txn, String lane, int remaining, String... more) {
+    CompletableFuture<HttpResponse<String>> sendRequest(String txn, String lane, int remaining, String... more) {
         HttpRequest.Builder r = request("/" + lane + "?obj=7f")
                 .header("X-Txn", txn)
                 .header("X-Lane", lane)
@@ -157,32 +157,32 @@
                 r.POST(HttpRequest.BodyPublishers.ofString("body")).build(), HttpResponse.BodyHandlers.ofString());
     }
 
-    CompletableFuture<HttpResponse<String>> gift(int remaining) {
-        return ask("record-gift", remaining, KEY, "k1");
+    CompletableFuture<HttpResponse<String>> sendGift(int remaining) {
+        return sendRequest("record-gift", remaining, KEY, "k1");
     }
 
     static HttpResponse<String> get(CompletableFuture<HttpResponse<String>> answer) throws Exception {
         return answer.get(10, TimeUnit.SECONDS);
     }
 
-    /** Waits until it has been so once: what is asked may ask others, and need not be so a second time. */
-    static void await(BooleanSupplier what) throws InterruptedException {
-        boolean was = what.getAsBoolean();
-        for (int i = 0; i < 2000 && !was; i++) {
+    /** Waits until the condition has been true once. It may send requests, and need not hold a second time. */
+    static void await(BooleanSupplier condition) throws InterruptedException {
+        boolean fulfilled = condition.getAsBoolean();
+        for (int i = 0; i < 2000 && !fulfilled; i++) {
             Thread.sleep(10);
-            was = what.getAsBoolean();
+            fulfilled = condition.getAsBoolean();
         }
-        assertTrue(was);
+        assertTrue(fulfilled);
     }
 
     /** A raw connection to the dispatcher; reading from it fails after 5 s. */
     Socket connect() throws IOException {
-        Socket s = keep(new Socket("127.0.0.1", port()));
+        Socket s = closeAfterTest(new Socket("127.0.0.1", port()));
         s.setSoTimeout(5000);
         return s;
     }
 
-    /** What arrives until the other side closes. */
+    /** Reads until the other side closes. */
     static String readAll(Socket s) throws IOException {
         StringBuilder text = new StringBuilder();
         InputStream in = s.getInputStream();
@@ -191,27 +191,27 @@
                 text.append((char) b);
             }
         } catch (java.net.SocketException e) {
-            // a reset is a close, too
+            // a reset counts as a close
         }
         return text.toString();
     }
 
-    /** The configuration in a file of its own. */
+    /** Writes the configuration to a new file. */
     Path configFile() throws IOException {
         Path file = Files.createTempFile("config", ".json");
-        keep(() -> Files.delete(file));
+        closeAfterTest(() -> Files.delete(file));
         Files.writeString(file, config.toString());
         return file;
     }
 
-    /** The program itself, in a process of its own, once it serves. */
+    /** Starts the program in a separate process and waits until it serves. */
     Process startProcess(Path file) throws Exception {
         Process process = launch(file, 1024, "saffronferry.cli.Main", "serve");
         awaitUp();
         return process;
     }
 
-    /** A process of ours that may hold so many descriptors, on one core as on the platform. */
+    /** Starts a process with a limit on its descriptors, on one core as on the platform. */
     Process launch(Path file, int descriptors, String main, String... arguments) throws IOException {
         List<String> command =
                 new ArrayList<>(List.of("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh"));
@@ -231,11 +231,11 @@
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.inheritIO();
-        if (said != null) {
-            builder.redirectError(ProcessBuilder.Redirect.appendTo(said.toFile()));
+        if (logFile != null) {
+            builder.redirectError(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
         }
         Process process = builder.start();
-        keep(process::destroyForcibly);
+        closeAfterTest(process::destroyForcibly);
         return process;
     }
 
@@ -250,7 +250,7 @@
         });
     }
 
-    /** One operator's call: the status, a space and the text. */
+    /** Makes an operator's call; returns the status, a space and the body. */
     String call(String method, String path) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + config.getString("console") + path))
                 .method(method, HttpRequest.BodyPublishers.noBody())
@@ -260,14 +260,14 @@
         return answer.statusCode() + " " + answer.body();
     }
 
-    /** Makes a call that is owed a yes. */
-    void yes(String path) throws Exception {
+    /** Makes an operator's call that must succeed. */
+    void assertCallSucceeds(String path) throws Exception {
         String answer = call("PUT", path);
         assertTrue(answer, answer.startsWith("2"));
     }
 
-    /** One of the figures that operators read. */
-    long figure(String name) throws Exception {
+    /** Reads one of the operators' metrics. */
+    long metric(String name) throws Exception {
         return call("GET", "/ops/stats")
                 .lines()
                 .filter(l -> l.startsWith(name + " "))
--- a/src/test/java/saffronferry/ops/OpsTest.java
+++ b/src/test/java/saffronferry/ops/OpsTest.java
@@ -12,28 +12,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import saffronferry.ops.Drain.Phase;
-import saffronferry.ops.Figures.Result;
+import saffronferry.ops.DrainState.Phase;
+import saffronferry.ops.Metrics.Result;
 
-/** Figures, bans and the drain's states, without sockets or files. */
+/** Tests of metrics, bans and drain states, without sockets or files. */
 class OpsTest {
     @Test
-    void figuresAreWrittenInTheOperatorsForm() {
-        Figures figures = new Figures(List.of("page", "gift"));
-        figures.answered(0, Result.OK);
-        figures.answered(0, Result.OK);
-        figures.answered(1, Result.SHED);
-        figures.answered(1, Result.ERRORS);
-        figures.tried(1);
-        figures.answered(7, Result.OK); // of no class: counts nowhere and breaks nothing
-        figures.tried(-1);
-        List<String> lines = figures.text(new Figures.Now(
+    void metricsAreFormattedAsText() {
+        Metrics metrics = new Metrics(List.of("page", "gift"));
+        metrics.recordResult(0, Result.OK);
+        metrics.recordResult(0, Result.OK);
+        metrics.recordResult(1, Result.SHED);
+        metrics.recordResult(1, Result.ERRORS);
+        metrics.recordAttempt(1);
+        metrics.recordResult(7, Result.OK); // an unknown class is not counted
+        metrics.recordAttempt(-1);
+        List<String> lines = metrics.format(new Metrics.Snapshot(
                         14,
                         9,
                         2,
                         List.of(
-                                new Figures.More("app_x", "gauge", "x", 0.25),
-                                new Figures.More("app_y", "counter", "y", 1e9))))
+                                new Metrics.Metric("app_x", "gauge", "x", 0.25),
+                                new Metrics.Metric("app_y", "counter", "y", 1e9))))
                 .lines()
                 .filter(l -> !l.startsWith("#"))
                 .toList();
@@ -56,15 +56,15 @@
     }
 
     @Test
-    void whatControlCostsIsCountedByKindAndToldAsRatesOfTheLastMinute() {
-        ControlSpend spend = new ControlSpend();
-        assertTrue(spend.text().contains("\napp_control_core_percent 0\n"), "nothing is known yet");
-        spend.sampled(1_000, 500, 1);
-        spend.heard(ControlSpend.Kind.LISTS, 3_000);
-        spend.heard(ControlSpend.Kind.LISTS, 500);
-        spend.said(ControlSpend.Kind.DATAGRAMS, 256);
-        spend.heard(ControlSpend.Kind.PROBES, 44);
-        spend.sampled(11_000, 650, 70_000_000);
+    void controlTrafficIsCountedByKindWithRatesOverTheLastMinute() {
+        ControlUsage usage = new ControlUsage();
+        assertTrue(usage.format().contains("\napp_control_core_percent 0\n"), "no sample yet");
+        usage.recordSample(1_000, 500, 1);
+        usage.recordReceived(ControlUsage.Kind.LISTS, 3_000);
+        usage.recordReceived(ControlUsage.Kind.LISTS, 500);
+        usage.recordSent(ControlUsage.Kind.DATAGRAMS, 256);
+        usage.recordReceived(ControlUsage.Kind.PROBES, 44);
+        usage.recordSample(11_000, 650, 70_000_000);
         assertEquals(
                 List.of(
                         "app_control_bytes{kind=\"lists\",way=\"in\"} 3500",
@@ -77,27 +77,27 @@
                         "app_control_cpu_seconds 0.650",
                         "app_control_core_percent 1.500",
                         "app_control_resident_bytes 70000000"),
-                spend.text().lines().filter(l -> !l.startsWith("#")).toList());
+                usage.format().lines().filter(l -> !l.startsWith("#")).toList());
         for (int s = 16; s <= 300; s += 5) {
-            spend.sampled(s * 1_000, 650 + s, 1);
+            usage.recordSample(s * 1_000, 650 + s, 1);
         }
         assertTrue(
-                spend.text().contains("\napp_control_core_percent 0.100\n"), "the burst is long ago: " + spend.text());
-        assertTrue(spend.text().contains("\napp_control_bytes_per_second 0\n"), spend.text());
+                usage.format().contains("\napp_control_core_percent 0.100\n"), "the burst is outside the rate window: " + usage.format());
+        assertTrue(usage.format().contains("\napp_control_bytes_per_second 0\n"), usage.format());
     }
 
     @Test
-    void aClassCannotEndItsLabelEarly() {
-        String text = new Figures(List.of("a\"} 9\nb\\")).text(new Figures.Now(0, 0, 0, List.of()));
+    void classNamesAreEscapedInLabels() {
+        String text = new Metrics(List.of("a\"} 9\nb\\")).format(new Metrics.Snapshot(0, 0, 0, List.of()));
         assertTrue(text.contains("app_tries{kind=\"a\\\"} 9\\nb\\\\\"} 0\n"), text);
     }
 
     @Test
-    void bansHaveNoCountAndSurviveBeingWritten() {
+    void bansAreNotCountedAndSurviveAWriteAndRead() {
         Bans bans = Bans.NONE.with("a").with("a").with("b\n\"c").without("x");
-        assertEquals(bans, Bans.read(bans.text()));
+        assertEquals(bans, Bans.parse(bans.toJson()));
         assertEquals(Set.of("b\n\"c"), bans.without("a").workers());
-        assertEquals(Bans.NONE, Bans.read(Bans.NONE.text()));
+        assertEquals(Bans.NONE, Bans.parse(Bans.NONE.toJson()));
     }
 
     @ParameterizedTest
@@ -113,84 +113,86 @@
                 "{\"version\":1,\"down\":[{}]}",
                 "\u0000\u0000"
             })
-    void aDamagedFileOfBansIsNamedAsSuch(String text) {
-        assertThrows(IllegalArgumentException.class, () -> Bans.read(text));
+    void damagedBansAreRejected(String text) {
+        assertThrows(IllegalArgumentException.class, () -> Bans.parse(text));
     }
 
     @ParameterizedTest
     @CsvSource({
-        "0, TURNING, 300",
-        "299, TURNING, 1",
-        "300, LEAVING, 900",
-        "1199, LEAVING, 1",
-        "1200, EMPTY, -1",
-        "100000, EMPTY, -1"
+        "0, FAILING_HEALTH_CHECKS, 300",
+        "299, FAILING_HEALTH_CHECKS, 1",
+        "300, CLOSING_AFTER_RESPONSE, 900",
+        "1199, CLOSING_AFTER_RESPONSE, 1",
+        "1200, CLOSING_IDLE, -1",
+        "100000, CLOSING_IDLE, -1"
     })
-    void aCallEmptiesInSteps(long after, Phase phase, long untilNext) {
-        Drain drain = new Drain();
-        assertEquals(Phase.OPEN, drain.phase(5));
+    void anOperatorsDrainPassesThroughItsPhases(long after, Phase phase, long untilNext) {
+        DrainState drain = new DrainState();
+        assertEquals(Phase.SERVING, drain.phase(5));
         drain.start(5);
-        drain.start(5 + after); // a repeated call starts nothing anew
+        drain.start(5 + after); // a repeated call does not restart the drain
         assertEquals(phase, drain.phase(5 + after));
-        assertEquals(untilNext, drain.untilNext(5 + after));
+        assertEquals(untilNext, drain.msUntilNextPhase(5 + after));
         assertTrue(drain.stop());
-        assertEquals(Phase.OPEN, drain.phase(5 + after));
-        assertEquals(-1, drain.untilNext(5 + after));
+        assertEquals(Phase.SERVING, drain.phase(5 + after));
+        assertEquals(-1, drain.msUntilNextPhase(5 + after));
     }
 
     @Test
-    void theEndIsNotTakenBackAndWhicheverIsFurtherCounts() {
-        Drain drain = new Drain();
+    void aShutdownCannotBeCancelledAndTheLaterPhaseApplies() {
+        DrainState drain = new DrainState();
         drain.start(0);
-        drain.end(1_000, 2_900, false);
-        drain.end(2_000, 2_900, true); // a second signal changes nothing
-        assertEquals(Phase.LEAVING, drain.phase(1_100));
-        assertEquals(Phase.EMPTY, drain.phase(1_200));
+        drain.shutDown(1_000, 2_900, false);
+        drain.shutDown(2_000, 2_900, true); // a second signal changes nothing
+        assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(1_100));
+        assertEquals(Phase.CLOSING_IDLE, drain.phase(1_200));
         assertFalse(drain.stop());
-        assertEquals(Phase.TURNING, drain.phase(1_300));
-        assertEquals(2_600, drain.untilNext(1_300));
-        assertEquals(Phase.EMPTY, drain.phase(3_900));
+        assertEquals(Phase.FAILING_HEALTH_CHECKS, drain.phase(1_300));
+        assertEquals(2_600, drain.msUntilNextPhase(1_300));
+        assertEquals(Phase.CLOSING_IDLE, drain.phase(3_900));
     }
 
     @Test
-    void whereAnotherProcessServesConnectionsLeaveAtOnce() {
-        Drain drain = new Drain();
-        drain.end(1_000, 2_900, true);
-        assertEquals(Phase.LEAVING, drain.phase(1_000));
-        assertEquals(Phase.EMPTY, drain.phase(3_900));
+    void aShutdownClosesConnectionsAtOnceIfAnotherProcessServes() {
+        DrainState drain = new DrainState();
+        drain.shutDown(1_000, 2_900, true);
+        assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(1_000));
+        assertEquals(Phase.CLOSING_IDLE, drain.phase(3_900));
     }
 
     @Test
-    void whileAnotherProcessServesConnectionsLeaveAndItMayBeTakenBackUntilTheEnd() {
-        Drain drain = new Drain();
-        drain.away(true);
-        assertEquals(Phase.LEAVING, drain.phase(0));
-        assertTrue(drain.elsewhere() && !drain.ending());
-        assertEquals(-1, drain.untilNext(0)); // nothing is closed that is idle
-        drain.away(false);
-        assertEquals(Phase.OPEN, drain.phase(0));
-        drain.away(true);
-        drain.end(1_000, 2_900, true);
-        assertEquals(Phase.LEAVING, drain.phase(1_000));
-        assertEquals(Phase.EMPTY, drain.phase(3_900));
-        assertTrue(drain.elsewhere());
+    void aReplacementClosesConnectionsAndCanBeRevokedUntilShutdown() {
+        DrainState drain = new DrainState();
+        drain.setReplaced(true);
+        assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(0));
+        assertTrue(drain.isReplaced() && !drain.isShuttingDown());
+        assertEquals(-1, drain.msUntilNextPhase(0)); // idle connections stay open
+        drain.setReplaced(false);
+        assertEquals(Phase.SERVING, drain.phase(0));
+        drain.setReplaced(true);
+        drain.shutDown(1_000, 2_900, true);
+        assertEquals(Phase.CLOSING_AFTER_RESPONSE, drain.phase(1_000));
+        assertEquals(Phase.CLOSING_IDLE, drain.phase(3_900));
+        assertTrue(drain.isReplaced());
     }
 
-    /** Whatever is called in whatever order: no yes while a drain holds, and the phase is waited for rightly. */
+    /**
+     * Random sequences of calls: the phase is SERVING only without a drain, and it changes no earlier than announced.
+     */
     @Test
-    void anySequenceOfCallsKeepsTheStatesInOrder() {
+    void randomCallSequencesKeepThePhaseConsistent() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            Drain drain = new Drain();
+            DrainState drain = new DrainState();
             boolean called = false;
             boolean ended = false;
             long now = random.nextInt(1_000);
             for (int i = 0; i < 100; i++) {
                 Phase before = drain.phase(now);
-                long next = drain.untilNext(now);
+                long next = drain.msUntilNextPhase(now);
                 long step = 1 + random.nextInt(700);
                 if (next < 0 || step < next) {
-                    assertEquals(before, drain.phase(now + step - 1), "it changed though none was told");
+                    assertEquals(before, drain.phase(now + step - 1), "the phase changed before the announced time");
                 }
                 now += step;
                 switch (random.nextInt(12)) {
@@ -204,14 +206,14 @@
                     }
                     case 4 -> {
                         if (i > 80) {
-                            drain.end(now, 2_900, random.nextBoolean());
+                            drain.shutDown(now, 2_900, random.nextBoolean());
                             ended = true;
                         }
                     }
                     default -> {}
                 }
-                assertEquals(!called && !ended, drain.phase(now) == Phase.OPEN);
-                assertEquals(ended, drain.ending());
+                assertEquals(!called && !ended, drain.phase(now) == Phase.SERVING);
+                assertEquals(ended, drain.isShuttingDown());
             }
         }
     }
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -13,8 +13,8 @@
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.News;
-import saffronferry.ops.Figures;
+import saffronferry.BalancerEvent;
+import saffronferry.ops.Metrics;
 import saffronferry.settings.SettingsReader;
 
 /** RpcCoordinator without sockets: each RPC gets one final answer whatever fails, and leaves no state behind. */
@@ -25,7 +25,7 @@
     private final TreeMap<Long, Runnable> timers = new TreeMap<>();
     private boolean startFails;
     private Error error;
-    private final Figures figures = new Figures(List.of("directory-page", "record-gift"));
+    private final Metrics figures = new Metrics(List.of("directory-page", "record-gift"));
     private RpcCoordinator<String> coordinator;
 
     private final Channel channel = new Channel() {
@@ -141,7 +141,7 @@
         assertEquals("the failed attempt does not count as started", 0, started.size());
         error = null;
         coordinator.open(new RpcInfo("v", 0, 0, 3_000_000, 1, false), "m", channel);
-        coordinator.report(new News.Room(true));
+        coordinator.report(new BalancerEvent.Room(true));
         timers.values().stream().toList().forEach(Runnable::run);
         assertEquals("each RPC has one answer", 2, answers.size());
     }
@@ -150,11 +150,11 @@
     @Test
     public void rpcsAreHeldWhileNoConnectionCanBeOpened() throws Exception {
         begin();
-        coordinator.report(new News.Room(false));
+        coordinator.report(new BalancerEvent.Room(false));
         open();
         assertEquals(0, started.size());
         assertEquals(List.of(), answers);
-        coordinator.report(new News.Room(true));
+        coordinator.report(new BalancerEvent.Room(true));
         assertEquals(1, started.size());
         started.get(0).served("r", null);
         assertEquals(List.of("r"), answers);
