--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -212,7 +212,7 @@
 
     private void startSiblingMonitor() {
         if (siblingMonitor != null) {
-            siblingMonitor.start(wire.coordinator()::beside, new SiblingMonitor.Listener() {
+            siblingMonitor.start(wire.coordinator()::handoverState, new SiblingMonitor.Listener() {
                 @Override
                 public void siblingStateChanged(HandoverState state) {
                     wire.coordinator().report(new BalancerEvent.RunsBeside(state));
@@ -251,7 +251,7 @@
                 vertx,
                 wire.coordinator(),
                 metrics,
-                transport.controlSpend(),
+                transport.controlUsage(),
                 banFile,
                 new ConsoleHandler.ServerControl() {
                     @Override
@@ -273,7 +273,7 @@
                     }
                 },
                 log);
-        ProcessUsage.startSampling(vertx, transport.controlSpend());
+        ProcessUsage.startSampling(vertx, transport.controlUsage());
         return new ConsoleServer(vertx, descriptors, transport, consoleHandler).listen(config.console);
     }
 
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -11,20 +11,20 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import saffronferry.Balancer;
-import saffronferry.HandoverState;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
-import saffronferry.BalancerEvent;
-import saffronferry.BalancerAction;
+import saffronferry.HandoverState;
 import saffronferry.ops.Bans;
 import saffronferry.ops.Metrics;
 import saffronferry.ops.Metrics.Result;
 
 /**
- * Owns the state of all open RPCs. It consults the balancer, executes the steps the balancer returns, and ensures that
+ * Owns the state of all open RPCs. It consults the balancer, executes the actions it returns, and ensures that
  * each RPC gets exactly one final answer, whatever fails. Not thread-safe: confined to the event loop thread.
  *
  * @param <M> a client's message in the form of its protocol
@@ -36,7 +36,7 @@
     private final Balancer balancer;
     private final Clock clock;
     private final OutboundOperations<M> outbound;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final ResolverResult resolverResult = new ResolverResult();
     private final Map<Long, Rpc<M>> openRpcs = new HashMap<>();
     private final Set<String> namesInUse = new HashSet<>();
@@ -46,12 +46,12 @@
     private long lastDeadline = Long.MAX_VALUE;
     private int unansweredCount;
 
-    /** Creates a coordinator that counts answers and attempts by class in {@code figures}. */
-    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> outbound, Metrics figures) {
+    /** Creates a coordinator that counts answers and attempts by class in {@code metrics}. */
+    public RpcCoordinator(Balancer balancer, Clock clock, OutboundOperations<M> outbound, Metrics metrics) {
         this.balancer = balancer;
         this.clock = clock;
         this.outbound = outbound;
-        this.figures = figures;
+        this.metrics = metrics;
     }
 
     // ---- client side ----
@@ -139,7 +139,7 @@
         removeIfDone(rpc);
         unansweredCount--;
         if (result != null) {
-            figures.recordResult(rpc.rpcClass, result);
+            metrics.recordResult(rpc.rpcClass, result);
         }
         answer.accept(channel);
     }
@@ -173,8 +173,8 @@
         }
     }
 
-    public void report(BalancerEvent news) {
-        process(() -> balancer.report(clock.now(), news));
+    public void report(BalancerEvent event) {
+        process(() -> balancer.report(clock.now(), event));
     }
 
     // ---- operator side ----
@@ -191,7 +191,7 @@
     }
 
     /** The state for another process of this dispatcher that runs at the same time, during a replacement. */
-    public HandoverState beside() {
+    public HandoverState handoverState() {
         return balancer.beside();
     }
 
@@ -204,7 +204,7 @@
         return resolverResult.isKnown(subchannel);
     }
 
-    /** The current values of the gauges; counters are kept in the figures. */
+    /** The current values of the gauges; counters are kept in {@link Metrics}. */
     public Metrics.Snapshot snapshot() {
         return new Metrics.Snapshot(
                 unansweredCount,
@@ -215,7 +215,7 @@
 
     @Override
     public void written(CallAttempt attempt) {
-        figures.recordAttempt(attempt.rpcClass);
+        metrics.recordAttempt(attempt.rpcClass);
     }
 
     @Override
@@ -246,9 +246,9 @@
         }
     }
 
-    // ---- steps requested by the balancer ----
+    // ---- actions requested by the balancer ----
 
-    /** Executes steps; events they cause are queued, so that calls into the balancer are never nested. */
+    /** Executes actions; events they cause are queued, so that calls into the balancer are never nested. */
     private void process(Supplier<List<BalancerAction>> work) {
         pendingWork.add(work);
         if (processing) {
@@ -257,7 +257,7 @@
         processing = true;
         for (Supplier<List<BalancerAction>> next = pendingWork.poll(); next != null; next = pendingWork.poll()) {
             Supplier<List<BalancerAction>> current = next;
-            runLoggingErrors(() -> current.get().forEach(step -> runLoggingErrors(() -> execute(step))));
+            runLoggingErrors(() -> current.get().forEach(action -> runLoggingErrors(() -> execute(action))));
         }
         processing = false;
     }
@@ -276,44 +276,44 @@
         }
     }
 
-    private void execute(BalancerAction step) {
-        if (step instanceof BalancerAction.StartAttempt start) {
+    private void execute(BalancerAction action) {
+        if (action instanceof BalancerAction.StartAttempt start) {
             startAttempt(start);
-        } else if (step instanceof BalancerAction.CancelAttempt cancel) {
+        } else if (action instanceof BalancerAction.CancelAttempt cancel) {
             Rpc<M> rpc = openRpcs.get(cancel.rpc());
             if (rpc != null) {
                 cancel(rpc.attempts.get(cancel.attempt()), Outcome.CANCELLED);
             }
-        } else if (step instanceof BalancerAction.Refuse refuse) {
+        } else if (action instanceof BalancerAction.Refuse refuse) {
             answerIfOpen(refuse.rpc(), Result.SHED, channel -> channel.refused(refuse.retryAfter()));
-        } else if (step instanceof BalancerAction.Fail fail) {
+        } else if (action instanceof BalancerAction.Fail fail) {
             answerIfOpen(fail.rpc(), Result.ERRORS, Channel::failed);
-        } else if (step instanceof BalancerAction.Probe probe) {
+        } else if (action instanceof BalancerAction.Probe probe) {
             probe(probe.subchannel());
-        } else if (step instanceof BalancerAction.TellPeer send) {
+        } else if (action instanceof BalancerAction.TellPeer send) {
             outbound.sendToPeer(send.peer(), send.bytes());
-        } else if (step instanceof BalancerAction.Watch) {
+        } else if (action instanceof BalancerAction.Watch) {
             outbound.watchList(resolverResult.revision());
-        } else if (step instanceof BalancerAction.WakeAfter wake) {
+        } else if (action instanceof BalancerAction.WakeAfter wake) {
             outbound.schedule(wake.delay(), () -> tick(wake.token()));
         }
     }
 
-    private void startAttempt(BalancerAction.StartAttempt step) {
-        Rpc<M> rpc = openRpcs.get(step.rpc());
+    private void startAttempt(BalancerAction.StartAttempt action) {
+        Rpc<M> rpc = openRpcs.get(action.rpc());
         if (rpc == null) {
             throw new IllegalStateException("attempt for an RPC that is not open");
         }
         long now = clock.now();
         CallAttempt attempt =
-                new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, step.subchannel(), this);
+                new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, action.subchannel(), this);
         rpc.attempts.add(attempt);
         rpc.openAttempts++;
-        String address = resolverResult.address(step.subchannel());
+        String address = resolverResult.address(action.subchannel());
         if (rpc.answered() || now >= rpc.deadline) {
             attempt.ended(Outcome.NOT_SENT, null);
-        } else if (resolverResult.bans().contains(step.subchannel())) {
-            // the step may have been decided before the ban
+        } else if (resolverResult.bans().contains(action.subchannel())) {
+            // the action may have been decided before the ban
             attempt.ended(Outcome.NOT_SENT, null);
         } else if (address == null) {
             attempt.ended(Outcome.CONNECT_FAILED, null);
--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -43,7 +43,7 @@
 
     private final ListenerAdmission clientAdmission;
     private final BoundedLog log;
-    private final ControlUsage controlSpend = new ControlUsage();
+    private final ControlUsage controlUsage = new ControlUsage();
     private final List<Acceptor> acceptors = new ArrayList<>();
     private EventLoopGroup loops;
     private Runnable onListenerLost = () -> {};
@@ -62,8 +62,8 @@
     }
 
     /** The control traffic over sockets of this transport, counted by the code that opens them. */
-    public ControlUsage controlSpend() {
-        return controlSpend;
+    public ControlUsage controlUsage() {
+        return controlUsage;
     }
 
     ListenerAdmission clientAdmission() {
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -28,7 +28,7 @@
     private final RpcParser parser;
     private final RpcCoordinator<ForwardedRequest> coordinator;
     private final ClientConnections clientConnections;
-    private final Metrics figures;
+    private final Metrics metrics;
     private final BoundedLog log;
     private boolean ready;
     private Phase phase = Phase.SERVING;
@@ -41,11 +41,11 @@
             RpcParser parser,
             RpcCoordinator<ForwardedRequest> coordinator,
             BoundedTransport transport,
-            Metrics figures,
+            Metrics metrics,
             BoundedLog log) {
         this.parser = parser;
         this.coordinator = coordinator;
-        this.figures = figures;
+        this.metrics = metrics;
         this.log = log;
         clientConnections = new ClientConnections(vertx, transport);
         // with HTTP/2 enabled, the library reports a connection only after its first bytes, so that silent
@@ -180,7 +180,7 @@
         if (processEnding && phase == Phase.CLOSING_IDLE) {
             // answered only when the request is read completely: closing with unread input would reset the
             // connection before the client has read the response
-            figures.recordResult(info.rpcClass(), Metrics.Result.SHED);
+            metrics.recordResult(info.rpcClass(), Metrics.Result.SHED);
             reject(request, new RejectedRequestException(503, "shutting down"));
             return;
         }
--- a/src/main/java/saffronferry/wire/Dialer.java
+++ b/src/main/java/saffronferry/wire/Dialer.java
@@ -53,23 +53,23 @@
     /** Counts the bytes of a connection including HTTP heads; placed directly at the socket. */
     @ChannelHandler.Sharable
     private static final class ByteCounter extends ChannelDuplexHandler {
-        private final ControlUsage spend;
+        private final ControlUsage usage;
         private final Kind kind;
 
-        ByteCounter(ControlUsage spend, Kind kind) {
-            this.spend = spend;
+        ByteCounter(ControlUsage usage, Kind kind) {
+            this.usage = usage;
             this.kind = kind;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            spend.recordReceived(kind, size(bytes));
+            usage.recordReceived(kind, size(bytes));
             ctx.fireChannelRead(bytes);
         }
 
         @Override
         public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
-            spend.recordSent(kind, size(bytes));
+            usage.recordSent(kind, size(bytes));
             ctx.write(bytes, promise);
         }
 
@@ -87,7 +87,7 @@
         counter = !counted || purpose == Purpose.WORKERS
                 ? null
                 : new ByteCounter(
-                        ((BoundedTransport) ((VertxInternal) vertx).transport()).controlSpend(),
+                        ((BoundedTransport) ((VertxInternal) vertx).transport()).controlUsage(),
                         purpose == Purpose.DISCOVERY ? Kind.LISTS : Kind.PROBES);
     }
 
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import saffronferry.Balancer;
-import saffronferry.Contract.JobClass;
 import saffronferry.BalancerEvent;
+import saffronferry.Contract.JobClass;
 import saffronferry.agree.Gossip;
 import saffronferry.limit.AttemptRoom;
 import saffronferry.limit.Descriptors;
@@ -64,7 +64,7 @@
             Vertx vertx,
             Options options,
             Balancer balancer,
-            Metrics figures,
+            Metrics metrics,
             Descriptors descriptors,
             BoundedTransport transport,
             BoundedLog log) {
@@ -73,7 +73,7 @@
         this.transport = transport;
         peerListen = options.peerListen();
         listPushed = options.listPushed();
-        coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
+        coordinator = new RpcCoordinator<>(balancer, new Clock(), this, metrics);
         AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new BalancerEvent.Room(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
@@ -86,8 +86,8 @@
                 end -> coordinator.report(new BalancerEvent.WatchLost(end)),
                 descriptors,
                 log);
-        peerSocket = new PeerSocket(vertx, options.peers(), this::onDatagram, transport.controlSpend(), log);
-        channelServer = new ChannelServer(vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, figures, log);
+        peerSocket = new PeerSocket(vertx, options.peers(), this::onDatagram, transport.controlUsage(), log);
+        channelServer = new ChannelServer(vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, metrics, log);
     }
 
     /** Opens the peer socket, which the first decisions already use, and then applies the known list. */
--- a/src/main/java/saffronferry/wire/PeerSocket.java
+++ b/src/main/java/saffronferry/wire/PeerSocket.java
@@ -24,18 +24,18 @@
     private final Map<String, Integer> numbersByAddress = new HashMap<>();
     private final BiConsumer<Integer, byte[]> receiver;
     private final BoundedLog log;
-    private final ControlUsage spend;
+    private final ControlUsage usage;
     private boolean closed = true;
 
     PeerSocket(
             Vertx vertx,
             List<Address> peers,
             BiConsumer<Integer, byte[]> receiver,
-            ControlUsage spend,
+            ControlUsage usage,
             BoundedLog log) {
         this.peers = peers;
         this.receiver = receiver;
-        this.spend = spend;
+        this.usage = usage;
         this.log = log;
         for (int i = 0; i < peers.size(); i++) {
             numbersByAddress.put(peers.get(i).toString(), i);
@@ -69,13 +69,13 @@
             log.line("datagram not sent", bytes.length + " bytes to peer " + peer);
             return;
         }
-        spend.recordSent(Kind.DATAGRAMS, bytes.length);
+        usage.recordSent(Kind.DATAGRAMS, bytes.length);
         Address to = peers.get(peer);
         socket.send(Buffer.buffer(bytes), to.port(), to.host());
     }
 
     private void receive(DatagramPacket packet) {
-        spend.recordReceived(Kind.DATAGRAMS, packet.data().length());
+        usage.recordReceived(Kind.DATAGRAMS, packet.data().length());
         Integer peer = numbersByAddress.get(
                 packet.sender().hostAddress() + ":" + packet.sender().port());
         if (peer == null || packet.data().length() > MAX_DATAGRAM_BYTES) {
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -10,10 +10,10 @@
 import org.json.JSONObject;
 import org.junit.Test;
 import saffronferry.Balancer;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.BalancerEvent;
 import saffronferry.ops.Metrics;
 import saffronferry.settings.SettingsReader;
 
@@ -25,7 +25,7 @@
     private final TreeMap<Long, Runnable> timers = new TreeMap<>();
     private boolean startFails;
     private Error error;
-    private final Metrics figures = new Metrics(List.of("directory-page", "record-gift"));
+    private final Metrics metrics = new Metrics(List.of("directory-page", "record-gift"));
     private RpcCoordinator<String> coordinator;
 
     private final Channel channel = new Channel() {
@@ -92,7 +92,7 @@
                 new Balancer(new SettingsReader(1, config.getJSONObject("settings")).settings),
                 new Clock(),
                 outbound,
-                figures);
+                metrics);
         coordinator.onListUpdate(
                 new ListUpdate(
                         1,
@@ -119,9 +119,9 @@
         assertEquals("the deadline timer is cancelled", 0, timers.size());
     }
 
-    /** An RPC must not stay unanswered because the execution of a step threw an exception. */
+    /** An RPC must not stay unanswered because the execution of an action threw an exception. */
     @Test
-    public void failedStepStillLeadsToOneAnswerAtTheDeadline() throws Exception {
+    public void failedActionStillLeadsToOneAnswerAtTheDeadline() throws Exception {
         begin();
         startFails = true;
         open();
@@ -131,7 +131,7 @@
         assertEquals(0, coordinator.unansweredCount());
     }
 
-    /** An Error thrown by a step must not block the queue of pending work: later RPCs are still processed. */
+    /** An Error thrown by an action must not block the queue of pending work: later RPCs are still processed. */
     @Test
     public void virtualMachineErrorEndsOneAttemptOnly() throws Exception {
         begin();
