--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -86,8 +86,9 @@
                 end -> coordinator.report(new BalancerEvent.WatchLost(end)),
                 descriptors,
                 log);
-        peerSocket = new PeerSocket(vertx, options.peers(), this::onDatagram, transport.controlUsage(), log);
-        channelServer = new ChannelServer(vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, metrics, log);
+        peerSocket = new PeerSocket(vertx, options.peers(), (peer, bytes) -> onDatagram(peer, bytes), transport.controlUsage(), log);
+        channelServer = new ChannelServer(
+                vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, metrics, log);
     }
 
     /** Opens the peer socket, which the first decisions already use, and then applies the known list. */
--- a/src/main/java/saffronferry/wire/RpcParser.java
+++ b/src/main/java/saffronferry/wire/RpcParser.java
@@ -77,7 +77,8 @@
     }
 
     /** Rejects a header that is given twice: a worker might use the other value. */
-    private static String singleValue(Function<String, List<String>> headers, String name) throws RejectedRequestException {
+    private static String singleValue(Function<String, List<String>> headers, String name)
+            throws RejectedRequestException {
         List<String> values = headers.apply(name);
         if (values.size() > 1) {
             throw new RejectedRequestException(400, name + " is given more than once");
