--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -86,7 +86,8 @@
                 end -> coordinator.report(new BalancerEvent.WatchLost(end)),
                 descriptors,
                 log);
-        peerSocket = new PeerSocket(vertx, options.peers(), (peer, bytes) -> onDatagram(peer, bytes), transport.controlUsage(), log);
+        peerSocket = new PeerSocket(
+                vertx, options.peers(), (peer, bytes) -> onDatagram(peer, bytes), transport.controlUsage(), log);
         channelServer = new ChannelServer(
                 vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, metrics, log);
     }
