--- a/src/main/java/saffronferry/lifecycle/BanFile.java
+++ b/src/main/java/saffronferry/lifecycle/BanFile.java
@@ -52,7 +52,7 @@
         return now.isEmpty() || now.equals(lastFingerprint) ? null : read();
     }
 
-    /** Identifies a version of the file, since each is renamed into place with its own file key; empty without a file. */
+    /** Identifies a version of the file: each is renamed into place and has its own file key; empty without a file. */
     private List<Object> fingerprint() throws IOException {
         try {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
