--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -12,9 +12,9 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 import saffronferry.Balancer;
-import saffronferry.HandoverState;
-import saffronferry.Contract.JobClass;
 import saffronferry.BalancerEvent;
+import saffronferry.Contract.JobClass;
+import saffronferry.HandoverState;
 import saffronferry.limit.AcceptGate;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
@@ -212,7 +212,7 @@
 
     private void startSiblingMonitor() {
         if (siblingMonitor != null) {
-            siblingMonitor.start(wire.coordinator()::beside, new SiblingMonitor.Listener() {
+            siblingMonitor.start(wire.coordinator()::handoverState, new SiblingMonitor.Listener() {
                 @Override
                 public void siblingStateChanged(HandoverState state) {
                     wire.coordinator().report(new BalancerEvent.RunsBeside(state));
@@ -251,7 +251,7 @@
                 vertx,
                 wire.coordinator(),
                 metrics,
-                transport.controlSpend(),
+                transport.controlUsage(),
                 banFile,
                 new ConsoleHandler.ServerControl() {
                     @Override
@@ -273,7 +273,7 @@
                     }
                 },
                 log);
-        ProcessUsage.startSampling(vertx, transport.controlSpend());
+        ProcessUsage.startSampling(vertx, transport.controlUsage());
         return new ConsoleServer(vertx, descriptors, transport, consoleHandler).listen(config.console);
     }
 
@@ -333,7 +333,8 @@
         applyDrainPhase();
         vertx.setTimer(
                 ACCEPT_AFTER_SIGTERM_MS,
-                t -> wire.coordinator().capDeadlines(countedDeadline + AFTER_COUNTED_DEADLINE_MS - ACCEPT_AFTER_SIGTERM_MS));
+                t -> wire.coordinator()
+                        .capDeadlines(countedDeadline + AFTER_COUNTED_DEADLINE_MS - ACCEPT_AFTER_SIGTERM_MS));
     }
 
     /** Applies the phase of the drain to clients, now and whenever it changes over time. */
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -131,28 +131,30 @@
     /** A worker that fails its jobs at once always has free slots, and would attract all jobs. */
     @Test
     void aWorkerThatFailsJobsGetsNeitherTheirRetriesNorFurtherJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("b"));
         harness.report("a", 5);
         harness.request(1);
         String failing = harness.lastWorkerOf(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
-        assertNotEquals(bad, harness.lastWorkerOf(1));
-        long before = harness.sendCount(bad);
+        assertNotEquals(failing, harness.lastWorkerOf(1));
+        long before = harness.sendCount(failing);
         long id = 2;
-        while (harness.sendCount(bad) == before) {
+        while (harness.sendCount(failing) == before) {
             harness.request(id++);
         }
         harness.endAttempt(id - 1, 0, Outcome.ERROR);
-        before = harness.sendCount(bad);
+        before = harness.sendCount(failing);
         for (int i = 0; i < 12; i++) {
             harness.request(id++);
         }
-        assertEquals(before, harness.sendCount(bad));
+        assertEquals(before, harness.sendCount(failing));
     }
 
     @Test
     void aDrainingWorkerGetsNoJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("b"));
         harness.change(worker("a", 0, WorkerState.DRAINING, 0));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
@@ -163,7 +165,8 @@
 
     @Test
     void aWorkerMissingFromAWholeListGetsNoJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("b"));
         harness.list(worker("b"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
@@ -206,7 +209,8 @@
     void aRequestThatNoWorkerMayTakeEndsAtOnce() {
         options.classes = List.of(jobClass(Effect.KEYED, Group.CELL));
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("b", 1, WorkerState.IN_SERVICE, 0));
         harness.request(1);
         harness.change(worker("a", 0, WorkerState.GONE, 0));
         harness.endAttempt(1, 0, Outcome.RESET);
@@ -217,7 +221,8 @@
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNotRepeated() {
         options.classes = List.of(jobClass(Effect.UNSAFE, Group.ALL));
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("b"));
         harness.request(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
         assertEquals("failed", harness.finals.get(1L));
@@ -242,7 +247,8 @@
 
     @Test
     void aSilentWorkerIsSuspectedAndItsJobsAreHedged() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("b"));
         for (int round = 0; round < 200; round++) {
             harness.request(1000 + round);
             harness.advance(50 * MS);
@@ -276,14 +282,17 @@
                 harness.endAttempt(1, next.attempt(), Outcome.FULL);
             }
         }
-        assertTrue(harness.sends.size() <= 7, "a worker that answers full was tried " + harness.sends.size() + " times in 4 s");
+        assertTrue(
+                harness.sends.size() <= 7,
+                "a worker that answers full was tried " + harness.sends.size() + " times in 4 s");
         assertTrue(harness.sends.size() >= 2);
     }
 
     @Test
     void workersOfAZoneWithoutDispatchersAreAdopted() {
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
         }
@@ -322,7 +331,12 @@
     @Test
     void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndTheOwnerIsTold() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(
+                        worker("a"),
+                        worker("b"),
+                        worker("c"),
+                        worker("d"));
         PeerMessage hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         harness.dispatcher.peerMessage(harness.now, 1, hello.bytes());
         harness.advance(60 * MS);
@@ -340,7 +354,9 @@
         harness.sentMessages.clear();
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
         assertEquals(1, harness.sendCount(foreign));
-        assertTrue(harness.sentMessages.stream().map(b -> PeerMessage.read(b, 0)).anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
+        assertTrue(harness.sentMessages.stream()
+                .map(b -> PeerMessage.read(b, 0))
+                .anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
     }
 
     /** A dispatcher that does not own a worker must time its warm-up too, or it never uses a slot offered there again. */
@@ -349,7 +365,8 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
-        harness.list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, harness.now));
+        harness.list(
+                worker("a"), worker("far", 1, WorkerState.IN_SERVICE, harness.now));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // often enough for the peer not to count as silent
@@ -366,7 +383,8 @@
     void spillsOnlyToASlotThatANeighbourOffers() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 3);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
@@ -388,8 +406,10 @@
     void heldJobsAreSpilledWhenANeighbourOffersSlots() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
-        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("far", 1, WorkerState.IN_SERVICE, 0));
+        harness.dispatcher.peerMessage(
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
         harness.advance(S);
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
@@ -408,8 +428,14 @@
     void aSlotIsFreeAgainThoughTheMessageOfItsJobsEndIsLost() {
         options.peers = 2;
         for (boolean reportedAgain : new boolean[] {true, false}) {
-            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
-            harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+            DispatcherHarness harness = new DispatcherHarness(options.settings())
+                    .list(
+                            worker("a"),
+                            worker("b"),
+                            worker("c"),
+                            worker("d"));
+            harness.dispatcher.peerMessage(
+                    harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
             harness.advance(60 * MS);
             for (String own : List.of("a", "b", "c", "d")) {
                 PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
@@ -419,11 +445,15 @@
             harness.request(1);
             assertEquals(0, harness.sends.size(), "all slots are in use by the peer's jobs");
             if (reportedAgain) {
-                harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).bytes());
+                harness.dispatcher.peerMessage(
+                        harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).bytes());
             } else {
                 harness.advance(1_900 * MS);
             }
-            assertEquals(1, harness.sends.size(), reportedAgain ? "the peer reports no jobs" : "the peer reports nothing more");
+            assertEquals(
+                    1,
+                    harness.sends.size(),
+                    reportedAgain ? "the peer reports no jobs" : "the peer reports nothing more");
         }
     }
 
@@ -432,7 +462,8 @@
     void jobsOnBorrowedSlotsAreReportedAgainUntilNoneIsReported() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 4);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
@@ -458,7 +489,9 @@
         options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Effect.SAFE, Group.ALL, 0, -1));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.request(1, 0, -1, 30 * S, false);
-        harness.change(worker("a", 0, WorkerState.DRAINING, 0), worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
+        harness.change(
+                worker("a", 0, WorkerState.DRAINING, 0),
+                worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
         harness.endAttempt(1, 0, Outcome.RESET);
         harness.advance(S);
         assertEquals(0, harness.sendCount("cold"));
@@ -484,7 +517,8 @@
     @Test
     void aNewOwnerIsToldOfTheJobsOnItsWorkerAndOfTheirEnds() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("a"), worker("b"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id); // alone it owns both workers
         }
@@ -507,9 +541,13 @@
     void jobsReportedForAWorkerThatChangedItsOwnerAreDropped() {
         options.peers = 3;
         // a deadline so long that no job counts as ended by its age
-        options.classes =
-                List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * S, -1));
-        WorkerInfo[] all = {worker("a"), worker("b"), worker("c"), worker("d")};
+        options.classes = List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * S, -1));
+        WorkerInfo[] all = {
+            worker("a"),
+            worker("b"),
+            worker("c"),
+            worker("d")
+        };
         int[] hashes = Arrays.stream(all)
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
@@ -549,9 +587,11 @@
     void anOfferIsUsedThoughMostNeighboursOfferNothing() {
         options.peers = 41;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
-            harness.dispatcher.peerMessage(harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+            harness.dispatcher.peerMessage(
+                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
         }
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
@@ -567,8 +607,14 @@
     @Test
     void aMessageWithPBelowOneIsAnsweredWithAnOfferAtOnce() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
-        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(
+                        worker("a"),
+                        worker("b"),
+                        worker("c"),
+                        worker("d"));
+        harness.dispatcher.peerMessage(
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
         harness.advance(60 * MS);
         harness.sentMessages.clear();
         PeerMessage asking = new PeerMessage(PeerMessage.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * MS);
@@ -639,7 +685,8 @@
                 })) {
             harness.dispatcher.peerMessage(harness.now, 1, bytes);
         }
-        harness.dispatcher.peerMessage(harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
+        harness.dispatcher.peerMessage(
+                harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
         harness.request(1);
         assertFalse(harness.sends.isEmpty());
     }
