--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -131,8 +131,7 @@
     /** A worker that fails its jobs at once always has free slots, and would attract all jobs. */
     @Test
     void aWorkerThatFailsJobsGetsNeitherTheirRetriesNorFurtherJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.report("a", 5);
         harness.request(1);
         String failing = harness.lastWorkerOf(1);
@@ -153,8 +152,7 @@
 
     @Test
     void aDrainingWorkerGetsNoJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.change(worker("a", 0, WorkerState.DRAINING, 0));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
@@ -165,8 +163,7 @@
 
     @Test
     void aWorkerMissingFromAWholeListGetsNoJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.list(worker("b"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
@@ -209,8 +206,8 @@
     void aRequestThatNoWorkerMayTakeEndsAtOnce() {
         options.classes = List.of(jobClass(Effect.KEYED, Group.CELL));
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("a"), worker("b", 1, WorkerState.IN_SERVICE, 0));
         harness.request(1);
         harness.change(worker("a", 0, WorkerState.GONE, 0));
         harness.endAttempt(1, 0, Outcome.RESET);
@@ -221,8 +218,7 @@
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNotRepeated() {
         options.classes = List.of(jobClass(Effect.UNSAFE, Group.ALL));
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.request(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
         assertEquals("failed", harness.finals.get(1L));
@@ -247,8 +243,7 @@
 
     @Test
     void aSilentWorkerIsSuspectedAndItsJobsAreHedged() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         for (int round = 0; round < 200; round++) {
             harness.request(1000 + round);
             harness.advance(50 * MS);
@@ -331,12 +326,8 @@
     @Test
     void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndTheOwnerIsTold() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(
-                        worker("a"),
-                        worker("b"),
-                        worker("c"),
-                        worker("d"));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
         PeerMessage hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         harness.dispatcher.peerMessage(harness.now, 1, hello.bytes());
         harness.advance(60 * MS);
@@ -359,14 +350,13 @@
                 .anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
     }
 
-    /** A dispatcher that does not own a worker must time its warm-up too, or it never uses a slot offered there again. */
+    /** Dispatchers that do not own a worker must time its warm-up too, or they never use a slot offered there. */
     @Test
     void anOfferedSlotOfAColdWorkerIsUsedOnceTheWorkerIsWarm() {
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
-        harness.list(
-                worker("a"), worker("far", 1, WorkerState.IN_SERVICE, harness.now));
+        harness.list(worker("a"), worker("far", 1, WorkerState.IN_SERVICE, harness.now));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // often enough for the peer not to count as silent
@@ -406,8 +396,8 @@
     void heldJobsAreSpilledWhenANeighbourOffersSlots() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
         harness.dispatcher.peerMessage(
                 harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
         harness.advance(S);
@@ -428,12 +418,8 @@
     void aSlotIsFreeAgainThoughTheMessageOfItsJobsEndIsLost() {
         options.peers = 2;
         for (boolean reportedAgain : new boolean[] {true, false}) {
-            DispatcherHarness harness = new DispatcherHarness(options.settings())
-                    .list(
-                            worker("a"),
-                            worker("b"),
-                            worker("c"),
-                            worker("d"));
+            DispatcherHarness harness =
+                    new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
             harness.dispatcher.peerMessage(
                     harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
             harness.advance(60 * MS);
@@ -462,8 +448,8 @@
     void jobsOnBorrowedSlotsAreReportedAgainUntilNoneIsReported() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.add(new DispatcherState.Worker("far", 0).hash, 4);
         harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
@@ -489,9 +475,7 @@
         options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Effect.SAFE, Group.ALL, 0, -1));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"));
         harness.request(1, 0, -1, 30 * S, false);
-        harness.change(
-                worker("a", 0, WorkerState.DRAINING, 0),
-                worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
+        harness.change(worker("a", 0, WorkerState.DRAINING, 0), worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
         harness.endAttempt(1, 0, Outcome.RESET);
         harness.advance(S);
         assertEquals(0, harness.sendCount("cold"));
@@ -517,8 +501,7 @@
     @Test
     void aNewOwnerIsToldOfTheJobsOnItsWorkerAndOfTheirEnds() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id); // alone it owns both workers
         }
@@ -542,12 +525,7 @@
         options.peers = 3;
         // a deadline so long that no job counts as ended by its age
         options.classes = List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * S, -1));
-        WorkerInfo[] all = {
-            worker("a"),
-            worker("b"),
-            worker("c"),
-            worker("d")
-        };
+        WorkerInfo[] all = {worker("a"), worker("b"), worker("c"), worker("d")};
         int[] hashes = Arrays.stream(all)
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
@@ -587,8 +565,8 @@
     void anOfferIsUsedThoughMostNeighboursOfferNothing() {
         options.peers = 41;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
             harness.dispatcher.peerMessage(
                     harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
@@ -607,12 +585,8 @@
     @Test
     void aMessageWithPBelowOneIsAnsweredWithAnOfferAtOnce() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(
-                        worker("a"),
-                        worker("b"),
-                        worker("c"),
-                        worker("d"));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
         harness.dispatcher.peerMessage(
                 harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
         harness.advance(60 * MS);
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -54,8 +54,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"healthCheckPosition", "probePosition"})
     void aPositionThatWrapsIsNoNegativeIndex(String position) throws Exception {
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"), worker("c"));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"));
         field(harness.dispatcher, position).setInt(harness.dispatcher, Integer.MAX_VALUE - 1);
         traffic(harness, 20, 10 * S);
         assertEquals(200, harness.sends.size());
@@ -160,7 +160,7 @@
         assertTrue(Dispatcher.acceptanceProbability(Integer.MAX_VALUE, 1) > 0);
     }
 
-    /** One held job beside a thousand slots gives a P just below 1. Rounded up to 1, it would no longer ask for slots. */
+    /** One held job beside a thousand slots gives a P just below 1; rounded up to 1 it would not ask for slots. */
     @Test
     void aPJustBelowOneStaysBelowOneInAMessage() {
         for (double p : new double[] {0.99, 0.999, 1 - 1e-9}) {
@@ -185,9 +185,7 @@
             options.peers = 2;
             options.tenants = List.of(new Tenant("t", 5));
             DispatcherHarness harness = new DispatcherHarness(options.settings())
-                    .list(IntStream.range(0, 8)
-                            .mapToObj(i -> worker("w" + i))
-                            .toArray(WorkerInfo[]::new));
+                    .list(IntStream.range(0, 8).mapToObj(i -> worker("w" + i)).toArray(WorkerInfo[]::new));
             for (int i = 0; i < 20; i++) {
                 harness.dispatcher.peerMessage(harness.now, 1, hello(1, peerRate));
                 harness.advance(250 * MS);
@@ -209,8 +207,8 @@
     @Test
     void theFirstRequestsAfterAStartAreNotOverTheirShare() throws Exception {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"), worker("c"));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"));
         for (int i = 0; i < 4; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, hello(1, 20));
             traffic(harness, 20, 200 * MS);
@@ -226,11 +224,8 @@
             for (int zones = 1; zones <= 3; zones++) {
                 options.peers = peers;
                 options.zones = zones;
-                DispatcherHarness harness = new DispatcherHarness(options.settings())
-                        .list(
-                                worker("a"),
-                                worker("b"),
-                                worker("c"));
+                DispatcherHarness harness =
+                        new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"));
                 harness.advance(5 * S);
                 harness.dispatcher.peerMessage(harness.now, peers - 1, hello(0, 0));
                 harness.advance(20 * S);
@@ -246,8 +241,7 @@
     @ValueSource(doubles = {Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, 1e18, -1e18})
     void anAbsurdReportChangesNoLearnedSlots(double freeSlots) throws Exception {
         for (double held : new double[] {Double.NaN, 2}) {
-            DispatcherHarness harness = new DispatcherHarness(options.settings())
-                    .list(worker("a"), worker("b"));
+            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
             harness.report("a", 3);
             harness.dispatcher.probed(harness.now, "b", Outcome.OK, new Report(held, 0, freeSlots));
             for (long id = 1; id <= 40; id++) {
@@ -264,9 +258,7 @@
     @Test
     void aPeerThatFailsAfterALongStopIsForgottenSoon() {
         options.peers = 2;
-        WorkerInfo[] all = IntStream.range(0, 8)
-                .mapToObj(i -> worker("w" + i))
-                .toArray(WorkerInfo[]::new);
+        WorkerInfo[] all = IntStream.range(0, 8).mapToObj(i -> worker("w" + i)).toArray(WorkerInfo[]::new);
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
         harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         harness.advance(3 * S);
@@ -282,9 +274,7 @@
 
     private DispatcherHarness withBorrowedSlots(int peerMessages) throws Exception {
         options.peers = 2;
-        WorkerInfo[] all = IntStream.range(0, 8)
-                .mapToObj(i -> worker("w" + i))
-                .toArray(WorkerInfo[]::new);
+        WorkerInfo[] all = IntStream.range(0, 8).mapToObj(i -> worker("w" + i)).toArray(WorkerInfo[]::new);
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
         harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         harness.advance(100 * MS);
@@ -319,7 +309,7 @@
         assertEquals(0, peerSlots(harness));
     }
 
-    /** Jobs end with the worker's process, and the peer's message of it comes when the list no longer names the worker. */
+    /** Jobs end with the worker's process; the peer's message of it comes when the list no longer names the worker. */
     @Test
     void aWorkerThatReturnsHasNoBorrowedSlots() throws Exception {
         DispatcherHarness harness = withBorrowedSlots(1);
@@ -387,8 +377,7 @@
     /** A client may ask for 255 slots for one job; held, such a job would keep P low. */
     @Test
     void aJobThatFitsNoWorkerIsRefusedAtOnceAndDoesNotLowerP() throws Exception {
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.report("a", 4);
         harness.dispatcher.request(harness.now, new Contract.Request(1, 0, -1, harness.now + 5 * S, 255, false));
         harness.dispatcher.request(harness.now, new Contract.Request(2, 0, -1, harness.now + 5 * S, 3, false));
@@ -404,9 +393,7 @@
         options.maxAttempts = 4;
         options.classes = List.of(jobClass(Effect.SAFE, Group.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(IntStream.range(0, 20)
-                        .mapToObj(i -> worker("w" + i))
-                        .toArray(WorkerInfo[]::new));
+                .list(IntStream.range(0, 20).mapToObj(i -> worker("w" + i)).toArray(WorkerInfo[]::new));
         int seen = 0;
         long asked = 20 * 200;
         for (long id = 1; id <= asked; id++) {
@@ -425,8 +412,7 @@
     /** A large worker breaks with 100 jobs on it; their repeats, held at once and sent later, are bounded too. */
     @Test
     void repeatsThatAreHeldAtOnceAreBounded() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.report("a", 100);
         harness.report("b", 100);
         for (long id = 1; id <= 200; id++) {
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -36,8 +36,7 @@
         options.onDemand = true;
         options.peers = peers;
         options.seed = seed;
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(worker("a"), worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(worker("a"), worker("b"));
         harness.advance(10 * S);
         assertEquals(1, harness.subscriptions);
         harness.change(); // a line without changes
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -26,7 +26,7 @@
         assertThrows(AssertionError.class, test, "the fault is corrected: make this an ordinary test");
     }
 
-    /** 48 dispatchers that receive no peer messages broke rule 4 twelve times in this scenario: cold workers overloaded. */
+    /** 48 dispatchers that receive no peer messages overload cold workers: they broke rule 4 twelve times here. */
     @Test
     void dispatchersWithoutPeerMessagesOverloadNoColdWorker() throws Exception {
         var scenario = ScenarioReader.read(
@@ -40,19 +40,15 @@
                 "they are used: " + day.json().getDouble("cold_multiple"));
     }
 
-    /** Finding 16: only a worker's owner suspects it when it hangs, so a job on a borrowed slot waits for its deadline. */
+    /** Finding 16: only its owner suspects a worker that hangs, so a job on a borrowed slot waits for its deadline. */
     @Test
     void aJobOnABorrowedSlotOfAWorkerThatHangsIsHedged() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 2;
         options.tellsStart = true;
         options.classes = List.of(jobClass(Effect.SAFE, Group.ALL));
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(
-                        worker("a"),
-                        worker("b"),
-                        worker("c"),
-                        worker("d"));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
         harness.dispatcher.peerMessage(
                 harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
         harness.advance(60 * MS);
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -55,16 +55,14 @@
         }
     }
 
-    /** The figures for operators, in a fleet of four in which one peer of the zone and one of another zone are heard. */
+    /** The figures for operators, in a fleet of four that hears one peer of the zone and one of another zone. */
     @Test
     void sharingReportsTheDispatchersThatAreHeard() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 4;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
-        harness.list(
-                worker("old"),
-                worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
+        harness.list(worker("old"), worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
         assertEquals(Sharing.Fallback.ALONE, harness.dispatcher.sharing().fallback());
         assertEquals(0.25, harness.dispatcher.sharing().part());
         for (int peer : new int[] {1, 2}) {
