--- a/src/main/java/saffronferry/Contract.java
+++ b/src/main/java/saffronferry/Contract.java
@@ -16,14 +16,14 @@
  */
 public interface Contract {
     /** Whether a request may be attempted again after an earlier attempt may have run. */
-    enum Effect {
+    enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
     /** The workers that share deduplication of requests with the same idempotency key. */
-    enum Group {
+    enum DedupScope {
         ALL,
         ZONE,
         CELL
@@ -73,13 +73,13 @@
      */
     record JobClass(
             String name,
-            long aim,
-            double stretch,
+            long latencyTarget,
+            double targetStretch,
             long deadline,
-            double worth,
-            double lateWorth,
-            Effect effect,
-            Group group,
+            double value,
+            double lateValue,
+            Idempotency idempotency,
+            DedupScope dedupScope,
             long keyTtl,
             int kind) {}
 
@@ -156,7 +156,7 @@
     record WorkerInfo(String address, WorkerState state, int kind, int zone, long startedAt, int cell) {}
 
     /** A client's request; {@code clientRetry} if the client has sent it before. */
-    record Request(long id, int jobClass, int tenant, long validUntil, int slots, boolean repeat) {}
+    record Request(long id, int jobClass, int tenant, long validUntil, int slots, boolean clientRetry) {}
 
     /** A worker's load report; NaN for unreported values. {@code held} counts queued and running requests. */
     record Report(double held, double queued, double freeSlots) {}
--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -8,8 +8,8 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import saffronferry.Contract.Actions;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
@@ -231,7 +231,7 @@
     private int rankOf(Job job) {
         // Refused clients retry at once, and most of their requests are late by then: served first, they would make
         // the new requests late in turn.
-        return job.request.repeat() ? RANK_LATE : job.overShare ? RANK_OVER_SHARE : RANK_IN_SHARE;
+        return job.request.clientRetry() ? RANK_LATE : job.overShare ? RANK_OVER_SHARE : RANK_IN_SHARE;
     }
 
     /** P = m / (N + m): N slots are asked by held jobs, and m is this dispatcher's share of the zone's slots. */
@@ -377,7 +377,7 @@
                     continue;
                 }
                 double score =
-                        overload ? job.spec.worth() / estimates.mean[c] : -(job.arrivedAt + (double) slackUs(c));
+                        overload ? job.spec.value() / estimates.mean[c] : -(job.arrivedAt + (double) slackUs(c));
                 if (best == null || score > bestScore) {
                     best = job;
                     bestScore = score;
@@ -395,7 +395,7 @@
         Job job = queues[jobClass][rank].head;
         while (job != null && job.arrivedAt + slackUs(jobClass) < now) {
             Job next = job.next;
-            boolean keep = job.attemptsInFlight > 0 || hasRoomForLate() && job.spec.lateWorth() > 0;
+            boolean keep = job.attemptsInFlight > 0 || hasRoomForLate() && job.spec.lateValue() > 0;
             // no slot will be idle for more late jobs, and an early refusal costs the client less than a late one
             if (keep) {
                 job.queue.moveTo(job, queues[jobClass][RANK_LATE]);
@@ -409,8 +409,8 @@
     /** How long a job of the class may wait and probably still be in time. */
     private long slackUs(int jobClass) {
         JobClass spec = settings.classes().get(jobClass);
-        double spare = (spec.stretch() * estimates.base[jobClass] - estimates.mean[jobClass]) / 2;
-        return (long) Math.max(spec.aim() + spare, spec.aim() * 0.3);
+        double spare = (spec.targetStretch() * estimates.base[jobClass] - estimates.mean[jobClass]) / 2;
+        return (long) Math.max(spec.latencyTarget() + spare, spec.latencyTarget() * 0.3);
     }
 
     /** Sends the job to a neighbour drawn with weight 1 - (1 - R_y) / (1 - P); false if none has a slot for it. */
@@ -829,7 +829,7 @@
             Job job = attempt.job;
             if (job.finished
                     || job.streaming
-                    || job.spec.effect() == Effect.UNSAFE
+                    || job.spec.idempotency() == Idempotency.UNSAFE
                     || job.attemptCount >= settings.maxAttempts()
                     || attempt.cancelled
                     || now > job.request.validUntil() - 3 * TICK_US) {
@@ -999,7 +999,7 @@
         if (job.queue != null) {
             return;
         }
-        boolean repeatable = job.spec.effect() != Effect.UNSAFE || job.provenNotRun();
+        boolean repeatable = job.spec.idempotency() != Idempotency.UNSAFE || job.provenNotRun();
         boolean retry = repeatable
                 && job.attemptCount < settings.maxAttempts()
                 && now < job.request.validUntil() - 3 * TICK_US
@@ -1067,9 +1067,9 @@
     // ---- what the rules allow ----
     /** Whether the client may be told that a retry does no harm. */
     private static boolean mayRefuse(Job job) {
-        return job.spec.effect() == Effect.SAFE
+        return job.spec.idempotency() == Idempotency.SAFE
                 || job.provenNotRun()
-                || job.spec.effect() == Effect.KEYED && job.spec.group() == Group.ALL;
+                || job.spec.idempotency() == Idempotency.KEYED && job.spec.dedupScope() == DedupScope.ALL;
     }
 
     /** Whether the rules allow sending the job to this worker now; checked before every attempt. */
@@ -1090,12 +1090,12 @@
             if (attempt.workerReportedError && attempt.worker == worker && hasOtherWorker(job, worker)) {
                 return false;
             }
-            if (job.spec.effect() == Effect.UNSAFE || attempt.worker == worker && !attempt.ended) {
+            if (job.spec.idempotency() == Idempotency.UNSAFE || attempt.worker == worker && !attempt.ended) {
                 return false;
             }
-            if (job.spec.effect() == Effect.KEYED
+            if (job.spec.idempotency() == Idempotency.KEYED
                     && (now >= attempt.sentAt + job.spec.keyTtl() - TICK_US
-                            || !DispatcherState.sameGroup(job.spec.group(), attempt.worker, worker))) {
+                            || !DispatcherState.sameGroup(job.spec.dedupScope(), attempt.worker, worker))) {
                 return false;
             }
         }
@@ -1107,8 +1107,8 @@
             if (other != worker
                     && other.state == WorkerState.IN_SERVICE
                     && !other.suspect
-                    && (job.spec.effect() != Effect.KEYED
-                            || DispatcherState.sameGroup(job.spec.group(), worker, other))) {
+                    && (job.spec.idempotency() != Idempotency.KEYED
+                            || DispatcherState.sameGroup(job.spec.dedupScope(), worker, other))) {
                 return true;
             }
         }
@@ -1430,7 +1430,7 @@
     /** Whether no worker of the job's group is left; the client is then answered at once, not at the deadline. */
     private boolean hasNoPossibleWorker(Job job) {
         return job.attemptsInFlight == 0
-                && job.spec.effect() == Effect.KEYED
+                && job.spec.idempotency() == Idempotency.KEYED
                 && !job.provenNotRun()
                 && workerIndex.all().stream().noneMatch(worker -> maySend(job, worker));
     }
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -5,7 +5,7 @@
 import java.util.BitSet;
 import java.util.Comparator;
 import java.util.function.Consumer;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerState;
@@ -19,7 +19,7 @@
     private DispatcherState() {}
 
     /** Whether the two workers belong to one group, among which repeats of a keyed request are discarded. */
-    static boolean sameGroup(Group group, Worker a, Worker b) {
+    static boolean sameGroup(DedupScope group, Worker a, Worker b) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> a.zone == b.zone;
--- a/src/main/java/saffronferry/LearnedEstimates.java
+++ b/src/main/java/saffronferry/LearnedEstimates.java
@@ -47,7 +47,7 @@
         idle = new double[kinds + 1];
         pace = new double[kinds + 1];
         Arrays.fill(pace, 1);
-        mean = classes.stream().mapToDouble(c -> Math.max(firstMean, c.aim())).toArray();
+        mean = classes.stream().mapToDouble(c -> Math.max(firstMean, c.latencyTarget())).toArray();
         base = mean.clone();
         ended = new int[mean.length];
     }
--- a/src/main/java/saffronferry/lab/check/RuleChecker.java
+++ b/src/main/java/saffronferry/lab/check/RuleChecker.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.WorkerState;
 import saffronferry.lab.scenario.Scenario;
@@ -215,8 +215,8 @@
             case UNSAFE -> false;
             case KEYED ->
                 now <= mayHaveRun.sentAt + request.rpcClass.keyTtl()
-                        && (request.rpcClass.group() == Group.ALL
-                                || zone == mayHaveRun.zone && (request.rpcClass.group() == Group.ZONE || cell == mayHaveRun.cell));
+                        && (request.rpcClass.group() == DedupScope.ALL
+                                || zone == mayHaveRun.zone && (request.rpcClass.group() == DedupScope.ZONE || cell == mayHaveRun.cell));
         };
     }
 
@@ -244,8 +244,8 @@
             report("invented", now, id.dispatcher(), "RPC " + id.rpc() + " is served, but by no worker", request);
         }
         boolean retryIsSafe = request.mayHaveRun() == null
-                || request.rpcClass.effect() == Effect.SAFE
-                || request.rpcClass.effect() == Effect.KEYED && request.rpcClass.group() == Group.ALL;
+                || request.rpcClass.effect() == Idempotency.SAFE
+                || request.rpcClass.effect() == Idempotency.KEYED && request.rpcClass.group() == DedupScope.ALL;
         if (refused && !retryIsSafe) {
             report("duplicate", now, id.dispatcher(), "RPC " + id.rpc() + " is refused though it may have run", request);
         }
--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -1,15 +1,15 @@
 package saffronferry.lab.policy;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
@@ -108,14 +108,14 @@
     private WorkerView choose(long now, OpenRequest openRequest) {
         JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
         List<WorkerView> candidates = inService;
-        if (openRequest.possiblyRun != null && jobClass.effect() != Effect.SAFE) {
+        if (openRequest.possiblyRun != null && jobClass.idempotency() != Idempotency.SAFE) {
             WorkerView possiblyRunOn = openRequest.possiblyRun.worker();
-            boolean retryAllowed = jobClass.effect() == Effect.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
+            boolean retryAllowed = jobClass.idempotency() == Idempotency.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
             candidates = !retryAllowed
                     ? List.of()
                     : inService.stream()
-                            .filter(w -> jobClass.group() == Group.ALL
-                                    || w.zone == possiblyRunOn.zone && (jobClass.group() == Group.ZONE || w.cell == possiblyRunOn.cell))
+                            .filter(w -> jobClass.dedupScope() == DedupScope.ALL
+                                    || w.zone == possiblyRunOn.zone && (jobClass.dedupScope() == DedupScope.ZONE || w.cell == possiblyRunOn.cell))
                             .toList();
         }
         if (jobClass.kind() >= 0) {
@@ -136,8 +136,8 @@
         openRequests.remove(openRequest.request.id());
         JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
         boolean retryIsSafe = openRequest.possiblyRun == null
-                || jobClass.effect() == Effect.SAFE
-                || jobClass.effect() == Effect.KEYED && jobClass.group() == Group.ALL;
+                || jobClass.idempotency() == Idempotency.SAFE
+                || jobClass.idempotency() == Idempotency.KEYED && jobClass.dedupScope() == DedupScope.ALL;
         steps.add(retryIsSafe ? new BalancerAction.Refuse(openRequest.request.id(), 0) : new BalancerAction.Fail(openRequest.request.id()));
     }
 
--- a/src/main/java/saffronferry/lab/scenario/Scenario.java
+++ b/src/main/java/saffronferry/lab/scenario/Scenario.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 
 /**
  * A scenario: a fleet of workers and dispatchers, its clients and network, and faults. Times are in microseconds
@@ -59,8 +59,8 @@
             long deadline,
             double worth,
             double lateWorth,
-            Effect effect,
-            Group group,
+            Idempotency effect,
+            DedupScope group,
             long keyTtl,
             double work,
             double tail) {}
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -10,12 +10,12 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.lab.scenario.Scenario.Bounds;
 import saffronferry.lab.scenario.Scenario.Clients;
 import saffronferry.lab.scenario.Scenario.Discovery;
-import saffronferry.lab.scenario.Scenario.WorkerKind;
+import saffronferry.lab.scenario.Scenario.Fault;
 import saffronferry.lab.scenario.Scenario.LinkFault;
 import saffronferry.lab.scenario.Scenario.Load;
 import saffronferry.lab.scenario.Scenario.Network;
@@ -24,13 +24,13 @@
 import saffronferry.lab.scenario.Scenario.RpcClass;
 import saffronferry.lab.scenario.Scenario.Rules;
 import saffronferry.lab.scenario.Scenario.Tenant;
-import saffronferry.lab.scenario.Scenario.Fault;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /** Reads scenario files. Every key has a default, a unit and bounds; all problems are reported together. */
 public final class ScenarioReader {
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("repeatable", Effect.SAFE, "by_key", Effect.KEYED, "once", Effect.UNSAFE);
-    private static final Map<String, Group> GROUPS = Map.of("all", Group.ALL, "zone", Group.ZONE, "cell", Group.CELL);
+    private static final Map<String, Idempotency> EFFECTS =
+            Map.of("repeatable", Idempotency.SAFE, "by_key", Idempotency.KEYED, "once", Idempotency.UNSAFE);
+    private static final Map<String, DedupScope> GROUPS = Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL);
     /** Kinds of faults; docs/operations/laboratory.md describes the meaning of part and size for each. */
     public static final List<String> FAULT_KINDS = List.of(
             "slow",
--- a/src/main/java/saffronferry/rig/LoadGenerator.java
+++ b/src/main/java/saffronferry/rig/LoadGenerator.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
-import saffronferry.Contract.Effect;
+import saffronferry.Contract.Idempotency;
 import saffronferry.lab.scenario.Scenario;
 
 /**
@@ -142,7 +142,7 @@
                 .putHeader("X-Lane", spec.name())
                 .putHeader("X-Org", tenant)
                 .putHeader("X-Remaining-Ms", Long.toString(spec.deadline() / 1000));
-        if (spec.effect() == Effect.KEYED) {
+        if (spec.effect() == Idempotency.KEYED) {
             clientRequest.putHeader("Idempotency-Key", "k" + r.txn);
         }
         verifier.recordSent(clock.getAsLong(), r, d.paused());
--- a/src/main/java/saffronferry/settings/SettingsReader.java
+++ b/src/main/java/saffronferry/settings/SettingsReader.java
@@ -5,8 +5,8 @@
 import org.json.JSONArray;
 import org.json.JSONException;
 import org.json.JSONObject;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Settings;
 import saffronferry.Contract.Tenant;
@@ -114,15 +114,15 @@
         for (int i = 0; i < profiles.length(); i++) {
             JSONObject profile = profiles.getJSONObject(i);
             double stretch = number(profile, "aimStretch", stretches.optDouble(i, 0));
-            Effect effect = switch (profile.optString("idempotency", "once")) {
-                case "repeatable" -> Effect.SAFE;
-                case "by_key" -> Effect.KEYED;
-                default -> Effect.UNSAFE;
+            Idempotency idempotency = switch (profile.optString("idempotency", "once")) {
+                case "repeatable" -> Idempotency.SAFE;
+                case "by_key" -> Idempotency.KEYED;
+                default -> Idempotency.UNSAFE;
             };
-            Group group = switch (profile.optString("group", "cell")) {
-                case "all" -> Group.ALL;
-                case "zone" -> Group.ZONE;
-                default -> Group.CELL;
+            DedupScope dedupScope = switch (profile.optString("group", "cell")) {
+                case "all" -> DedupScope.ALL;
+                case "zone" -> DedupScope.ZONE;
+                default -> DedupScope.CELL;
             };
             // The key must be valid when the request is sent, which is after its connection has opened.
             long keyLifetime = Math.max(0, micros(profile, "keyTtl") - Math.round(connectTimeout * 1e6));
@@ -133,8 +133,8 @@
                     micros(profile, "deadline"),
                     number(profile, "points", 1),
                     number(profile, "lateValue", 0),
-                    effect,
-                    group,
+                    idempotency,
+                    dedupScope,
                     keyLifetime,
                     kindsOf.optInt(i, -1)));
         }
--- a/src/main/java/saffronferry/wire/RpcParser.java
+++ b/src/main/java/saffronferry/wire/RpcParser.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Function;
 import java.util.regex.Pattern;
-import saffronferry.Contract.Effect;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.state.RpcInfo;
 
@@ -22,7 +22,7 @@
 
     RpcParser(List<JobClass> classes, List<String> tenants) {
         this.classes = classes.stream().map(JobClass::name).toList();
-        keyRequired = classes.stream().map(c -> c.effect() == Effect.KEYED).toList();
+        keyRequired = classes.stream().map(c -> c.idempotency() == Idempotency.KEYED).toList();
         maxRemaining = classes.stream().map(RpcInfo::maxRemaining).toList();
         this.tenants = tenants;
     }
--- a/src/test/java/saffronferry/DispatcherHarness.java
+++ b/src/test/java/saffronferry/DispatcherHarness.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
@@ -50,7 +50,7 @@
         int peers = 1;
         int zone;
         int zones = 1;
-        List<JobClass> classes = List.of(jobClass(Effect.KEYED, Group.ALL));
+        List<JobClass> classes = List.of(jobClass(Idempotency.KEYED, DedupScope.ALL));
         List<Tenant> tenants = List.of();
         int maxAttempts = 3;
         boolean parallel = true;
@@ -88,7 +88,7 @@
         }
     }
 
-    static JobClass jobClass(Effect effect, Group group) {
+    static JobClass jobClass(Idempotency effect, DedupScope group) {
         return new JobClass("c", 300 * MS, 2, 5 * S, 1, 0.2, effect, group, 7 * S, -1);
     }
 
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Tenant;
@@ -202,7 +202,7 @@
     /** With no worker left that may take it, a request is answered at once instead of near its deadline. */
     @Test
     void aRequestThatNoWorkerMayTakeEndsAtOnce() {
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.CELL));
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b", 1, WorkerState.IN_SERVICE, 0));
         harness.request(1);
@@ -214,7 +214,7 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNotRepeated() {
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.UNSAFE, DedupScope.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.request(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
@@ -227,7 +227,7 @@
     @Test
     void aKeyedRequestIsRepeatedOnlyInItsGroupAndWindow() {
         options.zones = 2;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.CELL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("a"), new Contract.WorkerInfo("b", WorkerState.IN_SERVICE, 0, 0, 0, 9));
         harness.request(1);
@@ -453,7 +453,7 @@
     /** In the simulator one job of 14 s of work overloaded four cold workers, one after the other. */
     @Test
     void aJobThatEndedWithAResetIsNotSentToAColdWorker() {
-        options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Effect.SAFE, Group.ALL, 0, -1));
+        options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Idempotency.SAFE, DedupScope.ALL, 0, -1));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.request(1, 0, -1, 30 * S, false);
         harness.change(DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0), DispatcherHarness.worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
@@ -506,7 +506,7 @@
         options.peers = 3;
         // a deadline so long that no job counts as ended by its age
         options.classes =
-                List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * S, -1));
+                List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Idempotency.KEYED, DedupScope.ALL, 7 * S, -1));
         WorkerInfo[] all = {DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d")};
         int[] hashes = Arrays.stream(all)
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -128,8 +128,8 @@
                         5 * S,
                         1,
                         0.2,
-                        Effect.SAFE,
-                        Group.ALL,
+                        Idempotency.SAFE,
+                        DedupScope.ALL,
                         7 * S,
                         c == 64 ? 1 : 0))
                 .toList();
@@ -392,7 +392,7 @@
     @Test
     void repeatsOfJobsThatMayHaveRunAreBounded() {
         options.maxAttempts = 4;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(IntStream.range(0, 20).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new));
         int seen = 0;
--- a/src/test/java/saffronferry/FiringsTest.java
+++ b/src/test/java/saffronferry/FiringsTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Locale;
 import org.junit.jupiter.api.Test;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.Outcome;
 
 /**
@@ -115,7 +115,7 @@
         for (Outcome outcome : new Outcome[] {Outcome.CONNECT_FAILED, Outcome.FULL}) {
             DispatcherHarness.Options options = new DispatcherHarness.Options();
             options.maxAttempts = 1;
-            options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+            options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
             List<DispatcherHarness> all = start(options, "a");
             long begin = all.get(0).now;
             List<Long> sent = sendRequests(all, 120 * S, 5 * MS, outcome);
--- a/src/test/java/saffronferry/LearnedEstimatesTest.java
+++ b/src/test/java/saffronferry/LearnedEstimatesTest.java
@@ -5,12 +5,12 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 
 /** Estimates for workers that several dispatchers use. */
 class LearnedEstimatesTest {
-    private final LearnedEstimates known = new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL)), 500_000);
+    private final LearnedEstimates known = new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL)), 500_000);
 
     @Test
     void availableAndTotalSlotsAreLearnedSeparately() {
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -56,7 +56,7 @@
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.zones = zones;
         options.peers = fleet ? 2 * zones : 1;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
         settings = options.settings();
         dispatcher = new Dispatcher(settings, this);
         for (int i = 0; i < workers; i++) {
--- a/src/test/java/saffronferry/ModuleTrace.java
+++ b/src/test/java/saffronferry/ModuleTrace.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -52,9 +52,9 @@
         options.parallel = random.nextInt(4) > 0;
         options.tellsStart = random.nextBoolean();
         options.classes = List.of(
-                DispatcherHarness.jobClass(Effect.SAFE, Group.ALL),
-                DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL),
-                DispatcherHarness.jobClass(Effect.KEYED, Group.values()[random.nextInt(3)]));
+                DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL),
+                DispatcherHarness.jobClass(Idempotency.UNSAFE, DedupScope.ALL),
+                DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.values()[random.nextInt(3)]));
         int workers = 4 << random.nextInt(7);
         for (int i = 0; i < workers; i++) {
             addWorker();
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.ScenarioReader;
 
@@ -44,7 +44,7 @@
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 2;
         options.tellsStart = true;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
         harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
         harness.advance(60 * MS);
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Request;
@@ -57,9 +57,9 @@
             options.parallel = random.nextBoolean();
             options.tellsStart = random.nextBoolean();
             options.classes = List.of(
-                    DispatcherHarness.jobClass(Effect.SAFE, Group.ALL),
-                    DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL),
-                    DispatcherHarness.jobClass(Effect.KEYED, Group.values()[random.nextInt(3)]));
+                    DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL),
+                    DispatcherHarness.jobClass(Idempotency.UNSAFE, DedupScope.ALL),
+                    DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.values()[random.nextInt(3)]));
             harness = new DispatcherHarness(options.settings());
             for (int i = 0; i < 12; i++) {
                 put("w" + i, WorkerState.IN_SERVICE, 0);
@@ -180,9 +180,9 @@
                     if (t.ended && t.neverRan) {
                         continue;
                     }
-                    assertTrue(spec.effect() != Effect.UNSAFE, "an unsafe request was sent again");
-                    if (spec.effect() == Effect.KEYED) {
-                        assertTrue(DispatcherState.sameGroup(spec.group(), new PlacedWorker(t.worker).worker, new PlacedWorker(w).worker));
+                    assertTrue(spec.idempotency() != Idempotency.UNSAFE, "an unsafe request was sent again");
+                    if (spec.idempotency() == Idempotency.KEYED) {
+                        assertTrue(DispatcherState.sameGroup(spec.dedupScope(), new PlacedWorker(t.worker).worker, new PlacedWorker(w).worker));
                         assertTrue(s.at() < t.send.at() + spec.keyTtl());
                     }
                 }
@@ -199,8 +199,8 @@
         private void checkRefusal(long id) {
             Contract.JobClass spec = options.classes.get(asked.get(id).jobClass());
             if (!"refused".equals(harness.finals.get(id))
-                    || spec.effect() == Effect.SAFE
-                    || spec.effect() == Effect.KEYED && spec.group() == Group.ALL) {
+                    || spec.idempotency() == Idempotency.SAFE
+                    || spec.idempotency() == Idempotency.KEYED && spec.dedupScope() == DedupScope.ALL) {
                 return;
             }
             for (SentAttempt t : attempts.getOrDefault(id, List.of())) {
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -74,7 +74,7 @@
     }
 
     private static final LearnedEstimates ESTIMATES =
-            new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
+            new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Contract.Idempotency.SAFE, Contract.DedupScope.ALL)), 1);
 
     /** Ownership of a single dispatcher, with zones that keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.Test;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -30,11 +30,11 @@
 /** Table-driven tests of the parsers for data received from the network. */
 public class ParsersTest {
     private static final RpcParser RPCS =
-            new RpcParser(List.of(jobClass("page", Effect.SAFE), jobClass("gift", Effect.KEYED)), List.of("acme"));
+            new RpcParser(List.of(jobClass("page", Idempotency.SAFE), jobClass("gift", Idempotency.KEYED)), List.of("acme"));
     private static final LoadReportParser LOADS = new LoadReportParser("x0");
 
-    private static JobClass jobClass(String name, Effect effect) {
-        return new JobClass(name, 0, 0, 6_000_000, 1, 0, effect, Group.CELL, 0, -1);
+    private static JobClass jobClass(String name, Idempotency effect) {
+        return new JobClass(name, 0, 0, 6_000_000, 1, 0, effect, DedupScope.CELL, 0, -1);
     }
 
     /** Headers as {@code name:value;name:value}. */
