--- a/src/main/java/saffronferry/Contract.java
+++ b/src/main/java/saffronferry/Contract.java
@@ -109,38 +109,38 @@
     record Settings(
             long seed,
             int self,
-            int peers,
+            int dispatcherCount,
             int zone,
-            int zones,
-            int kinds,
+            int zoneCount,
+            int kindCount,
             List<JobClass> classes,
             List<Tenant> tenants,
             int maxAttempts,
-            boolean parallel,
-            boolean mayCancel,
-            boolean mayProbe,
-            boolean reports,
-            boolean mayTell,
+            boolean parallelAttempts,
+            boolean canCancel,
+            boolean canProbe,
+            boolean loadReports,
+            boolean peerMessages,
             boolean listOnDemand,
-            boolean tellsStart,
-            long progressEvery,
-            long cold,
-            double coldShare,
-            double fallMultiple,
+            boolean reportsJobStart,
+            long progressInterval,
+            long coldPeriod,
+            double coldCapacity,
+            double overloadMultiple,
             long maxRetryAfter,
             double peerPrice,
             double probePrice,
-            long mostUnasked) {
+            long maxResubscribeDelay) {
         public Settings {
-            require(peers >= 1, "peers", peers);
-            require(zone >= 0 && zone < zones, "zone", zone);
+            require(dispatcherCount >= 1, "peers", dispatcherCount);
+            require(zone >= 0 && zone < zoneCount, "zone", zone);
             require(self >= 0, "self", self);
             require(!classes.isEmpty(), "classes", classes.size());
             require(maxAttempts >= 1, "maxAttempts", maxAttempts);
-            require(cold >= 0, "cold", cold);
-            require(coldShare > 0 && coldShare <= 1, "coldShare", coldShare);
-            require(fallMultiple > 0, "fallMultiple", fallMultiple);
-            require(mostUnasked >= 1_000_000, "mostUnasked", mostUnasked);
+            require(coldPeriod >= 0, "cold", coldPeriod);
+            require(coldCapacity > 0 && coldCapacity <= 1, "coldShare", coldCapacity);
+            require(overloadMultiple > 0, "fallMultiple", overloadMultiple);
+            require(maxResubscribeDelay >= 1_000_000, "mostUnasked", maxResubscribeDelay);
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
         }
--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -161,8 +161,8 @@
         this.settings = settings;
         this.actions = actions;
         random = new SplittableRandom(settings.seed());
-        workerIndex = new WorkerIndex(settings.zones(), settings.kinds(), settings.zone());
-        zoneLastHeardAt = new long[settings.zones()];
+        workerIndex = new WorkerIndex(settings.zoneCount(), settings.kindCount(), settings.zone());
+        zoneLastHeardAt = new long[settings.zoneCount()];
         queues = new HeldQueue[settings.classes().size()][];
         for (int c = 0; c < queues.length; c++) {
             queues[c] = new HeldQueue[RANK_CONSTRAINED + 1];
@@ -170,22 +170,22 @@
                 queues[c][rank] = new HeldQueue();
             }
         }
-        peers = new Peer[settings.peers()];
+        peers = new Peer[settings.dispatcherCount()];
         for (int i = 0; i < peers.length; i++) {
             peers[i] = new Peer(i);
         }
-        coldShares = new ColdShares(settings.self(), settings.peers());
-        ownership = new WorkerOwnership(settings.zones(), settings.zone(), coldShares);
-        coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
-        repeatBudget = new RetryBudget(settings.peers());
-        discoveryPace = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
+        coldShares = new ColdShares(settings.self(), settings.dispatcherCount());
+        ownership = new WorkerOwnership(settings.zoneCount(), settings.zone(), coldShares);
+        coldRate = new ColdRate(settings.overloadMultiple(), settings.coldCapacity(), settings.coldPeriod());
+        repeatBudget = new RetryBudget(settings.dispatcherCount());
+        discoveryPace = new CallPace(settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
         talkBudget = new TalkBudget(
                 settings.peerPrice(), PeerMessage.MOST_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
-        estimates = new LearnedEstimates(settings.kinds(), settings.classes(), INITIAL_RUNNING_TIME_US);
+        estimates = new LearnedEstimates(settings.kindCount(), settings.classes(), INITIAL_RUNNING_TIME_US);
         classBlocked = new boolean[queues.length];
         allowances = new TenantTokenBuckets(settings.tenants());
-        fleetTrafficShare = 1.0 / settings.peers();
-        probing = settings.reports() && settings.mayProbe();
+        fleetTrafficShare = 1.0 / settings.dispatcherCount();
+        probing = settings.loadReports() && settings.canProbe();
     }
 
     // ---- ordinary path: place, hold, spill ----
@@ -495,7 +495,7 @@
         worker.attempts.add(attempt);
         worker.localSlots += job.request.slots();
         if (worker.ownedLocally) {
-            worker.coldBudget.send(expectedSlotTimeUs(job, worker), settings.tellsStart() ? now : 0);
+            worker.coldBudget.send(expectedSlotTimeUs(job, worker), settings.reportsJobStart() ? now : 0);
         }
         if (worker.suspect) {
             scheduleTrial(worker);
@@ -603,7 +603,7 @@
     }
 
     private void sendToPeer(int peer, PeerMessage message) {
-        if (!settings.mayTell() || peer == settings.self()) {
+        if (!settings.peerMessages() || peer == settings.self()) {
             return;
         }
         talkBudget.spent(message.size());
@@ -633,8 +633,8 @@
      * budget for the peers of the own zone.
      */
     private void sendToNeighbourZone() {
-        lastToldZoneOffset = 1 + lastToldZoneOffset % Math.max(1, settings.zones() - 1);
-        int zone = (settings.zone() + lastToldZoneOffset) % settings.zones();
+        lastToldZoneOffset = 1 + lastToldZoneOffset % Math.max(1, settings.zoneCount() - 1);
+        int zone = (settings.zone() + lastToldZoneOffset) % settings.zoneCount();
         Peer peer = Peer.firstInZone(zone, peers, random.nextInt(peers.length));
         if (peer != null && peer.zone != settings.zone()) {
             sendToPeer(peer.number, newOffer().undated());
@@ -708,7 +708,7 @@
                 || peerNumber < 0
                 || peerNumber >= peers.length
                 || peerNumber == settings.self()
-                || message.zone >= settings.zones()) {
+                || message.zone >= settings.zoneCount()) {
             return;
         }
         Peer peer = peers[peerNumber];
@@ -796,7 +796,7 @@
         zoneSlots = 0;
         // Every dispatcher times the warm-up of all workers, not only of those it owns: one that took a worker for cold
         // for good would use no slot offered there. A worker that is warm passes from its guardian to its warm owner.
-        ownershipFingerprint = workerIndex.promoteWarm(now - settings.cold()) ? 0 : ownershipFingerprint;
+        ownershipFingerprint = workerIndex.promoteWarm(now - settings.coldPeriod()) ? 0 : ownershipFingerprint;
         zoneHasCold = workerIndex.hasCold();
         for (int k = 0; k < workerIndex.kindGroups(); k++) {
             zoneSlots += workerIndex.availableCount(k) * estimates.ours(k);
@@ -835,9 +835,9 @@
                     || now > job.request.validUntil() - 3 * TICK_US) {
                 continue;
             }
-            if (settings.parallel() && job.queue == null && takeRepeat(job)) {
+            if (settings.parallelAttempts() && job.queue == null && takeRepeat(job)) {
                 hold(job, true);
-            } else if (!settings.parallel()) {
+            } else if (!settings.parallelAttempts()) {
                 cancel(attempt);
             }
         }
@@ -1049,7 +1049,7 @@
     }
 
     private void cancel(Attempt attempt) {
-        if (settings.mayCancel() && !attempt.ended && !attempt.cancelled) {
+        if (settings.canCancel() && !attempt.ended && !attempt.cancelled) {
             attempt.cancelled = true;
             actions.cancel(attempt.job.request.id(), attempt.number);
         }
@@ -1078,7 +1078,7 @@
                 || job.streaming
                 || job.attemptCount >= settings.maxAttempts()
                 || worker.state != WorkerState.IN_SERVICE
-                || job.attemptsInFlight > 0 && !settings.parallel()) {
+                || job.attemptsInFlight > 0 && !settings.parallelAttempts()) {
             return false;
         }
         for (int i = 0; i < job.attemptCount; i++) {
@@ -1176,7 +1176,7 @@
         worker.state = entry.state();
         // cold is a worker whose start is recent, or that appears after the first list without a known start
         long started = entry.startedAt() > 0 ? entry.startedAt() : added && !firstList ? now : 0;
-        if (started > worker.coldSince && now - started < settings.cold()) {
+        if (started > worker.coldSince && now - started < settings.coldPeriod()) {
             markCold(started, worker);
             worker.suspect = false;
             worker.failedTrials = 0;
@@ -1200,7 +1200,7 @@
             if (peer.lastHeardAt > 0 && peer.zone >= 0) {
                 int zoneAndCounted = peer.zone + (coldShares.counts(peer.number, now) ? 0 : 1 << 20);
                 fingerprint =
-                        (int) DispatcherState.mix(fingerprint, 1 + peer.number * settings.zones() + zoneAndCounted);
+                        (int) DispatcherState.mix(fingerprint, 1 + peer.number * settings.zoneCount() + zoneAndCounted);
             }
         }
         for (int z = 0; z < zoneLastHeardAt.length; z++) {
@@ -1381,7 +1381,7 @@
         spillPressed();
         sendProbes();
         acceptance = currentAcceptance();
-        if (settings.mayTell() && now >= nextExchangeAt) {
+        if (settings.peerMessages() && now >= nextExchangeAt) {
             exchange();
             lastExchangeAt = now;
             // only ever shorter than the period: an exchange that is due just after a tick waits for the next one
--- a/src/main/java/saffronferry/SuspicionLevel.java
+++ b/src/main/java/saffronferry/SuspicionLevel.java
@@ -27,11 +27,11 @@
             long since = Math.max(attempt.sentAt, quietFrom);
             double mean = estimates.mean[attempt.job.request.jobClass()] * Math.max(1, worker.runningTimeRatio);
             boolean startMissing =
-                    settings.tellsStart() && attempt.startedAt == 0 && now - since > START_REPORT_TIMEOUT_US;
+                    settings.reportsJobStart() && attempt.startedAt == 0 && now - since > START_REPORT_TIMEOUT_US;
             nats += startMissing ? MISSING_START_NATS : 0;
-            boolean progressMissing = settings.progressEvery() > 0
+            boolean progressMissing = settings.progressInterval() > 0
                     && attempt.lastProgressAt > 0
-                    && now - attempt.lastProgressAt > MISSED_PROGRESS_REPORTS * settings.progressEvery();
+                    && now - attempt.lastProgressAt > MISSED_PROGRESS_REPORTS * settings.progressInterval();
             nats += progressMissing ? MISSING_PROGRESS_NATS : 0;
             // A heavy-tailed running time is assumed, so that one long job alone is little evidence.
             nats += 3 * Math.log((2 * mean + now - attempt.sentAt) / (2 * mean + since - attempt.sentAt));
--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -123,9 +123,9 @@
         }
         for (int i = 0; i < MAX_CHOICES && !candidates.isEmpty(); i++) {
             WorkerView w = chooser.choose(candidates, random);
-            double age = (now - w.startedAt) / (double) Math.max(1, settings.cold());
+            double age = (now - w.startedAt) / (double) Math.max(1, settings.coldPeriod());
             boolean warm = w.startedAt == 0 || age >= 1;
-            if (warm || random.nextDouble() < settings.coldShare() + (1 - settings.coldShare()) * age) {
+            if (warm || random.nextDouble() < settings.coldCapacity() + (1 - settings.coldCapacity()) * age) {
                 return w;
             }
         }
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -72,8 +72,8 @@
     }
 
     private WorkerInfo info(int number, WorkerState state) {
-        int zone = number % settings.zones();
-        int cell = number / settings.zones() / 40 * settings.zones() + zone;
+        int zone = number % settings.zoneCount();
+        int cell = number / settings.zoneCount() / 40 * settings.zoneCount() + zone;
         return new WorkerInfo(
                 "10." + (number >> 16) + "." + (number >> 8 & 255) + "." + (number & 255) + ":80",
                 state,
@@ -85,11 +85,11 @@
 
     private void receivePeerMessages() {
         peersHeardAt = now;
-        for (int peer = 1; peer < settings.peers(); peer++) {
+        for (int peer = 1; peer < settings.dispatcherCount(); peer++) {
             dispatcher.peerMessage(
                     now,
                     peer,
-                    new PeerMessage(PeerMessage.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * MS).bytes());
+                    new PeerMessage(PeerMessage.Type.OFFERS, peer % settings.zoneCount(), 1, 1, 20, 500 * MS).bytes());
         }
     }
 
@@ -139,9 +139,9 @@
         int index = random.nextInt(list.size());
         WorkerInfo old = list.get(index);
         WorkerInfo replacement = info(
-                nextWorkerNumber - nextWorkerNumber % settings.zones() + settings.zones() + old.zone(),
+                nextWorkerNumber - nextWorkerNumber % settings.zoneCount() + settings.zoneCount() + old.zone(),
                 WorkerState.IN_SERVICE);
-        nextWorkerNumber += settings.zones();
+        nextWorkerNumber += settings.zoneCount();
         list.set(index, replacement);
         long cost = change(
                 List.of(replacement, new WorkerInfo(old.address(), WorkerState.GONE, old.kind(), old.zone(), 0, old.cell())));
