--- a/src/main/java/saffronferry/Balancer.java
+++ b/src/main/java/saffronferry/Balancer.java
@@ -30,41 +30,41 @@
             module.attemptEnded(
                     now, ended.rpc(), ended.attempt(), ended.outcome(), ended.took(), ended.answered(), ended.load());
         } else if (event instanceof BalancerEvent.AttemptMoved progressed) {
-            module.note(now, progressed.rpc(), progressed.attempt(), progressed.started());
+            module.jobProgress(now, progressed.rpc(), progressed.attempt(), progressed.started());
         } else if (event instanceof BalancerEvent.ClientGone gone) {
             module.clientGone(now, gone.rpc());
         } else if (event instanceof BalancerEvent.Probed probed) {
-            module.probed(now, probed.subchannel(), probed.outcome(), probed.load());
+            module.probeEnded(now, probed.subchannel(), probed.outcome(), probed.load());
         } else if (event instanceof BalancerEvent.PeerSaid received) {
             module.peerMessage(now, received.peer(), received.bytes());
         } else if (event instanceof BalancerEvent.Resolved resolved) {
-            module.workers(now, resolved.kind(), resolved.entries());
+            module.workerList(now, resolved.kind(), resolved.entries());
         } else if (event instanceof BalancerEvent.RunsBeside other) {
-            module.beside(now, other.other());
+            module.otherProcessState(now, other.other());
         } else if (event instanceof BalancerEvent.AllowancesChanged changed) {
-            module.allowances(now, changed.tenants());
+            module.tenantsChanged(now, changed.tenants());
         } else if (event instanceof BalancerEvent.Room capacity) {
-            module.room(now, capacity.open());
+            module.attemptCapacityChanged(now, capacity.open());
         } else {
-            module.workersUnavailable(now, ((BalancerEvent.WatchLost) event).how());
+            module.workerListFailed(now, ((BalancerEvent.WatchLost) event).how());
         }
         return actions.take();
     }
 
     /** Handles the expiry of a timer that was requested by {@link BalancerAction.WakeAfter}. */
     public List<BalancerAction> tick(long now, long token) {
-        module.timer(now, token);
+        module.timerFired(now, token);
         return actions.take();
     }
 
     /** State for another process of this dispatcher while one replaces the other. */
-    public HandoverState beside() {
-        return module.beside();
+    public HandoverState handoverState() {
+        return module.handoverState();
     }
 
     /** Number of subchannels in service that get no jobs at present, except for a trial. */
-    public int avoided() {
-        return module.avoided();
+    public int avoidedWorkers() {
+        return module.avoidedWorkers();
     }
 
     /** Current sharing of cold workers with other dispatchers. */
@@ -83,12 +83,12 @@
         }
 
         @Override
-        public void send(long id, String worker) {
+        public void startAttempt(long id, String worker) {
             list.add(new BalancerAction.StartAttempt(id, worker));
         }
 
         @Override
-        public void cancel(long id, int attempt) {
+        public void cancelAttempt(long id, int attempt) {
             list.add(new BalancerAction.CancelAttempt(id, attempt));
         }
 
@@ -103,7 +103,7 @@
         }
 
         @Override
-        public void timer(long token, long delay) {
+        public void startTimer(long token, long delay) {
             list.add(new BalancerAction.WakeAfter(token, delay));
         }
 
@@ -113,7 +113,7 @@
         }
 
         @Override
-        public void tell(int peer, byte[] bytes) {
+        public void sendToPeer(int peer, byte[] bytes) {
             list.add(new BalancerAction.TellPeer(peer, bytes));
         }
 
--- a/src/main/java/saffronferry/Contract.java
+++ b/src/main/java/saffronferry/Contract.java
@@ -12,7 +12,7 @@
  * no source of randomness but its seed, so equal events give equal actions. Indices (class, tenant, kind, zone) refer
  * to the lists in {@link Settings}; -1 means none or unknown. Events about unknown requests, attempts, workers or
  * peers are ignored, since these may have finished or been removed. The caller must deliver exactly one
- * {@link Events#attemptEnded} for every {@link Actions#send} and one {@link Events#timer} for every timer.
+ * {@link Events#attemptEnded} for every {@link Actions#startAttempt} and one {@link Events#timerFired} for every timer.
  */
 public interface Contract {
     /** Whether a request may be attempted again after an earlier attempt may have run. */
@@ -164,28 +164,28 @@
     /** Input of the module. */
     interface Events {
         /** The worker list, or changes to it. A worker that is missing from a complete list is gone. */
-        void workers(long now, ListKind kind, List<WorkerInfo> entries);
+        void workerList(long now, ListKind kind, List<WorkerInfo> entries);
 
         /** The request for the list failed or the subscription ended; the old list stays in force. */
-        void workersUnavailable(long now, WatchEnd reason);
+        void workerListFailed(long now, WatchEnd reason);
 
         /** State for another process of this dispatcher while one replaces the other. */
-        HandoverState beside();
+        HandoverState handoverState();
 
         /** State of the other process of this dispatcher; {@link HandoverState#NOBODY} when it has ended. */
-        void beside(long now, HandoverState state);
+        void otherProcessState(long now, HandoverState state);
 
         /** Replaces the tenants' allowances. Known tenants keep their index, new ones are appended. */
-        void allowances(long now, List<Tenant> tenants);
+        void tenantsChanged(long now, List<Tenant> tenants);
 
         /** Number of workers in service that get no jobs at present, except for a trial. */
-        int avoided();
+        int avoidedWorkers();
 
         /** Current sharing of cold workers with other dispatchers. */
         Sharing sharing();
 
         /** Whether attempts can be started; none is while no file descriptor or port is available. */
-        void room(long now, boolean available);
+        void attemptCapacityChanged(long now, boolean available);
 
         /** A new request, which is owed exactly one final answer. */
         void request(long now, Request request);
@@ -194,7 +194,7 @@
         void streamStarted(long now, long id, int attempt);
 
         /** The worker reports that the job has started, or that it has made progress. */
-        void note(long now, long id, int attempt, boolean started);
+        void jobProgress(long now, long id, int attempt, boolean started);
 
         /** An attempt ended; {@code answered} if the request has its final answer. The report may be null. */
         void attemptEnded(long now, long id, int attempt, Outcome outcome, long took, boolean answered, Report report);
@@ -202,19 +202,19 @@
         /** The client disconnected; no answer is owed any more. */
         void clientGone(long now, long id);
 
-        void probed(long now, String worker, Outcome outcome, Report report);
+        void probeEnded(long now, String worker, Outcome outcome, Report report);
 
         void peerMessage(long now, int peer, byte[] bytes);
 
-        void timer(long now, long token);
+        void timerFired(long now, long token);
     }
 
     /** Output of the module; called only while it handles an event. */
     interface Actions {
         /** Starts an attempt. Attempts are numbered 0, 1, 2 in the order of these calls. */
-        void send(long id, String worker);
+        void startAttempt(long id, String worker);
 
-        void cancel(long id, int attempt);
+        void cancelAttempt(long id, int attempt);
 
         /** Final answer: refused, safe to retry, preferably after {@code retryAfter}; 0 gives no advice. */
         void refuse(long id, long retryAfter);
@@ -222,12 +222,12 @@
         /** Final answer: failed; a retry may not be safe. */
         void fail(long id);
 
-        void timer(long token, long delay);
+        void startTimer(long token, long delay);
 
         void probe(String worker);
 
         /** Sends at most 256 bytes to one peer. */
-        void tell(int peer, byte[] bytes);
+        void sendToPeer(int peer, byte[] bytes);
 
         /** Requests the worker list and, from then on, its changes. */
         void subscribe();
--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -502,7 +502,7 @@
         }
         refresh(worker);
         reportToLender(worker);
-        actions.send(job.request.id(), worker.address);
+        actions.startAttempt(job.request.id(), worker.address);
         return true;
     }
 
@@ -566,7 +566,7 @@
     }
 
     @Override
-    public void probed(long clock, String address, Outcome outcome, Report report) {
+    public void probeEnded(long clock, String address, Outcome outcome, Report report) {
         now = clock;
         Worker worker = workerIndex.get(address);
         if (worker != null && outcome == Outcome.CONNECT_FAILED) {
@@ -607,7 +607,7 @@
             return;
         }
         talkBudget.spent(message.size());
-        actions.tell(peer, message.bytes());
+        actions.sendToPeer(peer, message.bytes());
     }
 
     /** Sends to at most {@code limit} peers of the zone in turn; first to guardians, which can lend cold budgets. */
@@ -894,7 +894,7 @@
     }
 
     @Override
-    public void note(long clock, long id, int number, boolean started) {
+    public void jobProgress(long clock, long id, int number, boolean started) {
         now = clock;
         Attempt attempt = findAttempt(id, number);
         if (attempt != null) {
@@ -1051,7 +1051,7 @@
     private void cancel(Attempt attempt) {
         if (settings.canCancel() && !attempt.ended && !attempt.cancelled) {
             attempt.cancelled = true;
-            actions.cancel(attempt.job.request.id(), attempt.number);
+            actions.cancelAttempt(attempt.job.request.id(), attempt.number);
         }
     }
 
@@ -1140,7 +1140,7 @@
 
     // ---- list of workers ----
     @Override
-    public void workers(long clock, ListKind kind, List<WorkerInfo> entries) {
+    public void workerList(long clock, ListKind kind, List<WorkerInfo> entries) {
         now = clock;
         boolean first = !listReceived;
         listReceived = true;
@@ -1265,7 +1265,7 @@
         for (Peer peer : peers) {
             sendToPeer(peer.number, newMessage(PeerMessage.Type.OFFERS));
         }
-        actions.timer(TICK_TOKEN, 1 + random.nextLong(TICK_US));
+        actions.startTimer(TICK_TOKEN, 1 + random.nextLong(TICK_US));
         probeCredit = Math.min(12, workerIndex.ownedCount());
         for (int i = 0; i < 3; i++) {
             probePosition = random.nextInt(1 << 20);
@@ -1278,21 +1278,21 @@
 
     /** While attempts can't be opened none is sent: each would end at once and use up one of its job's attempts. */
     @Override
-    public void room(long clock, boolean open) {
+    public void attemptCapacityChanged(long clock, boolean available) {
         now = clock;
-        canOpenAttempts = open;
+        canOpenAttempts = available;
         sendHeld();
     }
 
     @Override
-    public void workersUnavailable(long clock, WatchEnd how) {
+    public void workerListFailed(long clock, WatchEnd reason) {
         now = clock;
-        subscribeAfter(discoveryPace.again(random, how));
+        subscribeAfter(discoveryPace.again(random, reason));
     }
 
     private void subscribeAfter(long delayUs) {
         if (delayUs > 0) {
-            actions.timer(SUBSCRIBE_TOKEN, discoveryPace.after(delayUs, now));
+            actions.startTimer(SUBSCRIBE_TOKEN, discoveryPace.after(delayUs, now));
         } else {
             actions.subscribe();
         }
@@ -1303,13 +1303,13 @@
     }
 
     @Override
-    public void allowances(long clock, List<Tenant> tenants) {
+    public void tenantsChanged(long clock, List<Tenant> tenants) {
         now = clock;
         allowances.follow(tenants);
     }
 
     @Override
-    public int avoided() {
+    public int avoidedWorkers() {
         return workerIndex.avoided();
     }
 
@@ -1320,12 +1320,12 @@
 
     // ---- another process of this dispatcher, which replaces this one or is replaced by it ----
     @Override
-    public HandoverState beside() {
+    public HandoverState handoverState() {
         return new HandoverState(workerIndex.localSlotsByAddress(), estimates.told());
     }
 
     @Override
-    public void beside(long clock, HandoverState other) {
+    public void otherProcessState(long clock, HandoverState other) {
         now = clock;
         estimates.take(other.learned());
         processCount = other.equals(HandoverState.NOBODY) ? 1 : 2;
@@ -1339,7 +1339,7 @@
 
     // ---- time ----
     @Override
-    public void timer(long clock, long token) {
+    public void timerFired(long clock, long token) {
         now = clock;
         if (token == SUBSCRIBE_TOKEN && discoveryPace.isDue(now)) {
             actions.subscribe();
@@ -1387,7 +1387,7 @@
             // only ever shorter than the period: an exchange that is due just after a tick waits for the next one
             nextExchangeAt = now + exchangePeriod - random.nextLong(exchangePeriod / 4);
         }
-        actions.timer(TICK_TOKEN, TICK_US);
+        actions.startTimer(TICK_TOKEN, TICK_US);
     }
 
     /** Draws held jobs for spilling again when half their slack is used up. */
--- a/src/main/java/saffronferry/adapter/DispatcherInstance.java
+++ b/src/main/java/saffronferry/adapter/DispatcherInstance.java
@@ -33,12 +33,12 @@
     }
 
     @Override
-    public void send(long id, String worker) {
+    public void startAttempt(long id, String worker) {
         action("send").number(id).space().text(worker).space().text("-").endLine();
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         action("cancel").number(id).space().number(attempt).endLine();
     }
 
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void timer(long token, long delay) {
+    public void startTimer(long token, long delay) {
         action("notify_me").number(token).space().time(delay).endLine();
     }
 
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] bytes) {
+    public void sendToPeer(int peer, byte[] bytes) {
         action("say").number(peer).space().base64(bytes).endLine();
     }
 
--- a/src/main/java/saffronferry/adapter/SimulatorProtocol.java
+++ b/src/main/java/saffronferry/adapter/SimulatorProtocol.java
@@ -253,7 +253,7 @@
             switch (message) {
                 case CALL -> dispatchRequest(instance);
                 case RESULT -> dispatchAttemptResult(instance);
-                case TIMER -> instance.dispatcher.timer(now, in.readInteger("nonce"));
+                case TIMER -> instance.dispatcher.timerFired(now, in.readInteger("nonce"));
                 case PONG -> dispatchProbeResult(instance);
                 case MEMO -> instance.dispatcher.peerMessage(now, (int) in.readInteger("author"), in.readBase64("bytes"));
                 case HEARTBEAT -> dispatchAttemptNote(instance);
@@ -334,14 +334,14 @@
         String worker = in.readText("worker");
         Outcome outcome = readOutcome();
         in.skipField();
-        instance.dispatcher.probed(now, worker, outcome, readReport(instance));
+        instance.dispatcher.probeEnded(now, worker, outcome, readReport(instance));
     }
 
     private void dispatchAttemptNote(DispatcherInstance instance) {
         long id = in.readInteger("ref");
         int attempt = (int) in.readInteger("try");
         in.skipField();
-        instance.dispatcher.note(now, id, attempt, in.readInteger("kind") == 1);
+        instance.dispatcher.jobProgress(now, id, attempt, in.readInteger("kind") == 1);
     }
 
     private void dispatchWorkerList(DispatcherInstance instance) {
@@ -352,12 +352,12 @@
             throw in.malformed("field kind is unknown");
         }
         if (kind == WATCH_LOST) {
-            instance.dispatcher.workersUnavailable(now, WatchEnd.ENDED);
+            instance.dispatcher.workerListFailed(now, WatchEnd.ENDED);
             return;
         }
         if (number < 0 || workerTables[number] == null) {
             throw in.malformed("field table names no list: " + number);
         }
-        instance.dispatcher.workers(now, ListKind.values()[kind], resolve(workerTables[number], instance.settingsReader));
+        instance.dispatcher.workerList(now, ListKind.values()[kind], resolve(workerTables[number], instance.settingsReader));
     }
 }
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -11,14 +11,14 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 import saffronferry.Balancer;
-import saffronferry.HandoverState;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
-import saffronferry.BalancerEvent;
-import saffronferry.BalancerAction;
+import saffronferry.HandoverState;
 import saffronferry.ops.Bans;
 import saffronferry.ops.Metrics;
 import saffronferry.ops.Metrics.Result;
@@ -192,7 +192,7 @@
 
     /** The state for another process of this dispatcher that runs at the same time, during a replacement. */
     public HandoverState beside() {
-        return balancer.beside();
+        return balancer.handoverState();
     }
 
     public Bans bans() {
@@ -209,7 +209,7 @@
         return new Metrics.Snapshot(
                 unansweredCount,
                 resolverResult.size(),
-                resolverResult.bannedCount() + balancer.avoided(),
+                resolverResult.bannedCount() + balancer.avoidedWorkers(),
                 SharingMetrics.of(balancer.sharing()));
     }
 
--- a/src/test/java/saffronferry/DispatcherHarness.java
+++ b/src/test/java/saffronferry/DispatcherHarness.java
@@ -101,12 +101,12 @@
     }
 
     DispatcherHarness list(WorkerInfo... workers) {
-        dispatcher.workers(now, ListKind.WHOLE, List.of(workers));
+        dispatcher.workerList(now, ListKind.WHOLE, List.of(workers));
         return this;
     }
 
     void change(WorkerInfo... workers) {
-        dispatcher.workers(now, ListKind.CHANGES, List.of(workers));
+        dispatcher.workerList(now, ListKind.CHANGES, List.of(workers));
     }
 
     void request(long id) {
@@ -131,7 +131,7 @@
 
     /** Reports a worker's load: free slots, and no request waiting. */
     void report(String worker, int freeSlots) {
-        dispatcher.probed(now, worker, Outcome.OK, new Report(Double.NaN, 0, freeSlots));
+        dispatcher.probeEnded(now, worker, Outcome.OK, new Report(Double.NaN, 0, freeSlots));
     }
 
     /** Advances the clock and fires the timers that are due on the way. */
@@ -141,7 +141,7 @@
             Map.Entry<Long, List<Long>> next = timers.pollFirstEntry();
             now = Math.max(now, next.getKey());
             for (long token : next.getValue()) {
-                dispatcher.timer(now, token);
+                dispatcher.timerFired(now, token);
             }
         }
         now = end;
@@ -166,14 +166,14 @@
     }
 
     @Override
-    public void send(long id, String worker) {
+    public void startAttempt(long id, String worker) {
         int attempt = attemptCounts.merge(id, 1, Integer::sum) - 1;
         sends.add(new Send(id, attempt, worker, now));
         appendTrace("send " + id + " " + worker);
     }
 
     @Override
-    public void cancel(long id, int attempt) {
+    public void cancelAttempt(long id, int attempt) {
         appendTrace("cancel " + id + " " + attempt);
     }
 
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public void timer(long token, long delay) {
+    public void startTimer(long token, long delay) {
         timers.computeIfAbsent(now + Math.max(1, delay), k -> new ArrayList<>()).add(token);
     }
 
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public void tell(int peer, byte[] bytes) {
+    public void sendToPeer(int peer, byte[] bytes) {
         messageReceivers.add(peer);
         sentMessages.add(bytes);
         appendTrace("tell " + peer + " " + Arrays.hashCode(bytes));
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -611,7 +611,7 @@
         options.onDemand = true;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         assertEquals(1, harness.subscriptions);
-        harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
+        harness.dispatcher.workerListFailed(harness.now, WatchEnd.ENDED);
         harness.advance(S);
         assertEquals(2, harness.subscriptions);
     }
@@ -623,7 +623,7 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (int i = 1; i <= 8; i++) {
             assertEquals(i, harness.subscriptions);
-            harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
+            harness.dispatcher.workerListFailed(harness.now, WatchEnd.ENDED);
             harness.advance(S);
         }
     }
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -95,7 +95,7 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (int i = 0; i < 70; i++) {
             int before = harness.subscriptions;
-            harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
+            harness.dispatcher.workerListFailed(harness.now, WatchEnd.ENDED);
             harness.advance(S);
             assertEquals(before + 1, harness.subscriptions);
         }
@@ -243,7 +243,7 @@
         for (double held : new double[] {Double.NaN, 2}) {
             DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
             harness.report("a", 3);
-            harness.dispatcher.probed(harness.now, "b", Outcome.OK, new Report(held, 0, freeSlots));
+            harness.dispatcher.probeEnded(harness.now, "b", Outcome.OK, new Report(held, 0, freeSlots));
             for (long id = 1; id <= 40; id++) {
                 harness.request(id);
             }
@@ -401,7 +401,7 @@
             harness.request(id);
             for (; seen < harness.sends.size(); seen++) {
                 DispatcherHarness.Send s = harness.sends.get(seen);
-                harness.dispatcher.note(harness.now, s.id(), s.attempt(), true);
+                harness.dispatcher.jobProgress(harness.now, s.id(), s.attempt(), true);
                 harness.endAttempt(s.id(), s.attempt(), Outcome.RESET);
             }
             harness.advance(5 * MS);
--- a/src/test/java/saffronferry/HandoverStateTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -62,7 +62,7 @@
         Balancer next = balancer();
         next.report(
                 2 * S,
-                new BalancerEvent.RunsBeside(new HandoverState(Map.of(), taught().beside().learned())));
+                new BalancerEvent.RunsBeside(new HandoverState(Map.of(), taught().handoverState().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
@@ -71,7 +71,7 @@
         Balancer b = taught();
         b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
-        assertEquals(Map.of("w", 2), b.beside().jobs());
+        assertEquals(Map.of("w", 2), b.handoverState().jobs());
         BalancerEvent three = new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 3), new double[0]));
         assertEquals(1, sent(b.report(2 * S + 10_000, three)));
         assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.RunsBeside(HandoverState.NOBODY))));
@@ -94,7 +94,7 @@
 
     @Test
     void invalidEstimatesAreIgnored() throws Exception {
-        double[] before = balancer().beside().learned();
+        double[] before = balancer().handoverState().learned();
         double[] infinite = before.clone();
         infinite[0] = Double.POSITIVE_INFINITY;
         double[] negative = before.clone();
@@ -102,12 +102,12 @@
         for (double[] learned : new double[][] {{}, {1, 2, 3}, infinite, negative}) {
             Balancer b = balancer();
             b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(new HashMap<>(), learned)));
-            assertArrayEquals(before, b.beside().learned());
+            assertArrayEquals(before, b.handoverState().learned());
         }
         Balancer knows = taught();
-        double[] own = knows.beside().learned();
+        double[] own = knows.handoverState().learned();
         knows.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), before)));
-        assertArrayEquals(own, knows.beside().learned(), "a process with estimates of its own keeps them");
+        assertArrayEquals(own, knows.handoverState().learned(), "a process with estimates of its own keeps them");
         assertTrue(own[0] > 5);
     }
 
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -62,10 +62,10 @@
                 long last = harness.now;
                 long[] nextId = {1};
                 harness.advance(CallPace.SILENCE);
-                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.SILENT);
+                harness.dispatcher.workerListFailed(harness.now, WatchEnd.SILENT);
                 nextCall(harness, nextId);
                 harness.advance(CallPace.FIRST_LIST);
-                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
+                harness.dispatcher.workerListFailed(harness.now, WatchEnd.LATE);
                 nextCall(harness, nextId);
                 harness.advance(ANSWER_US);
                 harness.change(DispatcherHarness.worker("b", 0, WorkerState.DRAINING, 0));
@@ -100,11 +100,11 @@
                 long last = harness.now;
                 long[] nextId = {1};
                 harness.advance(CallPace.SILENCE);
-                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.SILENT);
+                harness.dispatcher.workerListFailed(harness.now, WatchEnd.SILENT);
                 long first = nextCall(harness, nextId);
                 assertTrue(first - last + MAX_CALL_WAIT_US <= ANNOUNCED_US + STOP_US - MARGIN_US, "answered after " + (first - last + MAX_CALL_WAIT_US));
                 harness.advance(MAX_CALL_WAIT_US);
-                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
+                harness.dispatcher.workerListFailed(harness.now, WatchEnd.LATE);
                 long second = nextCall(harness, nextId);
                 long announced = Math.max(last + ANNOUNCED_US, first + MAX_CALL_WAIT_US + AFTER_WAIT_US);
                 assertTrue(second <= announced + STOP_US - MARGIN_US, (second - announced) / 1e6 + " s after it counts as announced");
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -63,10 +63,10 @@
             list.add(info(i, WorkerState.IN_SERVICE));
         }
         nextWorkerNumber = workers;
-        dispatcher.workers(now, ListKind.WARM_COPY, list);
+        dispatcher.workerList(now, ListKind.WARM_COPY, list);
         receivePeerMessages();
         for (int i = 0; i < 400; i++) { // until ownership has settled and slots are learned
-            dispatcher.probed(now, list.get(i % workers).address(), Outcome.OK, new Report(SLOTS_PER_WORKER, 0, SLOTS_PER_WORKER));
+            dispatcher.probeEnded(now, list.get(i % workers).address(), Outcome.OK, new Report(SLOTS_PER_WORKER, 0, SLOTS_PER_WORKER));
             tick();
         }
     }
@@ -100,7 +100,7 @@
             receivePeerMessages();
         }
         long start = THREADS.getCurrentThreadCpuTime();
-        dispatcher.timer(now, tickToken);
+        dispatcher.timerFired(now, tickToken);
         return THREADS.getCurrentThreadCpuTime() - start;
     }
 
@@ -153,14 +153,14 @@
 
     private long change(List<WorkerInfo> entries) {
         long start = THREADS.getCurrentThreadCpuTime();
-        dispatcher.workers(now, ListKind.CHANGES, entries);
+        dispatcher.workerList(now, ListKind.CHANGES, entries);
         return THREADS.getCurrentThreadCpuTime() - start;
     }
 
     /** Applies the whole list again, without any change; returns the cost in ns. */
     long applyWholeList() {
         long start = THREADS.getCurrentThreadCpuTime();
-        dispatcher.workers(now, ListKind.WHOLE, list);
+        dispatcher.workerList(now, ListKind.WHOLE, list);
         return THREADS.getCurrentThreadCpuTime() - start;
     }
 
@@ -239,12 +239,12 @@
     }
 
     @Override
-    public void send(long request, String worker) {
+    public void startAttempt(long request, String worker) {
         sent.add(request);
     }
 
     @Override
-    public void cancel(long request, int attempt) {}
+    public void cancelAttempt(long request, int attempt) {}
 
     @Override
     public void refuse(long request, long retryAfter) {
@@ -257,7 +257,7 @@
     }
 
     @Override
-    public void timer(long token, long delay) {
+    public void startTimer(long token, long delay) {
         tickToken = token;
         nextTick = now + delay;
     }
@@ -266,7 +266,7 @@
     public void probe(String worker) {}
 
     @Override
-    public void tell(int peer, byte[] bytes) {}
+    public void sendToPeer(int peer, byte[] bytes) {}
 
     @Override
     public void subscribe() {}
--- a/src/test/java/saffronferry/ModuleTrace.java
+++ b/src/test/java/saffronferry/ModuleTrace.java
@@ -64,7 +64,7 @@
             options.zone = d % zones;
             options.seed = seed * 100 + d;
             DispatcherHarness harness = new DispatcherHarness(options.settings());
-            harness.dispatcher.workers(harness.now, ListKind.WARM_COPY, listed);
+            harness.dispatcher.workerList(harness.now, ListKind.WARM_COPY, listed);
             harnesses.add(harness);
             asked.add(new HashMap<>());
             running.add(new LinkedHashMap<>());
@@ -125,7 +125,7 @@
         } else if (what == 3) {
             other = addWorker();
         } else if (what == 4 && random.nextInt(8) == 0) {
-            harnesses.forEach(r -> r.dispatcher.workers(r.now, ListKind.WHOLE, listed));
+            harnesses.forEach(r -> r.dispatcher.workerList(r.now, ListKind.WHOLE, listed));
         } else if (what == 5 && random.nextInt(4) == 0) {
             other = new WorkerInfo(w.address(), w.state(), w.kind(), random.nextInt(zones), w.startedAt(), w.cell());
         }
@@ -177,11 +177,11 @@
                 Report report = random.nextInt(4) == 0 ? new Report(random.nextInt(3), 0, random.nextInt(6)) : null;
                 harness.dispatcher.attemptEnded(now, s.id(), s.attempt(), how, now - s.at(), over, report);
             } else if (random.nextInt(60) == 0) {
-                harness.dispatcher.note(now, s.id(), s.attempt(), random.nextBoolean());
+                harness.dispatcher.jobProgress(now, s.id(), s.attempt(), random.nextBoolean());
             }
         }
         if (random.nextInt(20) == 0 && !listed.isEmpty()) {
-            harness.dispatcher.probed(
+            harness.dispatcher.probeEnded(
                     now,
                     listed.get(random.nextInt(listed.size())).address(),
                     Outcome.OK,
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -64,7 +64,7 @@
             for (int i = 0; i < 12; i++) {
                 put("w" + i, WorkerState.IN_SERVICE, 0);
             }
-            harness.dispatcher.workers(harness.now, ListKind.WARM_COPY, List.copyOf(listed.values()));
+            harness.dispatcher.workerList(harness.now, ListKind.WARM_COPY, List.copyOf(listed.values()));
         }
 
         WorkerInfo put(String address, WorkerState state, long startedAt) {
@@ -131,7 +131,7 @@
                 harness.report("w" + random.nextInt(14), random.nextInt(5));
             } else if (event < 97 && !inFlight.isEmpty()) {
                 SentAttempt t = inFlight.get(random.nextInt(inFlight.size()));
-                harness.dispatcher.note(harness.now, t.send.id(), t.send.attempt(), random.nextBoolean());
+                harness.dispatcher.jobProgress(harness.now, t.send.id(), t.send.attempt(), random.nextBoolean());
             } else if (!asked.isEmpty()) {
                 long id = 1 + random.nextLong(nextId - 1);
                 if (!harness.finals.containsKey(id)) {
