--- a/src/main/java/saffronferry/Balancer.java
+++ b/src/main/java/saffronferry/Balancer.java
@@ -29,29 +29,29 @@
         if (event instanceof BalancerEvent.AttemptEnded ended) {
             module.attemptEnded(
                     now, ended.rpc(), ended.attempt(), ended.outcome(), ended.took(), ended.answered(), ended.load());
-        } else if (event instanceof BalancerEvent.AttemptMoved progressed) {
+        } else if (event instanceof BalancerEvent.AttemptProgressed progressed) {
             module.jobProgress(now, progressed.rpc(), progressed.attempt(), progressed.started());
         } else if (event instanceof BalancerEvent.ClientGone gone) {
             module.clientGone(now, gone.rpc());
         } else if (event instanceof BalancerEvent.Probed probed) {
             module.probeEnded(now, probed.subchannel(), probed.outcome(), probed.load());
-        } else if (event instanceof BalancerEvent.PeerSaid received) {
+        } else if (event instanceof BalancerEvent.PeerMessageReceived received) {
             module.peerMessage(now, received.peer(), received.bytes());
         } else if (event instanceof BalancerEvent.Resolved resolved) {
             module.workerList(now, resolved.kind(), resolved.entries());
-        } else if (event instanceof BalancerEvent.RunsBeside other) {
-            module.otherProcessState(now, other.other());
+        } else if (event instanceof BalancerEvent.OtherProcessState other) {
+            module.otherProcessState(now, other.state());
         } else if (event instanceof BalancerEvent.AllowancesChanged changed) {
             module.tenantsChanged(now, changed.tenants());
-        } else if (event instanceof BalancerEvent.Room capacity) {
-            module.attemptCapacityChanged(now, capacity.open());
+        } else if (event instanceof BalancerEvent.AttemptCapacityChanged capacity) {
+            module.attemptCapacityChanged(now, capacity.available());
         } else {
-            module.workerListFailed(now, ((BalancerEvent.WatchLost) event).how());
+            module.workerListFailed(now, ((BalancerEvent.WatchLost) event).reason());
         }
         return actions.take();
     }
 
-    /** Handles the expiry of a timer that was requested by {@link BalancerAction.WakeAfter}. */
+    /** Handles the expiry of a timer that was requested by {@link BalancerAction.StartTimer}. */
     public List<BalancerAction> tick(long now, long token) {
         module.timerFired(now, token);
         return actions.take();
@@ -104,7 +104,7 @@
 
         @Override
         public void startTimer(long token, long delay) {
-            list.add(new BalancerAction.WakeAfter(token, delay));
+            list.add(new BalancerAction.StartTimer(token, delay));
         }
 
         @Override
@@ -114,12 +114,12 @@
 
         @Override
         public void sendToPeer(int peer, byte[] bytes) {
-            list.add(new BalancerAction.TellPeer(peer, bytes));
+            list.add(new BalancerAction.SendToPeer(peer, bytes));
         }
 
         @Override
         public void subscribe() {
-            list.add(new BalancerAction.Watch());
+            list.add(new BalancerAction.WatchWorkerList());
         }
     }
 }
--- a/src/main/java/saffronferry/BalancerAction.java
+++ b/src/main/java/saffronferry/BalancerAction.java
@@ -18,11 +18,11 @@
     record Probe(String subchannel) implements BalancerAction {}
 
     /** Send at most 256 bytes to one peer. */
-    record TellPeer(int peer, byte[] bytes) implements BalancerAction {}
+    record SendToPeer(int peer, byte[] bytes) implements BalancerAction {}
 
     /** Request the worker list from discovery and, from then on, its changes. */
-    record Watch() implements BalancerAction {}
+    record WatchWorkerList() implements BalancerAction {}
 
     /** Call {@link Balancer#tick} with the token after that many microseconds. */
-    record WakeAfter(long token, long delay) implements BalancerAction {}
+    record StartTimer(long token, long delay) implements BalancerAction {}
 }
--- a/src/main/java/saffronferry/BalancerEvent.java
+++ b/src/main/java/saffronferry/BalancerEvent.java
@@ -15,7 +15,7 @@
             implements BalancerEvent {}
 
     /** A subchannel reports that the attempt's job has started, or that it has made progress. */
-    record AttemptMoved(long rpc, int attempt, boolean started) implements BalancerEvent {}
+    record AttemptProgressed(long rpc, int attempt, boolean started) implements BalancerEvent {}
 
     /** The client disconnected; no answer is owed any more. */
     record ClientGone(long rpc) implements BalancerEvent {}
@@ -30,17 +30,17 @@
     record AllowancesChanged(List<Tenant> tenants) implements BalancerEvent {}
 
     /** A datagram from the peer with that number. */
-    record PeerSaid(int peer, byte[] bytes) implements BalancerEvent {}
+    record PeerMessageReceived(int peer, byte[] bytes) implements BalancerEvent {}
 
     /** A resolver result: the complete list, changes to it, or the saved copy that a start begins with. */
     record Resolved(ListKind kind, List<WorkerInfo> entries) implements BalancerEvent {}
 
     /** Whether file descriptors are available for further call attempts; initially they are. */
-    record Room(boolean open) implements BalancerEvent {}
+    record AttemptCapacityChanged(boolean available) implements BalancerEvent {}
 
     /** State of another process of the same dispatcher; {@link HandoverState#NOBODY} once that has ended. */
-    record RunsBeside(HandoverState other) implements BalancerEvent {}
+    record OtherProcessState(HandoverState state) implements BalancerEvent {}
 
     /** The watch on the worker list, or the request for one, failed or ended. */
-    record WatchLost(WatchEnd how) implements BalancerEvent {}
+    record WatchLost(WatchEnd reason) implements BalancerEvent {}
 }
--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -150,10 +150,10 @@
             applyList(r);
             if (!watchRequested) {
                 watchRequested = true;
-                steps.add(new BalancerAction.Watch());
+                steps.add(new BalancerAction.WatchWorkerList());
             }
         } else if (news instanceof BalancerEvent.WatchLost) {
-            steps.add(new BalancerAction.WakeAfter(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
+            steps.add(new BalancerAction.StartTimer(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
         } else if (news instanceof BalancerEvent.ClientGone g) {
             openRequests.remove(g.rpc());
         }
@@ -196,6 +196,6 @@
 
     @Override
     public List<BalancerAction> tick(long now, long token) {
-        return List.of(new BalancerAction.Watch());
+        return List.of(new BalancerAction.WatchWorkerList());
     }
 }
--- a/src/main/java/saffronferry/lab/policy/DispatchLogic.java
+++ b/src/main/java/saffronferry/lab/policy/DispatchLogic.java
@@ -1,9 +1,9 @@
 package saffronferry.lab.policy;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
 import java.util.List;
 import saffronferry.Balancer;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.Settings;
 
@@ -18,7 +18,7 @@
     /** Handles an event. */
     List<BalancerAction> report(long now, BalancerEvent news);
 
-    /** Handles the timer of a {@link BalancerAction.WakeAfter}. */
+    /** Handles the timer of a {@link BalancerAction.StartTimer}. */
     List<BalancerAction> tick(long now, long token);
 
     /** The decisions of the product, through the facade that {@code serve} uses. */
--- a/src/main/java/saffronferry/lab/world/EmulatedDispatcher.java
+++ b/src/main/java/saffronferry/lab/world/EmulatedDispatcher.java
@@ -1,7 +1,5 @@
 package saffronferry.lab.world;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.util.ArrayList;
@@ -9,6 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -179,7 +179,7 @@
     void attemptMoved(long id, int attempt) {
         Rpc rpc = openRpcs.get(id);
         if (rpc != null && !rpc.attempts.get(attempt).ended) {
-            decide(b -> b.report(scheduler.now(), new BalancerEvent.AttemptMoved(id, attempt, true)));
+            decide(b -> b.report(scheduler.now(), new BalancerEvent.AttemptProgressed(id, attempt, true)));
         }
     }
 
@@ -220,7 +220,7 @@
 
     void peerMessageReceived(int peer, byte[] bytes) {
         if (up) {
-            decide(b -> b.report(scheduler.now(), new BalancerEvent.PeerSaid(peer, bytes)));
+            decide(b -> b.report(scheduler.now(), new BalancerEvent.PeerMessageReceived(peer, bytes)));
         }
     }
 
@@ -299,11 +299,11 @@
             complete(f.rpc(), "failed", false, 0);
         } else if (step instanceof BalancerAction.Probe p) {
             probe(p.subchannel());
-        } else if (step instanceof BalancerAction.TellPeer t) {
+        } else if (step instanceof BalancerAction.SendToPeer t) {
             simulation.sendDatagram(this, t.peer(), t.bytes());
-        } else if (step instanceof BalancerAction.Watch) {
+        } else if (step instanceof BalancerAction.WatchWorkerList) {
             simulation.registry.watch(this, ++watchNumber);
-        } else if (step instanceof BalancerAction.WakeAfter w) {
+        } else if (step instanceof BalancerAction.StartTimer w) {
             int currentIncarnation = incarnation;
             scheduler.after(w.delay(), () -> {
                 if (up && currentIncarnation == incarnation) {
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -12,9 +12,9 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 import saffronferry.Balancer;
-import saffronferry.HandoverState;
-import saffronferry.Contract.JobClass;
 import saffronferry.BalancerEvent;
+import saffronferry.Contract.JobClass;
+import saffronferry.HandoverState;
 import saffronferry.limit.AcceptGate;
 import saffronferry.limit.Descriptors;
 import saffronferry.log.BoundedLog;
@@ -215,7 +215,7 @@
             siblingMonitor.start(wire.coordinator()::beside, new SiblingMonitor.Listener() {
                 @Override
                 public void siblingStateChanged(HandoverState state) {
-                    wire.coordinator().report(new BalancerEvent.RunsBeside(state));
+                    wire.coordinator().report(new BalancerEvent.OtherProcessState(state));
                 }
 
                 @Override
--- a/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
+++ b/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
@@ -1,18 +1,18 @@
 package saffronferry.scale;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
-import saffronferry.lab.policy.DispatchLogic;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.scale.CostMeter.DecisionKind;
 import saffronferry.scale.CostMeter.DispatcherCost;
 import saffronferry.scale.CostMeter.MessageKind;
@@ -58,7 +58,7 @@
         if (news instanceof BalancerEvent.Resolved resolved) {
             return reportList(now, resolved);
         }
-        if (news instanceof BalancerEvent.PeerSaid datagram) {
+        if (news instanceof BalancerEvent.PeerMessageReceived datagram) {
             meter.recordMessage(cost, MessageKind.DATAGRAM_IN, datagram.bytes().length, now);
             return decide(DecisionKind.DATAGRAM, now, () -> module.report(now, news));
         }
@@ -112,11 +112,11 @@
         List<BalancerAction> steps = decision.get();
         meter.recordDecision(cost, kind, meter.clock.elapsedSince(startNanos), now);
         for (BalancerAction step : steps) {
-            if (step instanceof BalancerAction.TellPeer datagram) {
+            if (step instanceof BalancerAction.SendToPeer datagram) {
                 meter.recordMessage(cost, MessageKind.DATAGRAM_OUT, datagram.bytes().length, now);
             } else if (step instanceof BalancerAction.Probe) {
                 meter.recordMessage(cost, MessageKind.PROBE_OUT, PROBE_BYTES, now);
-            } else if (step instanceof BalancerAction.Watch) {
+            } else if (step instanceof BalancerAction.WatchWorkerList) {
                 meter.recordMessage(cost, MessageKind.LIST_OUT, WATCH_BYTES, now);
             }
         }
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -220,7 +220,7 @@
 
     @Override
     public void progressed(CallAttempt attempt, boolean started) {
-        report(new BalancerEvent.AttemptMoved(attempt.rpcId, attempt.index, started));
+        report(new BalancerEvent.AttemptProgressed(attempt.rpcId, attempt.index, started));
     }
 
     @Override
@@ -290,11 +290,11 @@
             answerIfOpen(fail.rpc(), Result.ERRORS, Channel::failed);
         } else if (step instanceof BalancerAction.Probe probe) {
             probe(probe.subchannel());
-        } else if (step instanceof BalancerAction.TellPeer send) {
+        } else if (step instanceof BalancerAction.SendToPeer send) {
             outbound.sendToPeer(send.peer(), send.bytes());
-        } else if (step instanceof BalancerAction.Watch) {
+        } else if (step instanceof BalancerAction.WatchWorkerList) {
             outbound.watchList(resolverResult.revision());
-        } else if (step instanceof BalancerAction.WakeAfter wake) {
+        } else if (step instanceof BalancerAction.StartTimer wake) {
             outbound.schedule(wake.delay(), () -> tick(wake.token()));
         }
     }
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import saffronferry.Balancer;
-import saffronferry.Contract.JobClass;
 import saffronferry.BalancerEvent;
+import saffronferry.Contract.JobClass;
 import saffronferry.agree.Gossip;
 import saffronferry.limit.AttemptRoom;
 import saffronferry.limit.Descriptors;
@@ -74,7 +74,7 @@
         peerListen = options.peerListen();
         listPushed = options.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
-        AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new BalancerEvent.Room(open)));
+        AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
         descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
                 vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
@@ -165,7 +165,7 @@
         if (settingsListener != null && Gossip.isGossipDatagram(bytes)) {
             settingsListener.accept(peer, bytes);
         } else {
-            coordinator.report(new BalancerEvent.PeerSaid(peer, bytes));
+            coordinator.report(new BalancerEvent.PeerMessageReceived(peer, bytes));
         }
     }
 
--- a/src/test/java/saffronferry/HandoverStateTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -62,19 +62,19 @@
         Balancer next = balancer();
         next.report(
                 2 * S,
-                new BalancerEvent.RunsBeside(new HandoverState(Map.of(), taught().handoverState().learned())));
+                new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), taught().handoverState().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
     @Test
     void slotsThatTheOtherProcessUsesCountAsTakenUntilItsNextState() throws Exception {
         Balancer b = taught();
-        b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
+        b.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
         assertEquals(Map.of("w", 2), b.handoverState().jobs());
-        BalancerEvent three = new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 3), new double[0]));
+        BalancerEvent three = new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 3), new double[0]));
         assertEquals(1, sent(b.report(2 * S + 10_000, three)));
-        assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.RunsBeside(HandoverState.NOBODY))));
+        assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.OtherProcessState(HandoverState.NOBODY))));
     }
 
     /** If the other process's jobs were not counted, each report would make the worker seem smaller during an upgrade. */
@@ -82,13 +82,13 @@
     void slotEstimatesAccountForJobsOfTheOtherProcess() throws Exception {
         Balancer b = balancer();
         long now = 2 * S;
-        b.report(now, new BalancerEvent.RunsBeside(new HandoverState(Map.of("w", 4), new double[0])));
+        b.report(now, new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 4), new double[0])));
         for (int i = 0; i < 40; i++) {
             now += S;
             b.tick(now, 1);
             b.report(now, new BalancerEvent.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 2)));
         }
-        b.report(now, new BalancerEvent.RunsBeside(HandoverState.NOBODY));
+        b.report(now, new BalancerEvent.OtherProcessState(HandoverState.NOBODY));
         assertEquals(6, fill(b, now, 9));
     }
 
@@ -101,12 +101,12 @@
         negative[1] = -1;
         for (double[] learned : new double[][] {{}, {1, 2, 3}, infinite, negative}) {
             Balancer b = balancer();
-            b.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(new HashMap<>(), learned)));
+            b.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(new HashMap<>(), learned)));
             assertArrayEquals(before, b.handoverState().learned());
         }
         Balancer knows = taught();
         double[] own = knows.handoverState().learned();
-        knows.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), before)));
+        knows.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), before)));
         assertArrayEquals(own, knows.handoverState().learned(), "a process with estimates of its own keeps them");
         assertTrue(own[0] > 5);
     }
@@ -136,7 +136,7 @@
     void bothProcessesShareTheBudgetOfColdWorkers() throws Exception {
         int alone = sentCold(taught());
         Balancer one = taught();
-        one.report(2 * S, new BalancerEvent.RunsBeside(new HandoverState(Map.of(), new double[] {1})));
+        one.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), new double[] {1})));
         int ofTwo = sentCold(one);
         assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " with another process, " + alone + " alone");
     }
--- a/src/test/java/saffronferry/lab/check/DispatcherHarness.java
+++ b/src/test/java/saffronferry/lab/check/DispatcherHarness.java
@@ -1,9 +1,5 @@
 package saffronferry.lab.check;
 
-import saffronferry.BalancerEvent;
-import saffronferry.ops.Metrics;
-import saffronferry.state.OutboundOperations;
-import saffronferry.state.RpcCoordinator;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,6 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import saffronferry.Balancer;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -21,10 +18,13 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.fleet.WatchEnd;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.ops.Metrics;
 import saffronferry.state.CallAttempt;
 import saffronferry.state.Channel;
 import saffronferry.state.Clock;
 import saffronferry.state.ListUpdate;
+import saffronferry.state.OutboundOperations;
+import saffronferry.state.RpcCoordinator;
 import saffronferry.state.RpcInfo;
 
 /** Runs the product's request state and balancers in virtual time and records all their inputs and outputs. */
@@ -379,7 +379,7 @@
             if (random.nextInt(20) > 0) {
                 at(now + 1_000 + random.nextLong(30_000), () -> {
                     if (dispatchers.containsKey(peer)) {
-                        dispatchers.get(peer).ledger.report(new BalancerEvent.PeerSaid(number, bytes));
+                        dispatchers.get(peer).ledger.report(new BalancerEvent.PeerMessageReceived(number, bytes));
                     }
                 });
             }
--- a/src/test/java/saffronferry/scale/ScaleSimulationTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -99,7 +99,7 @@
         @Override
         public List<BalancerAction> report(long now, BalancerEvent what) {
             news.add(what);
-            return List.of(new BalancerAction.TellPeer(1, new byte[40]), new BalancerAction.Probe("10.0.0.1:9100"));
+            return List.of(new BalancerAction.SendToPeer(1, new byte[40]), new BalancerAction.Probe("10.0.0.1:9100"));
         }
 
         @Override
@@ -117,12 +117,12 @@
         long now = ClusterSimulation.LOAD_START_US + 1_500_000;
         instrumented.report(now, new BalancerEvent.Resolved(ListKind.CHANGES, sentEntries));
         byte[] datagram = {1, 2, 3};
-        instrumented.report(now, new BalancerEvent.PeerSaid(4, datagram));
+        instrumented.report(now, new BalancerEvent.PeerMessageReceived(4, datagram));
         instrumented.report(now, new BalancerEvent.Resolved(ListKind.WARM_COPY, sentEntries));
         List<WorkerInfo> seen = ((BalancerEvent.Resolved) recorder.news.get(0)).entries();
         assertEquals(sentEntries, seen);
         assertNotSame(sentEntries.get(0), seen.get(0));
-        assertArrayEquals(datagram, ((BalancerEvent.PeerSaid) recorder.news.get(1)).bytes());
+        assertArrayEquals(datagram, ((BalancerEvent.PeerMessageReceived) recorder.news.get(1)).bytes());
         CostMeter.DispatcherCost cost = meter.costs.get(0);
         assertEquals(
                 meter.listCodec.encode(sentEntries, ListKind.CHANGES).length,
@@ -161,8 +161,8 @@
     void onlyTheTimeUnderLoadIsCounted() throws Exception {
         CostMeter meter = new CostMeter(small(""), now -> {});
         DispatchLogic instrumented = meter.wrap(new RecordingBrain(), 0);
-        instrumented.report(ClusterSimulation.LOAD_START_US - 1, new BalancerEvent.PeerSaid(1, new byte[10]));
-        instrumented.report(ClusterSimulation.LOAD_START_US + 3_000_000, new BalancerEvent.PeerSaid(1, new byte[10]));
+        instrumented.report(ClusterSimulation.LOAD_START_US - 1, new BalancerEvent.PeerMessageReceived(1, new byte[10]));
+        instrumented.report(ClusterSimulation.LOAD_START_US + 3_000_000, new BalancerEvent.PeerMessageReceived(1, new byte[10]));
         CostMeter.DispatcherCost cost = meter.costs.get(0);
         assertEquals(0, cost.controlBytes());
         assertTrue(cost.startBytes > 10, "counted for the start: " + cost.startBytes);
--- a/src/test/java/saffronferry/state/RpcCoordinatorTest.java
+++ b/src/test/java/saffronferry/state/RpcCoordinatorTest.java
@@ -10,10 +10,10 @@
 import org.json.JSONObject;
 import org.junit.Test;
 import saffronferry.Balancer;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.BalancerEvent;
 import saffronferry.ops.Metrics;
 import saffronferry.settings.SettingsReader;
 
@@ -141,7 +141,7 @@
         assertEquals("the failed attempt does not count as started", 0, started.size());
         error = null;
         coordinator.open(new RpcInfo("v", 0, 0, 3_000_000, 1, false), "m", channel);
-        coordinator.report(new BalancerEvent.Room(true));
+        coordinator.report(new BalancerEvent.AttemptCapacityChanged(true));
         timers.values().stream().toList().forEach(Runnable::run);
         assertEquals("each RPC has one answer", 2, answers.size());
     }
@@ -150,11 +150,11 @@
     @Test
     public void rpcsAreHeldWhileNoConnectionCanBeOpened() throws Exception {
         begin();
-        coordinator.report(new BalancerEvent.Room(false));
+        coordinator.report(new BalancerEvent.AttemptCapacityChanged(false));
         open();
         assertEquals(0, started.size());
         assertEquals(List.of(), answers);
-        coordinator.report(new BalancerEvent.Room(true));
+        coordinator.report(new BalancerEvent.AttemptCapacityChanged(true));
         assertEquals(1, started.size());
         started.get(0).served("r", null);
         assertEquals(List.of("r"), answers);
