--- a/src/main/java/saffronferry/BalancerEvent.java
+++ b/src/main/java/saffronferry/BalancerEvent.java
@@ -38,7 +38,7 @@
     /** Whether file descriptors are available for further call attempts; initially they are. */
     record AttemptCapacityChanged(boolean available) implements BalancerEvent {}
 
-    /** State of another process of the same dispatcher; {@link HandoverState#NOBODY} once that has ended. */
+    /** State of another process of the same dispatcher; {@link HandoverState#NONE} once that has ended. */
     record OtherProcessState(HandoverState state) implements BalancerEvent {}
 
     /** The watch on the worker list, or the request for one, failed or ended. */
--- a/src/main/java/saffronferry/Contract.java
+++ b/src/main/java/saffronferry/Contract.java
@@ -172,7 +172,7 @@
         /** State for another process of this dispatcher while one replaces the other. */
         HandoverState handoverState();
 
-        /** State of the other process of this dispatcher; {@link HandoverState#NOBODY} when it has ended. */
+        /** State of the other process of this dispatcher; {@link HandoverState#NONE} when it has ended. */
         void otherProcessState(long now, HandoverState state);
 
         /** Replaces the tenants' allowances. Known tenants keep their index, new ones are appended. */
--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -1328,10 +1328,10 @@
     public void otherProcessState(long clock, HandoverState other) {
         now = clock;
         estimates.take(other.learned());
-        processCount = other.equals(HandoverState.NOBODY) ? 1 : 2;
+        processCount = other.equals(HandoverState.NONE) ? 1 : 2;
         repeatBudget.share(processCount);
         for (Worker worker : workerIndex.all()) {
-            siblingProcess.setHold(worker, other.jobs().getOrDefault(worker.address, 0), now);
+            siblingProcess.setHold(worker, other.busySlots().getOrDefault(worker.address, 0), now);
             refresh(worker);
         }
         sendHeld();
--- a/src/main/java/saffronferry/lifecycle/ProcessRegistry.java
+++ b/src/main/java/saffronferry/lifecycle/ProcessRegistry.java
@@ -109,16 +109,16 @@
     Siblings exchangeState(HandoverState own) throws IOException {
         List<Long> others = liveSiblings();
         if (others.isEmpty()) {
-            return new Siblings(0, HandoverState.NOBODY);
+            return new Siblings(0, HandoverState.NONE);
         }
         JSONObject json =
-                new JSONObject().put("jobs", new JSONObject(own.jobs())).put("learned", new JSONArray(own.learned()));
+                new JSONObject().put("jobs", new JSONObject(own.busySlots())).put("learned", new JSONArray(own.learned()));
         writeAtomically(stateFile(self), json.toString());
         Map<String, Integer> jobs = new HashMap<>();
         double[] learned = {};
         for (long other : others) {
             HandoverState state = readState(stateFile(other));
-            state.jobs().forEach((worker, slots) -> jobs.merge(worker, slots, Integer::sum));
+            state.busySlots().forEach((worker, slots) -> jobs.merge(worker, slots, Integer::sum));
             learned = state.learned().length > 0 ? state.learned() : learned;
         }
         return new Siblings(others.size(), new HandoverState(jobs, learned));
@@ -138,7 +138,7 @@
             }
             return new HandoverState(jobs, values);
         } catch (IOException | JSONException e) {
-            return HandoverState.NOBODY;
+            return HandoverState.NONE;
         }
     }
 
--- a/src/main/java/saffronferry/lifecycle/SiblingMonitor.java
+++ b/src/main/java/saffronferry/lifecycle/SiblingMonitor.java
@@ -55,10 +55,10 @@
         this.log = log;
         try {
             registry.registerStarted();
-            last = registry.exchangeState(HandoverState.NOBODY);
+            last = registry.exchangeState(HandoverState.NONE);
         } catch (IOException e) {
             log.line("cannot register this process", String.valueOf(e));
-            last = new ProcessRegistry.Siblings(0, HandoverState.NOBODY);
+            last = new ProcessRegistry.Siblings(0, HandoverState.NONE);
         }
         descriptors.share(1 + last.count());
     }
@@ -77,7 +77,7 @@
 
     /** The next poll is scheduled when this one has ended, so that polls cannot pile up behind a slow folder. */
     private void poll() {
-        HandoverState published = last.count() > 0 ? ownState.get() : HandoverState.NOBODY;
+        HandoverState published = last.count() > 0 ? ownState.get() : HandoverState.NONE;
         vertx.executeBlocking(() -> {
                     ProcessRegistry.Siblings siblings = registry.exchangeState(published);
                     return new PollResult(
--- a/src/test/java/saffronferry/HandoverStateTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -71,10 +71,10 @@
         Balancer b = taught();
         b.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
-        assertEquals(Map.of("w", 2), b.handoverState().jobs());
+        assertEquals(Map.of("w", 2), b.handoverState().busySlots());
         BalancerEvent three = new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 3), new double[0]));
         assertEquals(1, sent(b.report(2 * S + 10_000, three)));
-        assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.OtherProcessState(HandoverState.NOBODY))));
+        assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.OtherProcessState(HandoverState.NONE))));
     }
 
     /** If the other process's jobs were not counted, each report would make the worker seem smaller during an upgrade. */
@@ -88,7 +88,7 @@
             b.tick(now, 1);
             b.report(now, new BalancerEvent.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 2)));
         }
-        b.report(now, new BalancerEvent.OtherProcessState(HandoverState.NOBODY));
+        b.report(now, new BalancerEvent.OtherProcessState(HandoverState.NONE));
         assertEquals(6, fill(b, now, 9));
     }
 
--- a/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
+++ b/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
@@ -89,13 +89,13 @@
 
     @Test
     public void onlyLiveProcessesAreSiblings() throws Exception {
-        assertEquals(0, registry.exchangeState(HandoverState.NOBODY).count());
+        assertEquals(0, registry.exchangeState(HandoverState.NONE).count());
         assertFalse(
                 "no sibling would read it",
                 Files.exists(file("d.told-" + ProcessHandle.current().pid())));
         Files.writeString(file("d.process-" + other.pid()), "");
         Files.writeString(file("d.process-rubbish"), "");
-        assertEquals(new ProcessRegistry.Siblings(1, HandoverState.NOBODY), registry.exchangeState(HandoverState.NOBODY));
+        assertEquals(new ProcessRegistry.Siblings(1, HandoverState.NONE), registry.exchangeState(HandoverState.NONE));
         Files.writeString(file("d.told-" + other.pid()), "{\"jobs\":{\"w\":3,\"x\":-2},\"learned\":[1,2.5]}");
         HandoverState received =
                 registry.exchangeState(new HandoverState(Map.of("y", 1), new double[] {7})).state();
@@ -105,10 +105,10 @@
                 published, new JSONObject("{\"jobs\":{\"y\":1},\"learned\":[7]}").similar(new JSONObject(published)));
         for (String damaged : List.of("", "{\"jobs\":{\"w\":3", "{\"jobs\":{\"w\":\"many\"},\"learned\":[]}")) {
             Files.writeString(file("d.told-" + other.pid()), damaged);
-            assertEquals(damaged, HandoverState.NOBODY, registry.exchangeState(HandoverState.NOBODY).state());
+            assertEquals(damaged, HandoverState.NONE, registry.exchangeState(HandoverState.NONE).state());
         }
         other.destroyForcibly().waitFor();
-        assertEquals(0, registry.exchangeState(HandoverState.NOBODY).count());
+        assertEquals(0, registry.exchangeState(HandoverState.NONE).count());
         assertFalse("files of ended processes are deleted", Files.exists(file("d.told-" + other.pid())));
     }
 }
--- a/src/test/java/saffronferry/lifecycle/SiblingMonitorTest.java
+++ b/src/test/java/saffronferry/lifecycle/SiblingMonitorTest.java
@@ -46,7 +46,7 @@
                     new Descriptors(1024, 32),
                     new BoundedLog());
             polls.set(0);
-            vertx.runOnContext(v -> monitor.start(() -> HandoverState.NOBODY, new SiblingMonitor.Listener() {
+            vertx.runOnContext(v -> monitor.start(() -> HandoverState.NONE, new SiblingMonitor.Listener() {
                 @Override
                 public void siblingStateChanged(HandoverState state) {}
 
