--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -318,7 +318,7 @@
     private boolean fitsNoWorker(Job job) {
         int present = 0;
         for (int k = 0; k < workerIndex.kindGroups(); k++) {
-            boolean fits = estimates.weight[k] == 0 || 2 * estimates.ours(k) >= job.request.slots();
+            boolean fits = estimates.slotSamples[k] == 0 || 2 * estimates.availableSlots(k) >= job.request.slots();
             if (workerIndex.presentCount(k) > 0 && fits && (job.spec.kind() < 0 || job.spec.kind() == k)) {
                 return false;
             }
@@ -377,7 +377,7 @@
                     continue;
                 }
                 double score =
-                        overload ? job.spec.value() / estimates.mean[c] : -(job.arrivedAt + (double) slackUs(c));
+                        overload ? job.spec.value() / estimates.meanRunTime[c] : -(job.arrivedAt + (double) slackUs(c));
                 if (best == null || score > bestScore) {
                     best = job;
                     bestScore = score;
@@ -409,7 +409,7 @@
     /** How long a job of the class may wait and probably still be in time. */
     private long slackUs(int jobClass) {
         JobClass spec = settings.classes().get(jobClass);
-        double spare = (spec.targetStretch() * estimates.base[jobClass] - estimates.mean[jobClass]) / 2;
+        double spare = (spec.targetStretch() * estimates.bestRunTime[jobClass] - estimates.meanRunTime[jobClass]) / 2;
         return (long) Math.max(spec.latencyTarget() + spare, spec.latencyTarget() * 0.3);
     }
 
@@ -508,12 +508,12 @@
 
     // ---- slot learning ----
     private int kindGroup(int kind) {
-        return kind < 0 ? estimates.slots.length - 1 : kind;
+        return kind < 0 ? estimates.slotEstimate.length - 1 : kind;
     }
 
     private double freeSlots(Worker worker) {
         // on trial a worker gets one job at a time
-        double slots = worker.failedTrials > 0 ? 1 : estimates.usable(kindGroup(worker.kind));
+        double slots = worker.failedTrials > 0 ? 1 : estimates.usableSlots(kindGroup(worker.kind));
         return slots - worker.localSlots - worker.peerSlots;
     }
 
@@ -542,14 +542,14 @@
         }
         refresh(worker);
         int kindGroup = kindGroup(worker.kind);
-        estimates.learnIdle(kindGroup, freeSlots);
+        estimates.recordFreeSlots(kindGroup, freeSlots);
         if (!Double.isNaN(report.held()) && !Double.isNaN(report.queued())) {
-            estimates.learnSlots(kindGroup, freeSlots + report.held() - report.queued());
+            estimates.recordSlots(kindGroup, freeSlots + report.held() - report.queued());
         } else if (worker.ownedLocally) { // only the owner knows of all jobs at a worker
             // The report is old by now. What it leaves out are the slots that were in use when it was made, not those
             // in use now; the average over a report's age stands for them.
             double total = freeSlots - (report.queued() > 0 ? report.queued() : 0) + worker.averageUsedSlots;
-            estimates.learnSlots(kindGroup, total);
+            estimates.recordSlots(kindGroup, total);
         }
         refresh(worker);
     }
@@ -575,7 +575,7 @@
         if (worker != null && report != null) {
             learnFromReport(worker, report);
         }
-        if (worker != null && report == null && estimates.weight[kindGroup(worker.kind)] == 0) {
+        if (worker != null && report == null && estimates.slotSamples[kindGroup(worker.kind)] == 0) {
             worker.lastProbeAt = now - MAX_EXCHANGE_PERIOD_US + PROBE_RETRY_US;
         }
         sendHeld();
@@ -668,7 +668,7 @@
 
     /** Adds loans of the budgets of owned cold workers to a message for a peer that asks for slots. */
     private PeerMessage addLoans(Peer peer, PeerMessage message) {
-        double share = Peer.roundUpToBudgetUnits(estimates.longest());
+        double share = Peer.roundUpToBudgetUnits(estimates.longestSlotTime());
         for (Worker worker :
                 peer.mayLend(message, now, settings.zone()) ? workerIndex.coldOwned() : List.<Worker>of()) {
             if (worker.openIndex >= 0 && coldBudgetCovers(worker, share, true)) {
@@ -799,7 +799,7 @@
         ownershipFingerprint = workerIndex.promoteWarm(now - settings.coldPeriod()) ? 0 : ownershipFingerprint;
         zoneHasCold = workerIndex.hasCold();
         for (int k = 0; k < workerIndex.kindGroups(); k++) {
-            zoneSlots += workerIndex.availableCount(k) * estimates.ours(k);
+            zoneSlots += workerIndex.availableCount(k) * estimates.availableSlots(k);
         }
     }
 
@@ -961,9 +961,9 @@
                 worker.consecutiveFulls = attempt.sentAt > worker.lastFullAt ? 0 : worker.consecutiveFulls;
                 int jobClass = attempt.job.request.jobClass();
                 long ran = attempt.startedAt > 0 ? Math.max(1, now - attempt.startedAt) : Math.max(1, took);
-                estimates.ran(jobClass, kindGroup(worker.kind), ran);
+                estimates.recordRunTime(jobClass, kindGroup(worker.kind), ran);
                 worker.runningTimeRatio +=
-                        (Math.min(4, ran / estimates.mean[jobClass]) - worker.runningTimeRatio) * 0.05;
+                        (Math.min(4, ran / estimates.meanRunTime[jobClass]) - worker.runningTimeRatio) * 0.05;
                 recordSignOfLife(worker);
             }
             case ERROR -> {
@@ -1028,7 +1028,7 @@
     /** When a refused client should retry: once this dispatcher's share of the zone has run the jobs held now. */
     private long retryAfterUs(Job job) {
         double rounds = heldSlots / Math.max(zoneSlots * zoneTrafficShare, 1);
-        long minDelayUs = Math.max(TICK_US, (long) (rounds * estimates.mean[job.request.jobClass()]));
+        long minDelayUs = Math.max(TICK_US, (long) (rounds * estimates.meanRunTime[job.request.jobClass()]));
         return Math.min(settings.maxRetryAfter(), withJitter(minDelayUs));
     }
 
@@ -1121,7 +1121,7 @@
      * cold workers first while warm ones have free slots.
      */
     private boolean coldBudgetCovers(Worker worker, double slotTimeUs, boolean jobsWait) {
-        double rate = coldRate.of(now - worker.coldSince) * estimates.whole(kindGroup(worker.kind)) / processCount;
+        double rate = coldRate.of(now - worker.coldSince) * estimates.totalSlots(kindGroup(worker.kind)) / processCount;
         double share = worker.coldBudget.part(coldShares, now, worker.hash, worker.zone == settings.zone());
         share = jobsWait ? worker.coldBudget.growth.of(share, now) : share;
         return worker.coldBudget.covers(slotTimeUs, now, share, rate, coldShares.phase(worker.hash));
@@ -1129,7 +1129,7 @@
 
     /** Slot time that a job is expected to take at a worker if it runs there alone. */
     private double expectedSlotTimeUs(Job job, Worker worker) {
-        return estimates.cost(job.request, kindGroup(worker.kind));
+        return estimates.expectedSlotTime(job.request, kindGroup(worker.kind));
     }
 
     private void markCold(long restartedAt, Worker worker) {
@@ -1321,13 +1321,13 @@
     // ---- another process of this dispatcher, which replaces this one or is replaced by it ----
     @Override
     public HandoverState handoverState() {
-        return new HandoverState(workerIndex.localSlotsByAddress(), estimates.told());
+        return new HandoverState(workerIndex.localSlotsByAddress(), estimates.snapshot());
     }
 
     @Override
     public void otherProcessState(long clock, HandoverState other) {
         now = clock;
-        estimates.take(other.learned());
+        estimates.restore(other.learned());
         processCount = other.equals(HandoverState.NONE) ? 1 : 2;
         repeatBudget.share(processCount);
         for (Worker worker : workerIndex.all()) {
--- a/src/main/java/saffronferry/LearnedEstimates.java
+++ b/src/main/java/saffronferry/LearnedEstimates.java
@@ -25,101 +25,101 @@
     private static final double MAX_SLOT_SAMPLES = 10;
 
     /** Learned slots of a worker by kind; the last element is for unknown kinds. */
-    final double[] slots;
-    /** Number of reports behind each element of {@link #slots}, up to a maximum. */
-    final double[] weight;
+    final double[] slotEstimate;
+    /** Number of reports behind each element of {@link #slotEstimate}, up to a maximum. */
+    final double[] slotSamples;
     /** Counts changes of usable slots, after which the index of workers with free slots has to be updated. */
-    int usableChanges;
+    int usableSlotChanges;
     /** Slowly decaying maximum of the free slots that workers of a kind report. */
-    private final double[] idle;
+    private final double[] mostFreeSlots;
     /** Running time at a worker of each kind, relative to the class's mean. */
-    final double[] pace;
+    final double[] kindSlowdown;
     /** Recent mean running time by class. */
-    final double[] mean;
+    final double[] meanRunTime;
     /** Running time by class on lightly loaded workers: follows decreases of the mean quickly, increases slowly. */
-    final double[] base;
+    final double[] bestRunTime;
     /** Number of served jobs by class. */
-    final int[] ended;
+    final int[] endedJobs;
 
     LearnedEstimates(int kinds, List<Contract.JobClass> classes, double firstMean) {
-        slots = new double[kinds + 1];
-        weight = new double[kinds + 1];
-        idle = new double[kinds + 1];
-        pace = new double[kinds + 1];
-        Arrays.fill(pace, 1);
-        mean = classes.stream().mapToDouble(c -> Math.max(firstMean, c.latencyTarget())).toArray();
-        base = mean.clone();
-        ended = new int[mean.length];
+        slotEstimate = new double[kinds + 1];
+        slotSamples = new double[kinds + 1];
+        mostFreeSlots = new double[kinds + 1];
+        kindSlowdown = new double[kinds + 1];
+        Arrays.fill(kindSlowdown, 1);
+        meanRunTime = classes.stream().mapToDouble(c -> Math.max(firstMean, c.latencyTarget())).toArray();
+        bestRunTime = meanRunTime.clone();
+        endedJobs = new int[meanRunTime.length];
     }
 
     /** Records that a worker of the kind ran a job of the class in {@code took} microseconds. */
-    void ran(int jobClass, int kind, long took) {
-        pace[kind] += (Math.min(MAX_SLOWDOWN, took / mean[jobClass]) - pace[kind]) * MIN_MEAN_RATE;
+    void recordRunTime(int jobClass, int kind, long took) {
+        kindSlowdown[kind] += (Math.min(MAX_SLOWDOWN, took / meanRunTime[jobClass]) - kindSlowdown[kind]) * MIN_MEAN_RATE;
         // The first jobs weigh more: an initial estimate that is far too low would make workers with long jobs suspect.
-        ended[jobClass] = Dispatcher.saturatingIncrement(ended[jobClass]);
-        double rate = Math.max(MIN_MEAN_RATE, 1 / (ended[jobClass] + 1.0));
-        mean[jobClass] += (took - mean[jobClass]) * rate;
-        base[jobClass] += (mean[jobClass] - base[jobClass])
-                * (rate > MIN_MEAN_RATE ? 1 : mean[jobClass] < base[jobClass] ? rate : BEST_TIME_RISE_RATE);
+        endedJobs[jobClass] = Dispatcher.saturatingIncrement(endedJobs[jobClass]);
+        double rate = Math.max(MIN_MEAN_RATE, 1 / (endedJobs[jobClass] + 1.0));
+        meanRunTime[jobClass] += (took - meanRunTime[jobClass]) * rate;
+        bestRunTime[jobClass] += (meanRunTime[jobClass] - bestRunTime[jobClass])
+                * (rate > MIN_MEAN_RATE ? 1 : meanRunTime[jobClass] < bestRunTime[jobClass] ? rate : BEST_TIME_RISE_RATE);
     }
 
     /**
      * Records the number of slots that a worker of the kind has for our jobs. The first reports count fully, since an
      * estimate that is too low leaves slots idle on every worker of the kind.
      */
-    void learnSlots(int kind, double total) {
+    void recordSlots(int kind, double total) {
         // One absurd value would overload or idle all workers of the kind, an infinite one permanently.
         if (!(Math.abs(total) <= MAX_SLOTS)) {
             return;
         }
-        weight[kind] = Math.min(weight[kind] + 1, MAX_SLOT_SAMPLES);
-        double before = usable(kind);
-        slots[kind] += (total - slots[kind]) / weight[kind];
-        usableChanges += usable(kind) != before ? 1 : 0;
+        slotSamples[kind] = Math.min(slotSamples[kind] + 1, MAX_SLOT_SAMPLES);
+        double before = usableSlots(kind);
+        slotEstimate[kind] += (total - slotEstimate[kind]) / slotSamples[kind];
+        usableSlotChanges += usableSlots(kind) != before ? 1 : 0;
     }
 
     /** Records the number of free slots that a worker of the kind reports. */
-    void learnIdle(int kind, double free) {
+    void recordFreeSlots(int kind, double free) {
         if (Math.abs(free) <= MAX_SLOTS) {
-            idle[kind] += (free - idle[kind]) * (free > idle[kind] ? FREE_SLOTS_RISE_RATE : FREE_SLOTS_FALL_RATE);
+            mostFreeSlots[kind] += (free - mostFreeSlots[kind]) * (free > mostFreeSlots[kind] ? FREE_SLOTS_RISE_RATE : FREE_SLOTS_FALL_RATE);
         }
     }
 
     /** Slots of a worker that are available to our jobs: all, less those used by dispatchers without contact to us. */
-    double ours(int kind) {
-        return slots[kind] > 0 ? slots[kind] : DEFAULT_SLOTS;
+    double availableSlots(int kind) {
+        return slotEstimate[kind] > 0 ? slotEstimate[kind] : DEFAULT_SLOTS;
     }
 
     /** The available slots, rounded to a whole number of jobs. */
-    double usable(int kind) {
-        return Math.floor(ours(kind) + 0.4);
+    double usableSlots(int kind) {
+        return Math.floor(availableSlots(kind) + 0.4);
     }
 
     /** All slots of a worker, whichever dispatcher uses them; the basis of the budget for cold workers. */
-    double whole(int kind) {
-        return Math.max(ours(kind), idle[kind]);
+    double totalSlots(int kind) {
+        return Math.max(availableSlots(kind), mostFreeSlots[kind]);
     }
 
     /** Expected slot time in microseconds of a job that runs alone on a worker of the kind. */
-    double cost(Contract.Request job, int kind) {
-        return base[job.jobClass()] * pace[kind] * job.slots();
+    double expectedSlotTime(Contract.Request job, int kind) {
+        return bestRunTime[job.jobClass()] * kindSlowdown[kind] * job.slots();
     }
 
     /** Best running time in microseconds of the class with the longest one. */
-    double longest() {
-        return Arrays.stream(base).max().getAsDouble();
+    double longestSlotTime() {
+        return Arrays.stream(bestRunTime).max().getAsDouble();
     }
 
-    /** All estimates except those by worker kind, for another process of this dispatcher. */
-    double[] told() {
-        double[] all = new double[2 * slots.length + 3 * mean.length];
+    /** Estimates of slots and running times, for another process of this dispatcher. */
+    double[] snapshot() {
+        double[] all = new double[2 * slotEstimate.length + 3 * meanRunTime.length];
         int at = 0;
-        for (double[] of : new double[][] {slots, weight, mean, base}) {
+        for (double[] of : new double[][] {slotEstimate, slotSamples, meanRunTime, bestRunTime}) {
             System.arraycopy(of, 0, all, at, of.length);
             at += of.length;
         }
-        for (int i = 0; i < ended.length; i++) {
-            all[at + i] = ended[i];
+        for (int i = 0; i < endedJobs.length; i++) {
+            all[at + i] = endedJobs[i];
         }
         return all;
     }
@@ -128,22 +128,22 @@
      * Adopts another process's estimates. Without effect if this process has estimates of its own, or if the array
      * does not fit this process's kinds and classes.
      */
-    void take(double[] all) {
-        boolean hasOwn = Arrays.stream(weight).sum() + Arrays.stream(ended).sum() > 0;
+    void restore(double[] all) {
+        boolean hasOwn = Arrays.stream(slotSamples).sum() + Arrays.stream(endedJobs).sum() > 0;
         // The array comes from a file: one infinite value would overload or idle all workers of a kind.
-        boolean valid = all.length == 2 * slots.length + 3 * mean.length
+        boolean valid = all.length == 2 * slotEstimate.length + 3 * meanRunTime.length
                 && Arrays.stream(all).allMatch(x -> x >= 0 && x < MAX_RESTORED_VALUE);
         if (hasOwn || !valid) {
             return;
         }
-        usableChanges++;
+        usableSlotChanges++;
         int at = 0;
-        for (double[] of : new double[][] {slots, weight, mean, base}) {
+        for (double[] of : new double[][] {slotEstimate, slotSamples, meanRunTime, bestRunTime}) {
             System.arraycopy(all, at, of, 0, of.length);
             at += of.length;
         }
-        for (int i = 0; i < ended.length; i++) {
-            ended[i] = (int) all[at + i];
+        for (int i = 0; i < endedJobs.length; i++) {
+            endedJobs[i] = (int) all[at + i];
         }
     }
 }
--- a/src/main/java/saffronferry/SuspicionLevel.java
+++ b/src/main/java/saffronferry/SuspicionLevel.java
@@ -25,7 +25,7 @@
                 continue;
             }
             long since = Math.max(attempt.sentAt, quietFrom);
-            double mean = estimates.mean[attempt.job.request.jobClass()] * Math.max(1, worker.runningTimeRatio);
+            double mean = estimates.meanRunTime[attempt.job.request.jobClass()] * Math.max(1, worker.runningTimeRatio);
             boolean startMissing =
                     settings.reportsJobStart() && attempt.startedAt == 0 && now - since > START_REPORT_TIMEOUT_US;
             nats += startMissing ? MISSING_START_NATS : 0;
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -375,8 +375,8 @@
         boolean all = ownershipChanged || allChanged;
         boolean zoneChanged = all;
         // a new estimate of the slots of a kind opens or closes all its workers, also those without any event
-        if (seenUsableChanges != known.usableChanges) {
-            seenUsableChanges = known.usableChanges;
+        if (seenUsableChanges != known.usableSlotChanges) {
+            seenUsableChanges = known.usableSlotChanges;
             changedWorkers.addAll(Arrays.asList(ownedWorkers));
         }
         List<Worker> moved = sortedByHash(all ? byAddress.values() : changedWorkers);
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -106,14 +106,14 @@
     void runningTimesStayFiniteHoweverManyJobsEnded() throws Exception {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         LearnedEstimates estimates = (LearnedEstimates) get(harness.dispatcher, "estimates");
-        estimates.ended[0] = Integer.MAX_VALUE - 3;
+        estimates.endedJobs[0] = Integer.MAX_VALUE - 3;
         for (long id = 1; id <= 10; id++) {
             harness.request(id);
             harness.advance(200 * MS);
             harness.endAttempt(id, 0, Outcome.OK);
         }
-        assertTrue(estimates.ended[0] > 0, "the count has wrapped, and would become a divisor of 0");
-        double mean = estimates.mean[0];
+        assertTrue(estimates.endedJobs[0] > 0, "the count has wrapped, and would become a divisor of 0");
+        double mean = estimates.meanRunTime[0];
         assertTrue(mean >= 200 * MS && mean <= 500 * MS, "mean " + mean);
     }
 
--- a/src/test/java/saffronferry/LearnedEstimatesTest.java
+++ b/src/test/java/saffronferry/LearnedEstimatesTest.java
@@ -15,24 +15,24 @@
     @Test
     void availableAndTotalSlotsAreLearnedSeparately() {
         for (int i = 0; i < 40; i++) {
-            known.learnSlots(0, 1.2); // slots left by other dispatchers
-            known.learnIdle(0, i % 4 == 0 ? 5 : 0); // one report in four is from an idle worker
+            known.recordSlots(0, 1.2); // slots left by other dispatchers
+            known.recordFreeSlots(0, i % 4 == 0 ? 5 : 0); // one report in four is from an idle worker
         }
-        assertEquals(1.2, known.ours(0), 0.01);
-        assertTrue(known.whole(0) > 4.5 && known.whole(0) <= 5, "whole " + known.whole(0));
-        known.learnIdle(0, 1e9);
-        known.learnIdle(0, Double.NaN);
-        assertTrue(known.whole(0) <= 5, "an absurd report is ignored");
-        assertEquals(known.ours(1), known.whole(1), "no report yet");
+        assertEquals(1.2, known.availableSlots(0), 0.01);
+        assertTrue(known.totalSlots(0) > 4.5 && known.totalSlots(0) <= 5, "whole " + known.totalSlots(0));
+        known.recordFreeSlots(0, 1e9);
+        known.recordFreeSlots(0, Double.NaN);
+        assertTrue(known.totalSlots(0) <= 5, "an absurd report is ignored");
+        assertEquals(known.availableSlots(1), known.totalSlots(1), "no report yet");
     }
 
     @Test
     void aJobTakesLongerOnASlowKind() {
         for (int i = 0; i < 400; i++) {
-            known.ran(0, i % 2, i % 2 == 0 ? 400_000 : 800_000);
+            known.recordRunTime(0, i % 2, i % 2 == 0 ? 400_000 : 800_000);
         }
         Contract.Request job = new Contract.Request(1, 0, 0, 0, 1, false);
-        assertEquals(2, known.cost(job, 1) / known.cost(job, 0), 0.1);
-        assertTrue(known.cost(job, 0) < 500_000, "cost " + known.cost(job, 0));
+        assertEquals(2, known.expectedSlotTime(job, 1) / known.expectedSlotTime(job, 0), 0.1);
+        assertTrue(known.expectedSlotTime(job, 0) < 500_000, "cost " + known.expectedSlotTime(job, 0));
     }
 }
