--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -194,9 +194,9 @@
         now = clock;
         JobClass spec = settings.classes().get(request.jobClass());
         arrivalsSinceTick++;
-        repeatBudget.asked();
+        repeatBudget.requestReceived();
         probeCredit = Math.min(probeCredit + PROBE_SPENDING_SHARE / Math.max(settings.probePrice(), 1e-3), 20);
-        Job job = new Job(request, spec, now, allowances.beyond(request.tenant()));
+        Job job = new Job(request, spec, now, allowances.exceedsAllowance(request.tenant()));
         jobs.put(job);
         jobsByDeadline.add(job);
         if (request.slots() > 1 && fitsNoWorker(job)) {
@@ -1013,7 +1013,7 @@
 
     /** Takes a repeat out of the budget already when a job is held for it: many may be held before one is sent. */
     private boolean takeRepeat(Job job) {
-        return job.provenNotRun() || repeatBudget.take();
+        return job.provenNotRun() || repeatBudget.tryTake();
     }
 
     private void endUnserved(Job job) {
@@ -1305,7 +1305,7 @@
     @Override
     public void tenantsChanged(long clock, List<Tenant> tenants) {
         now = clock;
-        allowances.follow(tenants);
+        allowances.updateTenants(tenants);
     }
 
     @Override
@@ -1329,7 +1329,7 @@
         now = clock;
         estimates.restore(other.learned());
         processCount = other.equals(HandoverState.NONE) ? 1 : 2;
-        repeatBudget.share(processCount);
+        repeatBudget.shareAmong(processCount);
         for (Worker worker : workerIndex.all()) {
             siblingProcess.setHold(worker, other.busySlots().getOrDefault(worker.address, 0), now);
             refresh(worker);
@@ -1355,8 +1355,8 @@
                 * Math.min(1, seconds / Math.max(averagingS, 1e-3));
         arrivalsSinceTick = 0;
         lastTickAt = now;
-        allowances.fill(seconds, fleetTrafficShare);
-        repeatBudget.pass(seconds);
+        allowances.refill(seconds, fleetTrafficShare);
+        repeatBudget.refill(seconds);
         if (tickCount++ % 8 == 0 || now - startedAt < STARTUP_SETTLE_US / 2) {
             forgetSilentPeers();
             updateOwnership();
--- a/src/main/java/saffronferry/RetryBudget.java
+++ b/src/main/java/saffronferry/RetryBudget.java
@@ -33,23 +33,23 @@
     }
 
     /** Divides the budget among the running processes of this dispatcher. */
-    void share(int processCount) {
+    void shareAmong(int processCount) {
         processes = processCount;
         tokens = Math.min(tokens, burst / processes);
     }
 
     /** Adds the tokens of one new request. */
-    void asked() {
+    void requestReceived() {
         tokens = Math.min(tokens + RETRIES_PER_REQUEST, burst / processes);
     }
 
     /** Adds the tokens of the time that has passed. */
-    void pass(double seconds) {
+    void refill(double seconds) {
         tokens = Math.min(tokens + perS / processes * seconds, burst / processes);
     }
 
     /** Takes one token for a retry; false if none is left. */
-    boolean take() {
+    boolean tryTake() {
         boolean allowed = tokens >= 1;
         tokens -= allowed ? 1 : 0;
         return allowed;
--- a/src/main/java/saffronferry/TenantTokenBuckets.java
+++ b/src/main/java/saffronferry/TenantTokenBuckets.java
@@ -18,7 +18,7 @@
     }
 
     /** Replaces the allowances. Existing buckets keep their tokens, which were earned under the old allowances. */
-    void follow(List<Contract.Tenant> next) {
+    void updateTenants(List<Contract.Tenant> next) {
         int oldLength = tokens.length;
         tenants = List.copyOf(next);
         tokens = Arrays.copyOf(tokens, next.size());
@@ -26,7 +26,7 @@
     }
 
     /** Takes a token for a request; true if there is none and the request exceeds the tenant's allowance. */
-    boolean beyond(int tenant) {
+    boolean exceedsAllowance(int tenant) {
         boolean exceeds = tenant >= 0 && tenants.get(tenant).allowancePerS() > 0 && tokens[tenant] < 1;
         if (tenant >= 0 && !exceeds) {
             tokens[tenant] -= 1;
@@ -35,7 +35,7 @@
     }
 
     /** Adds the tokens of the time that has passed, for this dispatcher's share of the traffic. */
-    void fill(double seconds, double trafficShare) {
+    void refill(double seconds, double trafficShare) {
         for (int t = 0; t < tokens.length; t++) {
             double perS = tenants.get(t).allowancePerS() * trafficShare;
             tokens[t] = Math.min(tokens[t] + perS * seconds, Math.max(perS, MIN_BURST_REQUESTS));
--- a/src/test/java/saffronferry/TenantTokenBucketsTest.java
+++ b/src/test/java/saffronferry/TenantTokenBucketsTest.java
@@ -12,7 +12,7 @@
     private static int within(TenantTokenBuckets allowances, int tenant, int requests) {
         int within = 0;
         for (int i = 0; i < requests; i++) {
-            within += allowances.beyond(tenant) ? 0 : 1;
+            within += allowances.exceedsAllowance(tenant) ? 0 : 1;
         }
         return within;
     }
@@ -21,17 +21,17 @@
     @Test
     void updatedAllowancesApplyToTheNextRequest() {
         TenantTokenBuckets allowances = new TenantTokenBuckets(List.of(new Tenant("a", 5), new Tenant("b", 5)));
-        allowances.fill(1, 1);
+        allowances.refill(1, 1);
         assertTrue(within(allowances, 0, 100) <= 6);
-        assertTrue(allowances.beyond(0));
-        allowances.follow(List.of(new Tenant("a", 50), new Tenant("b", 0), new Tenant("c", 3)));
-        assertTrue(allowances.beyond(0), "a new allowance adds no tokens for the past");
-        allowances.fill(1, 1);
+        assertTrue(allowances.exceedsAllowance(0));
+        allowances.updateTenants(List.of(new Tenant("a", 50), new Tenant("b", 0), new Tenant("c", 3)));
+        assertTrue(allowances.exceedsAllowance(0), "a new allowance adds no tokens for the past");
+        allowances.refill(1, 1);
         assertTrue(within(allowances, 0, 100) >= 50);
         assertFalse(within(allowances, 1, 100) < 100, "a removed tenant has no known limit");
-        allowances.fill(1, 1);
+        allowances.refill(1, 1);
         assertTrue(within(allowances, 2, 100) <= 4);
-        assertTrue(allowances.beyond(2));
+        assertTrue(allowances.exceedsAllowance(2));
     }
 
     /** A tenant beyond its updated allowance yields to one within it, as with allowances from the settings. */
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -38,12 +38,12 @@
             int taken = 0;
             for (int i = 0; i < n; i++) {
                 all[i] = new RetryBudget(n);
-                all[i].share(i % 2 + 1); // while two processes run, each has half
-                all[i].share(1);
+                all[i].shareAmong(i % 2 + 1); // while two processes run, each has half
+                all[i].shareAmong(1);
                 for (int t = 0; t < 100; t++) {
-                    all[i].pass(0.1);
-                    all[i].asked();
-                    while (all[i].take()) {
+                    all[i].refill(0.1);
+                    all[i].requestReceived();
+                    while (all[i].tryTake()) {
                         taken++;
                     }
                 }
