--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -180,7 +180,7 @@
         repeatBudget = new RetryBudget(settings.dispatcherCount());
         discoveryPace = new CallPace(settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
         talkBudget = new TalkBudget(
-                settings.peerPrice(), PeerMessage.MOST_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
+                settings.peerPrice(), PeerMessage.MAX_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
         estimates = new LearnedEstimates(settings.kindCount(), settings.classes(), INITIAL_RUNNING_TIME_US);
         classBlocked = new boolean[queues.length];
         allowances = new TenantTokenBuckets(settings.tenants());
@@ -585,8 +585,8 @@
     private PeerMessage newMessage(PeerMessage.Type type) {
         PeerMessage message = new PeerMessage(
                 type, settings.zone(), acceptance, combinedAcceptance, requestRate, exchangePeriod);
-        message.at = now;
-        message.cold = zoneHasCold;
+        message.timestamp = now;
+        message.knowsColdWorker = zoneHasCold;
         if (zoneHasCold || now < coldAnnouncedUntil) {
             Peer.attachMembership(peers, coldShares, settings.zone(), message);
         }
@@ -607,7 +607,7 @@
             return;
         }
         talkBudget.spent(message.size());
-        actions.sendToPeer(peer, message.bytes());
+        actions.sendToPeer(peer, message.encode());
     }
 
     /** Sends to at most {@code limit} peers of the zone in turn; first to guardians, which can lend cold budgets. */
@@ -637,7 +637,7 @@
         int zone = (settings.zone() + lastToldZoneOffset) % settings.zoneCount();
         Peer peer = Peer.firstInZone(zone, peers, random.nextInt(peers.length));
         if (peer != null && peer.zone != settings.zone()) {
-            sendToPeer(peer.number, newOffer().undated());
+            sendToPeer(peer.number, newOffer().withoutGrant());
         }
     }
 
@@ -658,7 +658,7 @@
             for (int i = 0; i < Math.min(workerIndex.openCount(k), 3); i++) {
                 Worker worker = workerIndex.openWorker(k, random.nextInt(workerIndex.openCount(k)));
                 if (worker.coldSince == 0 && worker != last && worker.failedTrials == 0) {
-                    message.add(worker.hash, (int) (freeSlots(worker) + 1) / 2);
+                    message.addSlots(worker.hash, (int) (freeSlots(worker) + 1) / 2);
                     last = worker;
                 }
             }
@@ -695,7 +695,7 @@
             return;
         }
         PeerMessage message = newMessage(PeerMessage.Type.BORROWS);
-        message.add(worker.hash, worker.localSlots);
+        message.addSlots(worker.hash, worker.localSlots);
         sendToPeer(worker.lender, message);
         peers[worker.lender].scheduleHoldsReport(now);
     }
@@ -703,7 +703,7 @@
     @Override
     public void peerMessage(long clock, int peerNumber, byte[] bytes) {
         now = clock;
-        PeerMessage message = PeerMessage.read(bytes, now);
+        PeerMessage message = PeerMessage.decode(bytes, now);
         if (message == null
                 || peerNumber < 0
                 || peerNumber >= peers.length
@@ -720,21 +720,21 @@
         boolean firstMessage = peer.lastHeardAt == 0;
         peer.recordMessage(message, now, MAX_EXCHANGE_PERIOD_US);
         // the list here may be late, and not name a cold worker that the peer knows
-        if (message.cold && message.zone == settings.zone()) {
+        if (message.knowsColdWorker && message.zone == settings.zone()) {
             coldAnnouncedUntil = now + ColdShares.LEASE;
         }
         coldShares.says(
                 peerNumber,
                 message.zone != settings.zone(),
-                message.word,
-                message.hears,
-                message.elsewhere,
-                message.at,
+                message.grantees,
+                message.heardPeers,
+                message.otherZonePeers,
+                message.timestamp,
                 now);
         zoneLastHeardAt[message.zone] = now;
         // with P < 1 the peer holds jobs, and without an offer of its own it asks for slots: answer with an offer
         boolean asks =
-                message.type == PeerMessage.Type.OFFERS && message.entries == 0 && message.p < 1 && heldSlots == 0;
+                message.type == PeerMessage.Type.OFFERS && message.entryCount == 0 && message.acceptance < 1 && heldSlots == 0;
         // a peer that is heard for the first time may have just started, and has to learn of this dispatcher too
         if (firstMessage || asks && workerIndex.hasOpen()) {
             PeerMessage answer = asks ? addLoans(peer, newOffer()) : newOffer();
@@ -745,20 +745,20 @@
         if (message.type == PeerMessage.Type.OFFERS) {
             returnUnusedLoan(peer, false); // the new offer replaces an earlier loan
             peer.recordOffers(named, message, now, startedAt, OFFER_LIFETIME_US);
-            zoneOffersValidUntil = peer.zone == settings.zone() && message.entries > 0
+            zoneOffersValidUntil = peer.zone == settings.zone() && message.entryCount > 0
                     ? now + OFFER_LIFETIME_US
                     : zoneOffersValidUntil;
         } else if (message.type == PeerMessage.Type.RETURNS) {
             peer.acceptReturnedBudget(named, message, now);
         } else if (message.type == PeerMessage.Type.HOLDS) {
-            peer.replaceHolds(named, message.count, now, this::refresh);
+            peer.replaceHolds(named, message.entryValues, now, this::refresh);
         } else {
-            peer.updateHolds(named, message.count, now, this::refresh);
+            peer.updateHolds(named, message.entryValues, now, this::refresh);
         }
         combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
         sendHeld();
         returnUnusedLoan(peer, heldSlots > 0);
-        if (isNeighbour(peer) && message.type == PeerMessage.Type.OFFERS && message.entries > 0) {
+        if (isNeighbour(peer) && message.type == PeerMessage.Type.OFFERS && message.entryCount > 0) {
             spillHeld();
         }
     }
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -242,12 +242,12 @@
 
         void recordMessage(PeerMessage message, long now, long firstInterval) {
             zone = message.zone;
-            acceptance = message.p;
-            combinedAcceptance = message.r;
-            requestRate = message.rate;
+            acceptance = message.acceptance;
+            combinedAcceptance = message.combinedAcceptance;
+            requestRate = message.requestRate;
             messageInterval = lastHeardAt == 0
                     ? firstInterval
-                    : Math.max(message.period, (3 * messageInterval + now - lastHeardAt) / 4);
+                    : Math.max(message.exchangePeriod, (3 * messageInterval + now - lastHeardAt) / 4);
             lastHeardAt = now;
         }
 
@@ -267,16 +267,16 @@
             if (message.type != PeerMessage.Type.OFFERS) {
                 return;
             }
-            message.hears = new BitSet();
+            message.heardPeers = new BitSet();
             for (Peer peer : peers) {
-                message.hears.set(
+                message.heardPeers.set(
                         peer.number,
                         shares.isSelf(peer.number)
                                 || peer.lastHeardAt > 0
                                         && peer.zone == zone
-                                        && message.at - peer.lastHeardAt <= peer.silenceTimeout() - ColdShares.LEASE);
+                                        && message.timestamp - peer.lastHeardAt <= peer.silenceTimeout() - ColdShares.LEASE);
             }
-            message.word = shares.word(message.hears, message.at);
+            message.grantees = shares.word(message.heardPeers, message.timestamp);
         }
 
         /** Adds which dispatchers are in other zones, for a peer that may have just started and doesn't know. */
@@ -284,8 +284,8 @@
             BitSet others = shares.elsewhere();
             // left out where it would exceed the largest message, which offers may have filled already
             boolean fits =
-                    message.word != null && message.size() + 1 + (others.length() + 7) / 8 <= PeerMessage.MOST_BYTES;
-            message.elsewhere = others.isEmpty() || !fits ? null : others;
+                    message.grantees != null && message.size() + 1 + (others.length() + 7) / 8 <= PeerMessage.MAX_BYTES;
+            message.otherZonePeers = others.isEmpty() || !fits ? null : others;
             return message;
         }
 
@@ -305,10 +305,10 @@
         PeerMessage addHoldsReport(long now, Iterable<Worker> workers, PeerMessage message) {
             for (Worker worker : workers) {
                 if (worker.lender == number && !worker.ownedLocally && worker.localSlots > 0) {
-                    message.add(worker.hash, worker.localSlots);
+                    message.addSlots(worker.hash, worker.localSlots);
                 }
             }
-            nextHoldsReportAt = message.entries == 0 ? 0 : now + HOLDS_REPORT_INTERVAL_US;
+            nextHoldsReportAt = message.entryCount == 0 ? 0 : now + HOLDS_REPORT_INTERVAL_US;
             return message;
         }
 
@@ -349,35 +349,35 @@
          * @param lifetime how long a loan counts
          */
         void recordOffers(Worker[] named, PeerMessage message, long now, long processStartedAt, long lifetime) {
-            boolean counts = message.word != null && borrowedBudget.counts(message.at, now, processStartedAt, lifetime);
+            boolean counts = message.grantees != null && borrowedBudget.counts(message.timestamp, now, processStartedAt, lifetime);
             offeredWorkers = named;
             offeredAmounts = new int[named.length];
-            offeredHashes = Arrays.copyOf(message.hash, named.length);
+            offeredHashes = Arrays.copyOf(message.workerHashes, named.length);
             offeredAsBudget = new boolean[named.length];
             offeredAt = now;
             for (int i = 0; i < named.length; i++) {
-                offeredAsBudget[i] = message.lent(i);
+                offeredAsBudget[i] = message.isTransfer(i);
                 offeredAmounts[i] = offeredAsBudget[i] && !counts ? 0 : message.amount(i);
-                offeredAt = offeredAsBudget[i] ? Math.min(offeredAt, message.at) : offeredAt;
+                offeredAt = offeredAsBudget[i] ? Math.min(offeredAt, message.timestamp) : offeredAt;
                 if (offeredAsBudget[i] && counts) {
-                    borrowedBudget.taken(message.at);
-                    borrowedStamp = message.at;
-                    totalBorrowedUs += (long) (offeredAmounts[i] * PeerMessage.LENT_UNIT);
+                    borrowedBudget.taken(message.timestamp);
+                    borrowedStamp = message.timestamp;
+                    totalBorrowedUs += (long) (offeredAmounts[i] * PeerMessage.TRANSFER_UNIT_US);
                 }
             }
         }
 
         /** Whether a message to this peer may lend budget: it carries a stamp, and the last loan is not too recent. */
         boolean mayLend(PeerMessage message, long now, int ownZone) {
-            return message.word != null && zone == ownZone && now > nextLoanAt;
+            return message.grantees != null && zone == ownZone && now > nextLoanAt;
         }
 
         /** Lends a share of a worker's budget. It is spent here before it is sent, so it can't be spent twice. */
         void lend(Worker worker, double share, PeerMessage message, long now) {
             worker.coldBudget.spend(share);
-            lentBudget.lent(worker.hash, message.at, share);
+            lentBudget.lent(worker.hash, message.timestamp, share);
             totalLentUs += (long) share;
-            message.lend(worker.hash, toBudgetUnits(share));
+            message.addTransfer(worker.hash, toBudgetUnits(share));
             nextLoanAt = now + MIN_LOAN_INTERVAL_US;
         }
 
@@ -396,10 +396,10 @@
 
         /** Returns what is left of the borrowed budget. It is given up here before the message is sent. */
         PeerMessage returnUnusedBudget(PeerMessage message) {
-            message.at = borrowedStamp;
+            message.timestamp = borrowedStamp;
             for (int i = 0; i < offeredWorkers.length; i++) {
                 if (offeredAsBudget[i] && offeredAmounts[i] > 0) {
-                    message.giveBack(offeredHashes[i], offeredAmounts[i]);
+                    message.addReturn(offeredHashes[i], offeredAmounts[i]);
                     offeredAmounts[i] = 0;
                 }
             }
@@ -411,7 +411,7 @@
             for (int i = 0; i < named.length; i++) {
                 if (named[i] != null) {
                     double returned = lentBudget.back(
-                            message.hash[i], message.at, message.amount(i) * PeerMessage.LENT_UNIT, now);
+                            message.workerHashes[i], message.timestamp, message.amount(i) * PeerMessage.TRANSFER_UNIT_US, now);
                     named[i].coldBudget.back(returned);
                     totalReturnedUs += (long) returned;
                 }
@@ -420,7 +420,7 @@
 
         /** Rounds slot time up to whole units, in which messages transfer budget. */
         static double roundUpToBudgetUnits(double slotTimeUs) {
-            return toBudgetUnits(slotTimeUs) * PeerMessage.LENT_UNIT;
+            return toBudgetUnits(slotTimeUs) * PeerMessage.TRANSFER_UNIT_US;
         }
 
         /** Whether an offer is enough for a job of so many slots that is expected to take that slot time. */
@@ -435,7 +435,7 @@
         }
 
         static int toBudgetUnits(double slotTimeUs) {
-            return (int) Math.ceil(slotTimeUs / PeerMessage.LENT_UNIT);
+            return (int) Math.ceil(slotTimeUs / PeerMessage.TRANSFER_UNIT_US);
         }
 
         /** This dispatcher's share of the traffic of its zone and of the fleet, out of the dispatchers it hears. */
--- a/src/main/java/saffronferry/PeerMessage.java
+++ b/src/main/java/saffronferry/PeerMessage.java
@@ -6,7 +6,7 @@
 /** A datagram between dispatchers, with its encoding. */
 final class PeerMessage {
     /** Maximum size of a message. */
-    static final int MOST_BYTES = 256;
+    static final int MAX_BYTES = 256;
 
     private static final int HEADER_BYTES = 7;
     private static final int ENTRY_BYTES = 4;
@@ -32,7 +32,7 @@
     /** Entry values of an offer from this one on transfer budget of a cold worker; lower ones are free slots. */
     private static final int TRANSFER_BASE = 128;
     /** Slot time of one transferred unit of a cold worker's budget. */
-    static final double LENT_UNIT = 50_000;
+    static final double TRANSFER_UNIT_US = 50_000;
 
     /** What the entries of a message state. Versions without RETURNS and HOLDS ignore messages of these types. */
     enum Type {
@@ -49,147 +49,147 @@
     final Type type;
     final int zone;
     /** Acceptance probability P of the sender. */
-    final double p;
+    final double acceptance;
     /** R: the probability that the sender or one of its neighbours accepts. */
-    final double r;
+    final double combinedAcceptance;
     /** Requests per second at the sender. */
-    final double rate;
+    final double requestRate;
     /** Time between the sender's messages to a peer, in microseconds. */
-    final long period;
+    final long exchangePeriod;
 
-    int entries;
-    int[] hash = new int[8];
-    int[] count = new int[8];
+    int entryCount;
+    int[] workerHashes = new int[8];
+    int[] entryValues = new int[8];
     /**
-     * Time of sending in microseconds, by the clock that all dispatchers share; valid if {@link #word} is not null. In
+     * Time of sending in microseconds, by the clock that all dispatchers share; valid if {@link #grantees} is not null. In
      * a return it is the timestamp of the transfer that is returned.
      */
-    long at;
+    long timestamp;
     /**
      * The dispatchers, sender included, among which the sender leaves its share of cold workers to the guardian; null
      * if there is no cold worker.
      */
-    BitSet word;
-    /** The dispatchers that the sender hears, itself included; null if {@link #word} is. */
-    BitSet hears;
-    /** The dispatchers known to be in another zone than the sender, or null; only with {@link #word}. */
-    BitSet elsewhere;
+    BitSet grantees;
+    /** The dispatchers that the sender hears, itself included; null if {@link #grantees} is. */
+    BitSet heardPeers;
+    /** The dispatchers known to be in another zone than the sender, or null; only with {@link #grantees}. */
+    BitSet otherZonePeers;
     /** Whether the sender knows a cold worker of its zone. */
-    boolean cold;
+    boolean knowsColdWorker;
 
-    PeerMessage(Type type, int zone, double p, double r, double rate, long period) {
+    PeerMessage(Type type, int zone, double acceptance, double combinedAcceptance, double requestRate, long exchangePeriod) {
         this.type = type;
         this.zone = zone;
-        this.p = p;
-        this.r = r;
-        this.rate = rate;
-        this.period = period;
+        this.acceptance = acceptance;
+        this.combinedAcceptance = combinedAcceptance;
+        this.requestRate = requestRate;
+        this.exchangePeriod = exchangePeriod;
     }
 
     /** Adds a number of slots at a worker, unless the message is full. */
-    void add(int worker, int slots) {
+    void addSlots(int worker, int slots) {
         put(worker, Math.max(0, Math.min(type == Type.OFFERS ? TRANSFER_BASE - 1 : 255, slots)));
     }
 
-    /** Adds a transfer of a cold worker's budget, in units of {@link #LENT_UNIT}, unless the message is full. */
-    void lend(int worker, int units) {
+    /** Adds a transfer of a cold worker's budget, in units of {@link #TRANSFER_UNIT_US}, unless the message is full. */
+    void addTransfer(int worker, int units) {
         put(worker, TRANSFER_BASE + Math.max(0, Math.min(255 - TRANSFER_BASE, units)));
     }
 
     /** Adds a return of transferred budget, unless the message is full. */
-    void giveBack(int worker, int units) {
+    void addReturn(int worker, int units) {
         put(worker, units);
     }
 
     /** Whether an entry transfers budget of a cold worker. */
-    boolean lent(int entry) {
-        return type == Type.OFFERS && count[entry] >= TRANSFER_BASE;
+    boolean isTransfer(int entry) {
+        return type == Type.OFFERS && entryValues[entry] >= TRANSFER_BASE;
     }
 
     /** The units of a transfer, or the slots of another entry. */
     int amount(int entry) {
-        return lent(entry) ? count[entry] - TRANSFER_BASE : count[entry];
+        return isTransfer(entry) ? entryValues[entry] - TRANSFER_BASE : entryValues[entry];
     }
 
     private void put(int worker, int value) {
-        if (size() + ENTRY_BYTES > MOST_BYTES) {
+        if (size() + ENTRY_BYTES > MAX_BYTES) {
             return;
         }
-        if (entries == hash.length) {
-            hash = Arrays.copyOf(hash, 2 * entries);
-            count = Arrays.copyOf(count, 2 * entries);
+        if (entryCount == workerHashes.length) {
+            workerHashes = Arrays.copyOf(workerHashes, 2 * entryCount);
+            entryValues = Arrays.copyOf(entryValues, 2 * entryCount);
         }
-        hash[entries] = worker;
-        count[entries++] = value;
+        workerHashes[entryCount] = worker;
+        entryValues[entryCount++] = value;
     }
 
     /** Removes timestamp and grant, which are of no use to another zone. */
-    PeerMessage undated() {
-        word = null;
+    PeerMessage withoutGrant() {
+        grantees = null;
         return this;
     }
 
     int size() {
-        return HEADER_BYTES + grantBytes() + ENTRY_BYTES * entries;
+        return HEADER_BYTES + grantBytes() + ENTRY_BYTES * entryCount;
     }
 
     private int grantBytes() {
         if (type == Type.RETURNS) {
             return RETURN_STAMP_BYTES;
         }
-        return word == null ? 0 : GRANT_HEADER_BYTES + setBytes() * (hears.equals(word) ? 1 : 2) + otherZoneBytes();
+        return grantees == null ? 0 : GRANT_HEADER_BYTES + setBytes() * (heardPeers.equals(grantees) ? 1 : 2) + otherZoneBytes();
     }
 
     private int setBytes() {
-        return (hears.length() + 7) / 8;
+        return (heardPeers.length() + 7) / 8;
     }
 
     /** One byte of length and the set. */
     private int otherZoneBytes() {
-        return elsewhere == null ? 0 : 1 + (elsewhere.length() + 7) / 8;
+        return otherZonePeers == null ? 0 : 1 + (otherZonePeers.length() + 7) / 8;
     }
 
-    byte[] bytes() {
+    byte[] encode() {
         byte[] bytes = new byte[size()];
-        int codedRate = (int) Math.max(0, Math.min(65535, Math.round(rate * RATE_UNITS_PER_REQUEST)));
+        int codedRate = (int) Math.max(0, Math.min(65535, Math.round(requestRate * RATE_UNITS_PER_REQUEST)));
         bytes[0] = (byte) zone;
         // P below one means that jobs are held and asks for offers; rounding must not turn it into one.
-        bytes[1] = (byte) (p < 1 ? Math.min(254, Math.round(p * 255)) : 255);
-        bytes[2] = (byte) Math.round(r * 255);
+        bytes[1] = (byte) (acceptance < 1 ? Math.min(254, Math.round(acceptance * 255)) : 255);
+        bytes[2] = (byte) Math.round(combinedAcceptance * 255);
         bytes[3] = (byte) (codedRate >> 8);
         bytes[4] = (byte) codedRate;
-        bytes[5] = (byte) Math.min(255, period / PERIOD_UNIT_US);
+        bytes[5] = (byte) Math.min(255, exchangePeriod / PERIOD_UNIT_US);
         bytes[6] = (byte) (type.ordinal()
-                | (word == null ? 0 : GRANT_FLAG)
-                | (cold ? COLD_FLAG : 0)
-                | (word == null || elsewhere == null ? 0 : OTHER_ZONES_FLAG));
+                | (grantees == null ? 0 : GRANT_FLAG)
+                | (knowsColdWorker ? COLD_FLAG : 0)
+                | (grantees == null || otherZonePeers == null ? 0 : OTHER_ZONES_FLAG));
         int offset = HEADER_BYTES;
         if (type == Type.RETURNS) {
-            bytes[offset++] = (byte) (this.at >> STAMP_SHIFT + 8);
-            bytes[offset++] = (byte) (this.at >> STAMP_SHIFT);
-        } else if (word != null) {
+            bytes[offset++] = (byte) (timestamp >> STAMP_SHIFT + 8);
+            bytes[offset++] = (byte) (timestamp >> STAMP_SHIFT);
+        } else if (grantees != null) {
             int length = setBytes();
-            boolean heardSetFollows = !hears.equals(word);
-            bytes[offset] = (byte) (this.at >> STAMP_SHIFT + 8);
-            bytes[offset + 1] = (byte) (this.at >> STAMP_SHIFT);
+            boolean heardSetFollows = !heardPeers.equals(grantees);
+            bytes[offset] = (byte) (timestamp >> STAMP_SHIFT + 8);
+            bytes[offset + 1] = (byte) (timestamp >> STAMP_SHIFT);
             bytes[offset + 2] = (byte) (length | (heardSetFollows ? HEARD_SET_FLAG : 0));
-            byte[] granteeBits = word.toByteArray();
+            byte[] granteeBits = grantees.toByteArray();
             System.arraycopy(granteeBits, 0, bytes, offset + GRANT_HEADER_BYTES, granteeBits.length);
             if (heardSetFollows) {
-                System.arraycopy(hears.toByteArray(), 0, bytes, offset + GRANT_HEADER_BYTES + length, length);
+                System.arraycopy(heardPeers.toByteArray(), 0, bytes, offset + GRANT_HEADER_BYTES + length, length);
             }
             offset += grantBytes();
-            if (elsewhere != null) {
-                byte[] otherZoneBits = elsewhere.toByteArray();
+            if (otherZonePeers != null) {
+                byte[] otherZoneBits = otherZonePeers.toByteArray();
                 bytes[offset - otherZoneBytes()] = (byte) otherZoneBits.length;
                 System.arraycopy(otherZoneBits, 0, bytes, offset - otherZoneBits.length, otherZoneBits.length);
             }
         }
-        for (int i = 0; i < entries; i++) {
-            bytes[offset] = (byte) (hash[i] >> 16);
-            bytes[offset + 1] = (byte) (hash[i] >> 8);
-            bytes[offset + 2] = (byte) hash[i];
-            bytes[offset + 3] = (byte) count[i];
+        for (int i = 0; i < entryCount; i++) {
+            bytes[offset] = (byte) (workerHashes[i] >> 16);
+            bytes[offset + 1] = (byte) (workerHashes[i] >> 8);
+            bytes[offset + 2] = (byte) workerHashes[i];
+            bytes[offset + 3] = (byte) entryValues[i];
             offset += ENTRY_BYTES;
         }
         return bytes;
@@ -200,7 +200,7 @@
     }
 
     /** Decodes a message that was received at {@code now} by the shared clock; null if it is malformed. */
-    static PeerMessage read(byte[] bytes, long now) {
+    static PeerMessage decode(byte[] bytes, long now) {
         if (bytes.length < HEADER_BYTES || (bytes[6] & ~FLAGS) < 0 || (bytes[6] & ~FLAGS) >= Type.values().length) {
             return null;
         }
@@ -221,17 +221,17 @@
                 (bytes[2] & 0xFF) / 255.0,
                 ((bytes[3] & 0xFF) << 8 | bytes[4] & 0xFF) / RATE_UNITS_PER_REQUEST,
                 (bytes[5] & 0xFF) * PERIOD_UNIT_US);
-        message.cold = (bytes[6] & COLD_FLAG) != 0;
+        message.knowsColdWorker = (bytes[6] & COLD_FLAG) != 0;
         if (hasGrant) {
-            message.word = BitSet.valueOf(Arrays.copyOfRange(bytes, HEADER_BYTES + GRANT_HEADER_BYTES, HEADER_BYTES + GRANT_HEADER_BYTES + granteeBytes));
+            message.grantees = BitSet.valueOf(Arrays.copyOfRange(bytes, HEADER_BYTES + GRANT_HEADER_BYTES, HEADER_BYTES + GRANT_HEADER_BYTES + granteeBytes));
             int setsEnd = entriesStart - otherZoneBytes;
-            message.hears = heardBytes == 0 ? message.word : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd - heardBytes, setsEnd));
-            message.elsewhere = otherZoneBytes == 0 ? null : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd + 1, entriesStart));
+            message.heardPeers = heardBytes == 0 ? message.grantees : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd - heardBytes, setsEnd));
+            message.otherZonePeers = otherZoneBytes == 0 ? null : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd + 1, entriesStart));
         }
         if (hasGrant || isReturn) {
             // The time nearest to now with this stamp: datagrams are delayed by less than two minutes.
             int stamp = (bytes[HEADER_BYTES] & 0xFF) << 8 | bytes[HEADER_BYTES + 1] & 0xFF;
-            message.at = (now >> STAMP_SHIFT) - (short) ((now >> STAMP_SHIFT) - stamp) << STAMP_SHIFT;
+            message.timestamp = (now >> STAMP_SHIFT) - (short) ((now >> STAMP_SHIFT) - stamp) << STAMP_SHIFT;
         }
         for (int offset = entriesStart; offset < bytes.length; offset += ENTRY_BYTES) {
             message.put(worker(bytes, offset), bytes[offset + 3] & 0xFF);
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -229,9 +229,9 @@
 
     /** The workers of a zone that a message names; null for those not on the list here. */
     Worker[] find(int zone, PeerMessage message) {
-        Worker[] named = new Worker[message.entries];
+        Worker[] named = new Worker[message.entryCount];
         for (int i = 0; i < named.length; i++) {
-            named[i] = find(zone, message.hash[i]);
+            named[i] = find(zone, message.workerHashes[i]);
         }
         return named;
     }
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -322,7 +322,7 @@
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
         PeerMessage hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
-        harness.dispatcher.peerMessage(harness.now, 1, hello.bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, hello.encode());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
@@ -334,11 +334,11 @@
                 .findFirst()
                 .orElseThrow();
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
+        offer.addSlots(new DispatcherState.Worker(foreign, 0).hash, 1);
         harness.sentMessages.clear();
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         assertEquals(1, harness.sendCount(foreign));
-        assertTrue(harness.sentMessages.stream().map(b -> PeerMessage.read(b, 0)).anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
+        assertTrue(harness.sentMessages.stream().map(b -> PeerMessage.decode(b, 0)).anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
     }
 
     /** A dispatcher that does not own a worker must time its warm-up too, or it never uses a slot offered there again. */
@@ -349,10 +349,10 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings());
         harness.list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, harness.now));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker("far", 0).hash, 1);
+        offer.addSlots(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // often enough for the peer not to count as silent
             harness.advance((after == 1 ? 1 : 5) * S);
-            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+            harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
             for (long id = 100 * after; id < 100 * after + 20; id++) {
                 harness.request(id);
             }
@@ -366,8 +366,8 @@
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker("far", 0).hash, 3);
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        offer.addSlots(new DispatcherState.Worker("far", 0).hash, 3);
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         for (long id = 1; id <= 60; id++) {
             harness.request(id);
         }
@@ -376,8 +376,8 @@
         // the lender must be told, or it uses the slots too
         int last = harness.messageReceivers.lastIndexOf(1);
         assertTrue(harness.sentMessages.stream()
-                .map(b -> PeerMessage.read(b, 0))
-                .anyMatch(m -> m.type == PeerMessage.Type.BORROWS && m.count[0] == 3));
+                .map(b -> PeerMessage.decode(b, 0))
+                .anyMatch(m -> m.type == PeerMessage.Type.BORROWS && m.entryValues[0] == 3));
         assertEquals(1, harness.messageReceivers.get(last));
     }
 
@@ -387,7 +387,7 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).encode());
         harness.advance(S);
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
@@ -395,8 +395,8 @@
         assertEquals(0, harness.sends.size());
         for (int i = 0; i < 5; i++) {
             PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-            offer.add(new DispatcherState.Worker("far", 0).hash, 4);
-            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+            offer.addSlots(new DispatcherState.Worker("far", 0).hash, 4);
+            harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         }
         assertTrue(harness.sends.size() >= 4, harness.sends.size() + " sent"); // P is 1/9 at first
     }
@@ -407,17 +407,17 @@
         options.peers = 2;
         for (boolean reportedAgain : new boolean[] {true, false}) {
             DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-            harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+            harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
             harness.advance(60 * MS);
             for (String own : List.of("a", "b", "c", "d")) {
                 PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
-                borrows.add(new DispatcherState.Worker(own, 0).hash, 2);
-                harness.dispatcher.peerMessage(harness.now, 1, borrows.bytes());
+                borrows.addSlots(new DispatcherState.Worker(own, 0).hash, 2);
+                harness.dispatcher.peerMessage(harness.now, 1, borrows.encode());
             }
             harness.request(1);
             assertEquals(0, harness.sends.size(), "all slots are in use by the peer's jobs");
             if (reportedAgain) {
-                harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).bytes());
+                harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).encode());
             } else {
                 harness.advance(1_900 * MS);
             }
@@ -432,8 +432,8 @@
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker("far", 0).hash, 4);
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        offer.addSlots(new DispatcherState.Worker("far", 0).hash, 4);
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         for (long id = 1; id <= 30; id++) {
             harness.request(id);
         }
@@ -443,9 +443,9 @@
         harness.sends.forEach(s -> harness.endAttempt(s.id(), 0, Outcome.OK));
         harness.advance(1_600 * MS);
         List<String> reports = harness.sentMessages.stream()
-                .map(b -> PeerMessage.read(b, 0))
+                .map(b -> PeerMessage.decode(b, 0))
                 .filter(m -> m.type == PeerMessage.Type.HOLDS)
-                .map(m -> m.entries == 0 ? "none" : Integer.toString(m.count[0]))
+                .map(m -> m.entryCount == 0 ? "none" : Integer.toString(m.entryValues[0]))
                 .toList();
         assertEquals(List.of(Integer.toString(borrowed), Integer.toString(borrowed), "none"), reports);
     }
@@ -469,9 +469,9 @@
 
     private static List<String> reportedBorrows(DispatcherHarness harness) {
         return harness.sentMessages.stream()
-                .map(b -> PeerMessage.read(b, 0))
+                .map(b -> PeerMessage.decode(b, 0))
                 .filter(m -> m.type == PeerMessage.Type.BORROWS)
-                .map(m -> m.hash[0] + " " + m.count[0])
+                .map(m -> m.workerHashes[0] + " " + m.entryValues[0])
                 .toList();
     }
 
@@ -486,7 +486,7 @@
         for (long id = 1; id <= 4; id++) {
             harness.request(id); // alone it owns both workers
         }
-        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode();
         harness.dispatcher.peerMessage(harness.now, 1, hello);
         harness.advance(40 * MS);
         int a = new DispatcherState.Worker("a", 0).hash;
@@ -519,10 +519,10 @@
                 .findFirst()
                 .orElseThrow();
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
-        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode();
         PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
-        borrows.add(hashes[moving], 2);
-        harness.dispatcher.peerMessage(harness.now, 2, borrows.bytes());
+        borrows.addSlots(hashes[moving], 2);
+        harness.dispatcher.peerMessage(harness.now, 2, borrows.encode());
         harness.advance(40 * MS);
         harness.request(1);
         harness.request(2);
@@ -549,15 +549,15 @@
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
-            harness.dispatcher.peerMessage(harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+            harness.dispatcher.peerMessage(harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).encode());
         }
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
         }
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker("far", 0).hash, 4);
+        offer.addSlots(new DispatcherState.Worker("far", 0).hash, 4);
         for (int i = 0; i < 5; i++) {
-            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+            harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         }
         assertTrue(harness.sendCount("far") >= 4, harness.sendCount("far") + " sent");
     }
@@ -566,19 +566,19 @@
     void aMessageWithPBelowOneIsAnsweredWithAnOfferAtOnce() {
         options.peers = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
         harness.advance(60 * MS);
         harness.sentMessages.clear();
         PeerMessage asking = new PeerMessage(PeerMessage.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * MS);
-        harness.dispatcher.peerMessage(harness.now, 1, asking.bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, asking.encode());
         assertEquals(1, harness.sentMessages.size());
-        assertTrue(PeerMessage.read(harness.sentMessages.get(0), 0).entries > 0);
+        assertTrue(PeerMessage.decode(harness.sentMessages.get(0), 0).entryCount > 0);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
         }
         harness.advance(500 * MS);
-        PeerMessage lastSent = PeerMessage.read(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
-        assertTrue(lastSent.entries == 0 && lastSent.p < 1);
+        PeerMessage lastSent = PeerMessage.decode(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
+        assertTrue(lastSent.entryCount == 0 && lastSent.acceptance < 1);
     }
 
     @Test
@@ -637,7 +637,7 @@
                 })) {
             harness.dispatcher.peerMessage(harness.now, 1, bytes);
         }
-        harness.dispatcher.peerMessage(harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
+        harness.dispatcher.peerMessage(harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).encode());
         harness.request(1);
         assertFalse(harness.sends.isEmpty());
     }
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -43,7 +43,7 @@
     }
 
     private static byte[] hello(double p, double rate) {
-        return new PeerMessage(PeerMessage.Type.OFFERS, 0, p, p, rate, 50 * MS).bytes();
+        return new PeerMessage(PeerMessage.Type.OFFERS, 0, p, p, rate, 50 * MS).encode();
     }
 
     // ---- counters ----
@@ -155,8 +155,8 @@
             for (double r : edges) {
                 double w = Dispatcher.spillWeight(p, r);
                 assertTrue(w >= 0 && w <= 1, p + ", " + r + ": " + w);
-                PeerMessage m = PeerMessage.read(new PeerMessage(PeerMessage.Type.OFFERS, 0, p, r, 0, 0).bytes(), 0);
-                assertTrue(Math.abs(m.p - p) <= 1 / 255.0 && Math.abs(m.r - r) <= 1 / 510.0 + 1e-9, p + ", " + r);
+                PeerMessage m = PeerMessage.decode(new PeerMessage(PeerMessage.Type.OFFERS, 0, p, r, 0, 0).encode(), 0);
+                assertTrue(Math.abs(m.acceptance - p) <= 1 / 255.0 && Math.abs(m.combinedAcceptance - r) <= 1 / 510.0 + 1e-9, p + ", " + r);
             }
         }
         assertEquals(1, Dispatcher.acceptanceProbability(0, 1));
@@ -167,9 +167,9 @@
     @Test
     void aPJustBelowOneStaysBelowOneInAMessage() {
         for (double p : new double[] {0.99, 0.999, 1 - 1e-9}) {
-            assertTrue(PeerMessage.read(hello(p, 1), 0).p < 1, "P " + p);
+            assertTrue(PeerMessage.decode(hello(p, 1), 0).acceptance < 1, "P " + p);
         }
-        assertEquals(1, PeerMessage.read(hello(1, 1), 0).p);
+        assertEquals(1, PeerMessage.decode(hello(1, 1), 0).acceptance);
     }
 
     private void traffic(DispatcherHarness harness, int perSecond, long span) {
@@ -290,8 +290,8 @@
 
     private static void borrow(DispatcherHarness harness, int slots) {
         PeerMessage m = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 5, 50 * MS);
-        IntStream.range(0, 8).forEach(i -> m.add(new DispatcherState.Worker("w" + i, 0).hash, slots));
-        harness.dispatcher.peerMessage(harness.now, 1, m.bytes());
+        IntStream.range(0, 8).forEach(i -> m.addSlots(new DispatcherState.Worker("w" + i, 0).hash, slots));
+        harness.dispatcher.peerMessage(harness.now, 1, m.encode());
     }
 
     private static int peerSlots(DispatcherHarness harness) throws Exception {
@@ -350,7 +350,7 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 5, 50 * MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 5, 50 * MS).encode();
         for (int i = 0; i < 6; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, hello);
             harness.advance(500 * MS);
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -89,7 +89,7 @@
             dispatcher.peerMessage(
                     now,
                     peer,
-                    new PeerMessage(PeerMessage.Type.OFFERS, peer % settings.zoneCount(), 1, 1, 20, 500 * MS).bytes());
+                    new PeerMessage(PeerMessage.Type.OFFERS, peer % settings.zoneCount(), 1, 1, 20, 500 * MS).encode());
         }
     }
 
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -46,7 +46,7 @@
         options.tellsStart = true;
         options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
@@ -56,8 +56,8 @@
                 .findFirst()
                 .orElseThrow();
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        offer.addSlots(new DispatcherState.Worker(foreign, 0).hash, 1);
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         DispatcherHarness.Send borrowed = harness.sends.stream()
                 .filter(s -> s.worker().equals(foreign))
                 .findFirst()
--- a/src/test/java/saffronferry/PeerMessageProbe.java
+++ b/src/test/java/saffronferry/PeerMessageProbe.java
@@ -5,6 +5,6 @@
     private PeerMessageProbe() {}
 
     public static Object read(byte[] bytes) {
-        return PeerMessage.read(bytes, 0);
+        return PeerMessage.decode(bytes, 0);
     }
 }
--- a/src/test/java/saffronferry/PeerMessageTest.java
+++ b/src/test/java/saffronferry/PeerMessageTest.java
@@ -16,14 +16,14 @@
     private static final long NOW = 1_796_162_281_788_301L;
 
     private static PeerMessage transferOffer(long at, int peers) {
-        BitSet word = new BitSet();
-        word.set(0, peers);
+        BitSet members = new BitSet();
+        members.set(0, peers);
         PeerMessage m = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
-        m.at = at;
-        m.cold = true;
-        m.word = word;
-        m.hears = (BitSet) word.clone();
-        m.lend(new DispatcherState.Worker("cold", 0).hash, 18);
+        m.timestamp = at;
+        m.knowsColdWorker = true;
+        m.grantees = members;
+        m.heardPeers = (BitSet) members.clone();
+        m.addTransfer(new DispatcherState.Worker("cold", 0).hash, 18);
         return m;
     }
 
@@ -31,20 +31,20 @@
     void timestampsGrantsAndTransfersSurviveEncoding() {
         for (long late : new long[] {0, 3_000, 400_000, 100_000_000, -90_000}) {
             for (int peers : new int[] {1, 9, 100, 800}) {
-                byte[] bytes = transferOffer(NOW - late, peers).bytes();
-                PeerMessage m = PeerMessage.read(bytes, NOW);
-                assertTrue(bytes.length <= PeerMessage.MOST_BYTES && Math.abs(m.at - (NOW - late)) < 4_100, "late " + late);
-                assertEquals(peers, m.word.cardinality());
-                assertTrue(m.cold && m.entries == 1 && m.lent(0));
+                byte[] bytes = transferOffer(NOW - late, peers).encode();
+                PeerMessage m = PeerMessage.decode(bytes, NOW);
+                assertTrue(bytes.length <= PeerMessage.MAX_BYTES && Math.abs(m.timestamp - (NOW - late)) < 4_100, "late " + late);
+                assertEquals(peers, m.grantees.cardinality());
+                assertTrue(m.knowsColdWorker && m.entryCount == 1 && m.isTransfer(0));
                 assertEquals(18, m.amount(0));
             }
         }
-        byte[] bytes = transferOffer(NOW, 100).bytes();
+        byte[] bytes = transferOffer(NOW, 100).encode();
         for (int cut = 0; cut < bytes.length; cut++) {
-            PeerMessage.read(Arrays.copyOf(bytes, cut), NOW); // truncated messages are rejected or shorter
+            PeerMessage.decode(Arrays.copyOf(bytes, cut), NOW); // truncated messages are rejected or shorter
         }
         bytes[9] = (byte) 0x7F;
-        assertNull(PeerMessage.read(bytes, NOW), "a set that is longer than the message");
+        assertNull(PeerMessage.decode(bytes, NOW), "a set that is longer than the message");
     }
 
     /** The set of dispatchers in other zones follows one set or two. */
@@ -52,15 +52,15 @@
     void theSetOfDispatchersInOtherZonesSurvivesEncoding() {
         for (int hears : new int[] {5, 90}) {
             PeerMessage m = transferOffer(NOW, 3);
-            m.hears.set(hears);
-            m.elsewhere = BitSet.valueOf(new long[] {1L << 40, 7});
-            PeerMessage read = PeerMessage.read(m.bytes(), NOW);
-            assertEquals(m.elsewhere, read.elsewhere);
-            assertEquals(m.hears, read.hears);
-            assertEquals(m.word, read.word);
-            assertEquals(m.entries, read.entries);
-            for (int cut = 0; cut < m.bytes().length; cut++) {
-                PeerMessage.read(Arrays.copyOf(m.bytes(), cut), NOW);
+            m.heardPeers.set(hears);
+            m.otherZonePeers = BitSet.valueOf(new long[] {1L << 40, 7});
+            PeerMessage read = PeerMessage.decode(m.encode(), NOW);
+            assertEquals(m.otherZonePeers, read.otherZonePeers);
+            assertEquals(m.heardPeers, read.heardPeers);
+            assertEquals(m.grantees, read.grantees);
+            assertEquals(m.entryCount, read.entryCount);
+            for (int cut = 0; cut < m.encode().length; cut++) {
+                PeerMessage.decode(Arrays.copyOf(m.encode(), cut), NOW);
             }
         }
     }
@@ -68,7 +68,7 @@
     /** A transfer is valid once, for a limited time, and for the process that it was sent to. */
     @Test
     void duplicatedLateAndMisdirectedTransfersAreIgnored() {
-        record Case(String name, long at, long bornAt, long lentBefore, boolean counts) {}
+        record Case(String name, long at, long bornAt, long lastTransferAt, boolean counts) {}
 
         for (Case c : new Case[] {
             new Case("in time", NOW - 1_000, 0, 0, true),
@@ -76,7 +76,7 @@
                     "duplicated",
                     NOW - 1_000,
                     0,
-                    PeerMessage.read(transferOffer(NOW - 1_000, 2).bytes(), NOW).at,
+                    PeerMessage.decode(transferOffer(NOW - 1_000, 2).encode(), NOW).timestamp,
                     false),
             new Case("overtaken", NOW - 9_000, 0, NOW - 1_000, false),
             new Case("too late", NOW - 500_000, 0, 0, false),
@@ -84,8 +84,8 @@
             new Case("from the future", NOW + 300_000, 0, 0, false)
         }) {
             DispatcherState.Peer y = new DispatcherState.Peer(1);
-            y.borrowedBudget.taken(c.lentBefore);
-            PeerMessage m = PeerMessage.read(transferOffer(c.at, 2).bytes(), NOW);
+            y.borrowedBudget.taken(c.lastTransferAt);
+            PeerMessage m = PeerMessage.decode(transferOffer(c.at, 2).encode(), NOW);
             y.recordOffers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
             assertEquals(c.counts, y.offerCovers(0, 1, 600_000), c.name);
             if (c.counts) {
@@ -101,14 +101,14 @@
         DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
         DispatcherState.Peer lender = new DispatcherState.Peer(0);
         PeerMessage offer = transferOffer(NOW, 2);
-        lender.recordOffers(new DispatcherState.Worker[] {null}, PeerMessage.read(offer.bytes(), NOW), NOW, 0, 400_000); // an unknown worker
+        lender.recordOffers(new DispatcherState.Worker[] {null}, PeerMessage.decode(offer.encode(), NOW), NOW, 0, 400_000); // an unknown worker
         assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000) && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
         assertTrue(lender.hasUnusedLoan(false, NOW, 400_000), "no job waits");
         byte[] bytes = lender.returnUnusedBudget(new PeerMessage(PeerMessage.Type.RETURNS, 0, 1, 1, 1, 50 * MS))
-                .bytes();
+                .encode();
         assertTrue(!lender.hasUnusedLoan(false, NOW, 400_000) && !lender.offerCovers(0, 1, 1), "no longer usable once it is returned");
         for (int cut = 0; cut < bytes.length; cut++) {
-            PeerMessage.read(Arrays.copyOf(bytes, cut), NOW);
+            PeerMessage.decode(Arrays.copyOf(bytes, cut), NOW);
         }
         record Case(String name, long lentAt, int lent, long backAt, double back) {}
 
@@ -121,11 +121,11 @@
         }) {
             Lent out = new Lent();
             if (c.lent > 0) {
-                out.lent(w.hash, c.lentAt, c.lent * PeerMessage.LENT_UNIT);
+                out.lent(w.hash, c.lentAt, c.lent * PeerMessage.TRANSFER_UNIT_US);
             }
-            PeerMessage m = PeerMessage.read(bytes, c.backAt);
-            assertEquals(c.back, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name);
-            assertEquals(0, out.back(m.hash[0], m.at, m.amount(0) * PeerMessage.LENT_UNIT, c.backAt), c.name + ", duplicated");
+            PeerMessage m = PeerMessage.decode(bytes, c.backAt);
+            assertEquals(c.back, out.back(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name);
+            assertEquals(0, out.back(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name + ", duplicated");
         }
         assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
         w.coldBudget.spend(900_000);
@@ -148,6 +148,6 @@
         y.lend(w, DispatcherState.Peer.roundUpToBudgetUnits(600_000), m, NOW);
         assertEquals(false, w.coldBudget.covers(250_000, NOW, 1, 8, 0.5), "the transfer is charged");
         assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two transfers must have different timestamps");
-        assertNotNull(PeerMessage.read(m.bytes(), NOW));
+        assertNotNull(PeerMessage.decode(m.encode(), NOW));
     }
 }
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -124,9 +124,9 @@
                         20,
                         50_000);
                 for (int k = 0; k < 4; k++) {
-                    m.add(new DispatcherState.Worker("w" + random.nextInt(14), 0).hash, random.nextInt(4));
+                    m.addSlots(new DispatcherState.Worker("w" + random.nextInt(14), 0).hash, random.nextInt(4));
                 }
-                harness.dispatcher.peerMessage(harness.now, random.nextInt(options.peers), m.bytes());
+                harness.dispatcher.peerMessage(harness.now, random.nextInt(options.peers), m.encode());
             } else if (event < 95) {
                 harness.report("w" + random.nextInt(14), random.nextInt(5));
             } else if (event < 97 && !inFlight.isEmpty()) {
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -65,7 +65,7 @@
         assertEquals(0.25, harness.dispatcher.sharing().part());
         for (int peer : new int[] {1, 2}) {
             harness.dispatcher.peerMessage(
-                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).bytes());
+                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).encode());
         }
         Sharing sharing = harness.dispatcher.sharing();
         assertEquals(Sharing.Fallback.PARTS, sharing.fallback());
