--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -721,9 +721,9 @@
         peer.recordMessage(message, now, MAX_EXCHANGE_PERIOD_US);
         // the list here may be late, and not name a cold worker that the peer knows
         if (message.knowsColdWorker && message.zone == settings.zone()) {
-            coldAnnouncedUntil = now + ColdShares.LEASE;
+            coldAnnouncedUntil = now + ColdShares.LEASE_US;
         }
-        coldShares.says(
+        coldShares.receiveGrant(
                 peerNumber,
                 message.zone != settings.zone(),
                 message.grantees,
@@ -1198,7 +1198,7 @@
         int fingerprint = settled ? 1 : 0;
         for (Peer peer : peers) {
             if (peer.lastHeardAt > 0 && peer.zone >= 0) {
-                int zoneAndCounted = peer.zone + (coldShares.counts(peer.number, now) ? 0 : 1 << 20);
+                int zoneAndCounted = peer.zone + (coldShares.canDelegateTo(peer.number, now) ? 0 : 1 << 20);
                 fingerprint =
                         (int) DispatcherState.mix(fingerprint, 1 + peer.number * settings.zoneCount() + zoneAndCounted);
             }
@@ -1224,7 +1224,7 @@
             servedZones.set(z, !settled || hasDispatchers(z));
         }
         int[] countedMembers = Arrays.stream(zoneMembers)
-                .filter(member -> coldShares.counts(member, now))
+                .filter(member -> coldShares.canDelegateTo(member, now))
                 .toArray();
         boolean ownershipChanged = ownership.update(zoneMembers, countedMembers, servedZones);
         for (Worker worker : workerIndex.reassign(ownership, ownershipChanged, estimates)) {
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -256,7 +256,7 @@
          * announcement, which stands for one lease, never names a peer that is forgotten meanwhile.
          */
         long silenceTimeout() {
-            return Math.max(MISSED_PERIODS_UNTIL_SILENT * messageInterval, 2 * ColdShares.LEASE);
+            return Math.max(MISSED_PERIODS_UNTIL_SILENT * messageInterval, 2 * ColdShares.LEASE_US);
         }
 
         /**
@@ -274,14 +274,14 @@
                         shares.isSelf(peer.number)
                                 || peer.lastHeardAt > 0
                                         && peer.zone == zone
-                                        && message.timestamp - peer.lastHeardAt <= peer.silenceTimeout() - ColdShares.LEASE);
+                                        && message.timestamp - peer.lastHeardAt <= peer.silenceTimeout() - ColdShares.LEASE_US);
             }
-            message.grantees = shares.word(message.heardPeers, message.timestamp);
+            message.grantees = shares.grant(message.heardPeers, message.timestamp);
         }
 
         /** Adds which dispatchers are in other zones, for a peer that may have just started and doesn't know. */
         static PeerMessage attachOtherZones(ColdShares shares, PeerMessage message) {
-            BitSet others = shares.elsewhere();
+            BitSet others = shares.otherZonePeers();
             // left out where it would exceed the largest message, which offers may have filled already
             boolean fits =
                     message.grantees != null && message.size() + 1 + (others.length() + 7) / 8 <= PeerMessage.MAX_BYTES;
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -144,7 +144,7 @@
             boolean self = shares.isSelf(peer.number);
             heard += self || peer.lastHeardAt > 0 ? 1 : 0;
             counted +=
-                    self || peer.lastHeardAt > 0 && peer.zone == zone && shares.counts(peer.number, now) ? 1 : 0;
+                    self || peer.lastHeardAt > 0 && peer.zone == zone && shares.canDelegateTo(peer.number, now) ? 1 : 0;
             lent += peer.totalLentUs;
             returned += peer.totalReturnedUs;
             borrowed += peer.totalBorrowedUs;
@@ -152,7 +152,7 @@
         int guarded = coldOwned.size();
         double shareSum = 0;
         for (Worker worker : coldOwned) {
-            shareSum += shares.part(now, worker.hash, worker.zone == zone);
+            shareSum += shares.share(now, worker.hash, worker.zone == zone);
         }
         return new Sharing(
                 peers.length,
--- a/src/main/java/saffronferry/WorkerOwnership.java
+++ b/src/main/java/saffronferry/WorkerOwnership.java
@@ -40,7 +40,7 @@
         this.zoneMembers = zoneMembers;
         this.countedMembers = countedMembers;
         this.servedZones = servedZones;
-        shares.near(countedMembers);
+        shares.setZoneMembers(countedMembers);
         return !same;
     }
 
--- a/src/main/java/saffronferry/fleet/ColdBudget.java
+++ b/src/main/java/saffronferry/fleet/ColdBudget.java
@@ -40,11 +40,11 @@
         growth.reset();
     }
 
-    /** This dispatcher's share of the allowed rate at a worker that it guards; see {@link ColdShares#part}. */
+    /** This dispatcher's share of the allowed rate at a worker that it guards; see {@link ColdShares#share}. */
     public double part(ColdShares shares, long now, int worker, boolean home) {
         // Recomputed after a pause of the process, during which leases may have expired.
         if (lookedAt == Long.MIN_VALUE || now - lookedAt >= LOOK || now < lookedAt) {
-            part = shares.part(now, worker, home);
+            part = shares.share(now, worker, home);
             lookedAt = now;
         }
         return part;
--- a/src/main/java/saffronferry/fleet/ColdShares.java
+++ b/src/main/java/saffronferry/fleet/ColdShares.java
@@ -13,38 +13,38 @@
  */
 public final class ColdShares {
     /** Time for which a grant is valid. Its sender must not forget the dispatchers that it names for as long. */
-    public static final long LEASE = 1_000_000;
+    public static final long LEASE_US = 1_000_000;
     /** Largest difference between two machines' clocks. */
-    public static final long CLOCK_ERROR = 100_000;
+    public static final long MAX_CLOCK_ERROR_US = 100_000;
 
     private final int self;
-    private final BitSet[] words;
-    private final long[] saidAt;
+    private final BitSet[] grants;
+    private final long[] grantedAt;
     /** Dispatchers known to be in other zones; a dispatcher never changes its zone. */
-    private final BitSet elsewhere = new BitSet();
+    private final BitSet otherZonePeers = new BitSet();
     /** Whether each dispatcher's last grant says that it hears this one; true without a grant. */
-    private final boolean[] hearsUs;
+    private final boolean[] hearsSelf;
     /** When this dispatcher's grant last named each dispatcher. */
-    private final long[] namedAt;
+    private final long[] lastNamedAt;
 
-    private BitSet near = new BitSet();
+    private BitSet zoneMembers = new BitSet();
 
     /** Creates the shares of dispatcher {@code self} in a fleet of {@code dispatchers}. */
     public ColdShares(int self, int dispatchers) {
         this.self = self;
-        words = new BitSet[dispatchers];
-        saidAt = new long[dispatchers];
-        namedAt = new long[dispatchers];
-        hearsUs = new boolean[dispatchers];
-        Arrays.fill(hearsUs, true);
-        near.set(self);
+        grants = new BitSet[dispatchers];
+        grantedAt = new long[dispatchers];
+        lastNamedAt = new long[dispatchers];
+        hearsSelf = new boolean[dispatchers];
+        Arrays.fill(hearsSelf, true);
+        zoneMembers.set(self);
     }
 
     /** Sets the dispatchers of this zone that this one hears, itself included. They share the zone's workers. */
-    public void near(int[] members) {
-        near = new BitSet();
+    public void setZoneMembers(int[] members) {
+        zoneMembers = new BitSet();
         for (int member : members) {
-            near.set(member);
+            zoneMembers.set(member);
         }
     }
 
@@ -57,13 +57,13 @@
      * Whether this dispatcher's share may be delegated to another one that it hears. One whose last grant shows that it
      * does not hear this dispatcher would leave the share unused; but a grant that was sent is valid for a lease.
      */
-    public boolean counts(int dispatcher, long now) {
-        return hearsUs[dispatcher] || now - saidAt[dispatcher] > LEASE || now - namedAt[dispatcher] <= LEASE;
+    public boolean canDelegateTo(int dispatcher, long now) {
+        return hearsSelf[dispatcher] || now - grantedAt[dispatcher] > LEASE_US || now - lastNamedAt[dispatcher] <= LEASE_US;
     }
 
     /** The dispatchers known to be in other zones, to be sent to a peer that has just started. */
-    public BitSet elsewhere() {
-        return (BitSet) elsewhere.clone();
+    public BitSet otherZonePeers() {
+        return (BitSet) otherZonePeers.clone();
     }
 
     /**
@@ -72,11 +72,11 @@
      *
      * @param heard the dispatchers that this one hears, itself included, and will not forget for a lease
      */
-    public BitSet word(BitSet heard, long now) {
+    public BitSet grant(BitSet heard, long now) {
         BitSet grantees = new BitSet();
         for (int k = heard.nextSetBit(0); k >= 0; k = heard.nextSetBit(k + 1)) {
-            if (k != self && near.get(k) && hearsUs[k]) {
-                namedAt[k] = now;
+            if (k != self && zoneMembers.get(k) && hearsSelf[k]) {
+                lastNamedAt[k] = now;
                 grantees.set(k);
             }
         }
@@ -93,24 +93,24 @@
      * @param inOtherZones the dispatchers that the peer knows to be in other zones than its own, or null
      * @param at when the message was sent, by the shared clock
      */
-    public void says(
+    public void receiveGrant(
             int dispatcher, boolean inOtherZone, BitSet grantees, BitSet heard, BitSet inOtherZones, long at, long now) {
         if (inOtherZones != null && !inOtherZone) {
-            elsewhere.or(inOtherZones);
-            elsewhere.clear(words.length, Math.max(words.length, elsewhere.length()));
-            elsewhere.clear(self);
+            otherZonePeers.or(inOtherZones);
+            otherZonePeers.clear(grants.length, Math.max(grants.length, otherZonePeers.length()));
+            otherZonePeers.clear(self);
         }
-        elsewhere.set(dispatcher, inOtherZone);
-        if (grantees != null && at >= saidAt[dispatcher] && at <= now + CLOCK_ERROR) {
-            words[dispatcher] = grantees;
-            hearsUs[dispatcher] = heard.get(self);
-            saidAt[dispatcher] = at;
+        otherZonePeers.set(dispatcher, inOtherZone);
+        if (grantees != null && at >= grantedAt[dispatcher] && at <= now + MAX_CLOCK_ERROR_US) {
+            grants[dispatcher] = grantees;
+            hearsSelf[dispatcher] = heard.get(self);
+            grantedAt[dispatcher] = at;
         }
     }
 
     /** The guardian of a worker, which fills it while it is cold: this dispatcher or one of the zone members. */
     public int guardian(int worker) {
-        return guardian(worker, near);
+        return guardian(worker, zoneMembers);
     }
 
     /** The guardian by plain rendezvous hashing, so that it does not depend on the other workers of the list. */
@@ -138,16 +138,16 @@
      *     dispatchers; it may have some that this one does not hear, and they share the whole. The share is then 0
      * @return 0 to 1
      */
-    public double part(long now, int worker, boolean inOwnZone) {
+    public double share(long now, int worker, boolean inOwnZone) {
         if (!inOwnZone) {
             return 0;
         }
         int heldShares = 1;
         BitSet previous = null;
         boolean delegated = false;
-        for (int k = 0; k < words.length; k++) {
-            BitSet grantees = words[k];
-            if (k == self || elsewhere.get(k) || !stands(k, now)) {
+        for (int k = 0; k < grants.length; k++) {
+            BitSet grantees = grants[k];
+            if (k == self || otherZonePeers.get(k) || !isGrantValid(k, now)) {
                 continue;
             }
             // Most grants name the same dispatchers, so the guardian is computed only if they differ.
@@ -157,48 +157,48 @@
             }
             heldShares += delegated && grantees.get(k) ? 1 : 0;
         }
-        return (double) heldShares / (words.length - elsewhere.cardinality());
+        return (double) heldShares / (grants.length - otherZonePeers.cardinality());
     }
 
-    private boolean stands(int dispatcher, long now) {
-        return words[dispatcher] != null && now - saidAt[dispatcher] < LEASE - CLOCK_ERROR;
+    private boolean isGrantValid(int dispatcher, long now) {
+        return grants[dispatcher] != null && now - grantedAt[dispatcher] < LEASE_US - MAX_CLOCK_ERROR_US;
     }
 
-    /** Whether a dispatcher's share of a worker is delegated to this one now; {@link #part} counts these. */
-    public boolean leftToUs(int dispatcher, long now, int worker) {
+    /** Whether a dispatcher's share of a worker is delegated to this one now; {@link #share} counts these. */
+    public boolean isDelegatedToSelf(int dispatcher, long now, int worker) {
         return dispatcher != self
-                && !elsewhere.get(dispatcher)
-                && stands(dispatcher, now)
-                && words[dispatcher].get(dispatcher)
-                && guardian(worker, words[dispatcher]) == self;
+                && !otherZonePeers.get(dispatcher)
+                && isGrantValid(dispatcher, now)
+                && grants[dispatcher].get(dispatcher)
+                && guardian(worker, grants[dispatcher]) == self;
     }
 
     /** An independent copy, for the state-space explorer. */
     public ColdShares copy() {
-        ColdShares other = new ColdShares(self, words.length);
-        System.arraycopy(words, 0, other.words, 0, words.length); // the sets are never modified
-        System.arraycopy(saidAt, 0, other.saidAt, 0, saidAt.length);
-        System.arraycopy(hearsUs, 0, other.hearsUs, 0, hearsUs.length);
-        System.arraycopy(namedAt, 0, other.namedAt, 0, namedAt.length);
-        other.elsewhere.or(elsewhere);
-        other.near = near;
+        ColdShares other = new ColdShares(self, grants.length);
+        System.arraycopy(grants, 0, other.grants, 0, grants.length); // the sets are never modified
+        System.arraycopy(grantedAt, 0, other.grantedAt, 0, grantedAt.length);
+        System.arraycopy(hearsSelf, 0, other.hearsSelf, 0, hearsSelf.length);
+        System.arraycopy(lastNamedAt, 0, other.lastNamedAt, 0, lastNamedAt.length);
+        other.otherZonePeers.or(otherZonePeers);
+        other.zoneMembers = zoneMembers;
         return other;
     }
 
     /** Canonical form of the state at a time: equal for two objects that will always behave the same. */
     public String state(long now) {
-        StringBuilder all = new StringBuilder().append(near);
-        for (int k = 0; k < words.length; k++) {
+        StringBuilder all = new StringBuilder().append(zoneMembers);
+        for (int k = 0; k < grants.length; k++) {
             all.append(' ')
-                    .append(now - saidAt[k] > LEASE ? "-" : words[k] + "," + (now - saidAt[k]))
-                    .append(hearsUs[k] ? 'h' : '.')
-                    .append(Math.min(now - namedAt[k], LEASE + 1));
+                    .append(now - grantedAt[k] > LEASE_US ? "-" : grants[k] + "," + (now - grantedAt[k]))
+                    .append(hearsSelf[k] ? 'h' : '.')
+                    .append(Math.min(now - lastNamedAt[k], LEASE_US + 1));
         }
-        return all.append(elsewhere).toString();
+        return all.append(otherZonePeers).toString();
     }
 
     /** Position of this dispatcher's bucket for a worker among the fleet's buckets, evenly spread over 0 to 1. */
     public double phase(int worker) {
-        return (Math.floorMod(self + (long) worker, (long) words.length) + 0.5) / words.length;
+        return (Math.floorMod(self + (long) worker, (long) grants.length) + 0.5) / grants.length;
     }
 }
--- a/src/main/java/saffronferry/fleet/Loan.java
+++ b/src/main/java/saffronferry/fleet/Loan.java
@@ -18,7 +18,7 @@
      * @param life time for which a transfer is valid
      */
     public boolean counts(long at, long now, long bornAt, long life) {
-        return at > last && at > bornAt && now - at < life && at <= now + ColdShares.CLOCK_ERROR;
+        return at > last && at > bornAt && now - at < life && at <= now + ColdShares.MAX_CLOCK_ERROR_US;
     }
 
     /** Marks a transfer as used: it is not valid again, nor is any older one. */
--- a/src/main/java/saffronferry/lab/explore/SharesModel.java
+++ b/src/main/java/saffronferry/lab/explore/SharesModel.java
@@ -187,7 +187,7 @@
         for (Datagram d : arriving) {
             if (d.dueAt <= s.now && d.to != s.stopped) {
                 s.lastHeardAt[d.to][d.from] = s.now;
-                s.shares[d.to].says(
+                s.shares[d.to].receiveGrant(
                         d.from,
                         false,
                         d.announced,
@@ -214,9 +214,9 @@
     private static void broadcast(State s, int i, List<Datagram> datagrams, int pair, int disturbance) {
         BitSet heardPeers = new BitSet();
         for (int j = 0; j < DISPATCHERS; j++) {
-            heardPeers.set(j, j == i || s.lastHeardAt[i][j] > 0 && s.now - s.lastHeardAt[i][j] <= ColdShares.LEASE);
+            heardPeers.set(j, j == i || s.lastHeardAt[i][j] > 0 && s.now - s.lastHeardAt[i][j] <= ColdShares.LEASE_US);
         }
-        BitSet announced = s.shares[i].word(heardPeers, s.now);
+        BitSet announced = s.shares[i].grant(heardPeers, s.now);
         s.releasedAt[i][ColdShares.guardian(WORKER_HASH, announced)] = s.now;
         for (int j = 0; j < DISPATCHERS; j++) {
             int to = i * DISPATCHERS + j;
@@ -233,14 +233,14 @@
     /** A dispatcher updates which peers it hears and whose shares it may use. */
     private void updateShares(State s, int i) {
         ColdShares c = s.shares[i];
-        c.near(IntStream.range(0, DISPATCHERS)
+        c.setZoneMembers(IntStream.range(0, DISPATCHERS)
                 .filter(j -> j == i
-                        || s.lastHeardAt[i][j] > 0 && s.now - s.lastHeardAt[i][j] <= 2 * ColdShares.LEASE && c.counts(j, s.now))
+                        || s.lastHeardAt[i][j] > 0 && s.now - s.lastHeardAt[i][j] <= 2 * ColdShares.LEASE_US && c.canDelegateTo(j, s.now))
                 .toArray());
         boolean guards = c.guardian(WORKER_HASH) == i;
         for (int k = 0; k < DISPATCHERS; k++) {
-            boolean heard = s.lastHeardAt[i][k] > 0 && s.now - s.lastHeardAt[i][k] <= ColdShares.LEASE;
-            boolean released = variant == Variant.HEARD_IS_LEFT ? heard : c.leftToUs(k, s.now, WORKER_HASH);
+            boolean heard = s.lastHeardAt[i][k] > 0 && s.now - s.lastHeardAt[i][k] <= ColdShares.LEASE_US;
+            boolean released = variant == Variant.HEARD_IS_LEFT ? heard : c.isDelegatedToSelf(k, s.now, WORKER_HASH);
             s.usesShare[i][k] = guards && (k == i || released);
         }
     }
@@ -261,7 +261,7 @@
     public String violation(State s) {
         for (int k = 0; k < DISPATCHERS; k++) {
             for (int i = 0; i < DISPATCHERS; i++) {
-                if (i != k && i != s.stopped && s.usesShare[i][k] && s.now - s.releasedAt[k][i] >= ColdShares.LEASE) {
+                if (i != k && i != s.stopped && s.usesShare[i][k] && s.now - s.releasedAt[k][i] >= ColdShares.LEASE_US) {
                     return (char) ('A' + i) + " uses " + (char) ('A' + k) + "'s share, granted "
                             + (s.now - s.releasedAt[k][i]) / 1e6 + " s ago";
                 }
@@ -289,7 +289,7 @@
         for (int i = 0; i < DISPATCHERS; i++) {
             key.append('|').append(s.shares[i].state(s.now)).append(s.doubleUseTicks[i]);
             for (int j = 0; j < DISPATCHERS; j++) {
-                key.append(',').append(Math.min(s.now - s.lastHeardAt[i][j], 3 * ColdShares.LEASE));
+                key.append(',').append(Math.min(s.now - s.lastHeardAt[i][j], 3 * ColdShares.LEASE_US));
                 key.append(s.usesShare[i][j] ? 'u' : '.').append(Math.min(s.now - s.releasedAt[i][j], LATE_DELAY_US + TICK_US));
             }
         }
@@ -297,7 +297,7 @@
                 .append(d.to)
                 .append(d.announced)
                 .append(d.heardPeers)
-                .append(Math.min(s.now - d.sentAt, 2 * ColdShares.LEASE))
+                .append(Math.min(s.now - d.sentAt, 2 * ColdShares.LEASE_US))
                 .append(':')
                 .append(s.now - d.dueAt));
         return key.toString();
--- a/src/test/java/saffronferry/fleet/ColdSharesTest.java
+++ b/src/test/java/saffronferry/fleet/ColdSharesTest.java
@@ -39,17 +39,17 @@
                 int self = i;
                 long at = now;
                 if (now % 100_000 == 0 && !(self == frozen && now > 5_000_000 && now < 15_000_000)) {
-                    all[i].near(java.util.stream.IntStream.range(0, n)
+                    all[i].setZoneMembers(java.util.stream.IntStream.range(0, n)
                             .filter(j -> j == self
                                     || (!zones || (j - self) % 2 == 0)
-                                            && all[self].counts(j, at)
-                                            && at - heard[self][j] < 2 * ColdShares.LEASE)
+                                            && all[self].canDelegateTo(j, at)
+                                            && at - heard[self][j] < 2 * ColdShares.LEASE_US)
                             .toArray());
                     BitSet hears = new BitSet();
                     for (int j = 0; j < n; j++) {
-                        hears.set(j, j == i || (!zones || (j - i) % 2 == 0) && now - heard[i][j] < ColdShares.LEASE);
+                        hears.set(j, j == i || (!zones || (j - i) % 2 == 0) && now - heard[i][j] < ColdShares.LEASE_US);
                     }
-                    BitSet word = all[i].word(hears, now);
+                    BitSet word = all[i].grant(hears, now);
                     for (int j = 0; j < n; j++) {
                         if (j != i && (now < 2_000_000 || j < deafFrom) && random.nextDouble() >= loss) {
                             for (int copy = 0; copy <= random.nextInt(2); copy++) {
@@ -65,7 +65,7 @@
                 boolean stands = d[2] == frozen && now > 5_000_000 && now < 15_000_000;
                 if (d[0] <= now && !stands) {
                     heard[(int) d[2]][(int) d[1]] = now;
-                    all[(int) d[2]].says(
+                    all[(int) d[2]].receiveGrant(
                             (int) d[1],
                             zones && (d[1] - d[2]) % 2 != 0,
                             words.get(k)[0],
@@ -79,7 +79,7 @@
             }
             double holders = 0;
             for (int i = 0; i < n; i += zones ? 2 : 1) { // dispatchers of the worker's zone
-                holders += all[i].guardian(WORKER) == i ? all[i].part(now, WORKER, true) : 0;
+                holders += all[i].guardian(WORKER) == i ? all[i].share(now, WORKER, true) : 0;
             }
             most = now > 2_000_000 ? Math.max(most, holders) : most;
             some += now > 4_000_000 ? holders : 0;
@@ -114,17 +114,17 @@
     void aNewDispatcherLearnsFromAPeerWhoIsInOtherZones() {
         ColdShares fresh = new ColdShares(0, 8);
         BitSet own = BitSet.valueOf(new long[] {0b11});
-        fresh.near(new int[] {0, 1});
-        assertEquals(1 / 8.0, fresh.part(10, WORKER, true));
-        fresh.says(1, false, own, own, BitSet.valueOf(new long[] {0b11111100}), 10, 10);
+        fresh.setZoneMembers(new int[] {0, 1});
+        assertEquals(1 / 8.0, fresh.share(10, WORKER, true));
+        fresh.receiveGrant(1, false, own, own, BitSet.valueOf(new long[] {0b11111100}), 10, 10);
         double both = fresh.guardian(WORKER) == 0 ? 1 : 0.5;
-        assertEquals(both, fresh.part(10, WORKER, true));
-        fresh.says(2, false, own, own, BitSet.valueOf(new long[] {0x101}), 10, 10);
+        assertEquals(both, fresh.share(10, WORKER, true));
+        fresh.receiveGrant(2, false, own, own, BitSet.valueOf(new long[] {0x101}), 10, 10);
         assertEquals(
                 both * 2 / 3,
-                fresh.part(10, WORKER, true),
+                fresh.share(10, WORKER, true),
                 "2 is in this zone after all; itself and unknown numbers are ignored");
-        assertEquals(0, fresh.part(10, WORKER, false));
+        assertEquals(0, fresh.share(10, WORKER, false));
     }
 
     /** In any 3 s, all buckets together release at most their rate, the kept tokens and two jobs. */
