--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -899,7 +899,7 @@
         Attempt attempt = findAttempt(id, number);
         if (attempt != null) {
             if (started && attempt.startedAt == 0) {
-                attempt.worker.coldBudget.growth.started(now, attempt.sentAt);
+                attempt.worker.coldBudget.growth.jobStarted(now, attempt.sentAt);
             }
             attempt.startedAt = started ? now : attempt.startedAt;
             attempt.lastProgressAt = now;
@@ -980,7 +980,7 @@
                                 << Math.min(worker.consecutiveFulls, MAX_FULL_BACKOFF_DOUBLINGS));
                 worker.consecutiveFulls = saturatingIncrement(worker.consecutiveFulls);
                 worker.lastFullAt = now;
-                worker.coldBudget.growth.waited(now);
+                worker.coldBudget.growth.jobWaited(now);
             }
             case CONNECT_FAILED -> handleBroken(worker, false);
             // One broken connection does not make a broken worker, whose jobs would all be moved. A broken one resets
@@ -1123,7 +1123,7 @@
     private boolean coldBudgetCovers(Worker worker, double slotTimeUs, boolean jobsWait) {
         double rate = coldRate.of(now - worker.coldSince) * estimates.totalSlots(kindGroup(worker.kind)) / processCount;
         double share = worker.coldBudget.part(coldShares, now, worker.hash, worker.zone == settings.zone());
-        share = jobsWait ? worker.coldBudget.growth.of(share, now) : share;
+        share = jobsWait ? worker.coldBudget.growth.grow(share, now) : share;
         return worker.coldBudget.covers(slotTimeUs, now, share, rate, coldShares.phase(worker.hash));
     }
 
--- a/src/main/java/saffronferry/fleet/ColdBudget.java
+++ b/src/main/java/saffronferry/fleet/ColdBudget.java
@@ -32,7 +32,7 @@
     private long lookedAt = Long.MIN_VALUE;
     private boolean begun;
     /** Growth beyond the own share, on evidence from the worker that other shares are unused. */
-    public final Growth growth = new Growth();
+    public final ShareGrowth growth = new ShareGrowth();
 
     /** Starts again after a restart of the worker. */
     public void reset() {
@@ -101,7 +101,7 @@
     /** Charges a job that is sent now; {@code now} is 0 if its start will not be reported. */
     public void send(double work, long now) {
         spend(work);
-        growth.sent(now);
+        growth.jobSent(now);
     }
 
     /** Charges work that is sent, or budget that is transferred to another dispatcher. */
--- a/src/test/java/saffronferry/fleet/GrowthTest.java
+++ b/src/test/java/saffronferry/fleet/ShareGrowthTest.java
@@ -49,7 +49,7 @@
                 long[] next = queue.remove(0);
                 running.add(new double[] {next[0], JOB});
                 if (!blind) {
-                    budgets[(int) next[0]].growth.started(now, next[1]);
+                    budgets[(int) next[0]].growth.jobStarted(now, next[1]);
                 }
             }
             for (int i = 0; i < living; i++) {
@@ -59,11 +59,11 @@
                     sent[t] += JOB;
                     boolean full = queue.size() >= 10;
                     if (blind) {
-                        budgets[i].growth.started(now, now);
+                        budgets[i].growth.jobStarted(now, now);
                     } else if (full) {
-                        budgets[i].growth.waited(now);
+                        budgets[i].growth.jobWaited(now);
                     } else {
-                        budgets[i].growth.sent(now);
+                        budgets[i].growth.jobSent(now);
                     }
                     if (!full) {
                         mine[i]++;
@@ -106,26 +106,26 @@
 
     @Test
     void aWaitingJobResetsGrowthAndMissingJobsHalveIt() {
-        Growth g = new Growth();
+        ShareGrowth g = new ShareGrowth();
         long now = 10_000_000;
         for (int i = 0; i < 4; i++) {
-            g.sent(now);
-            g.started(now + 20_000, now);
-            now += Growth.PACE;
+            g.jobSent(now);
+            g.jobStarted(now + 20_000, now);
+            now += ShareGrowth.DOUBLING_TIME_US;
             g.factor(now);
         }
         assertEquals(16, g.factor(now));
-        now += Growth.FADE;
+        now += ShareGrowth.HALVING_TIME_US;
         assertEquals(8, g.factor(now), "no jobs, no evidence");
-        g.sent(now);
-        assertEquals(8, g.factor(now + Growth.AT_ONCE));
-        assertEquals(1, g.factor(now + Growth.AT_ONCE + 1), "its start was not reported");
-        now += Growth.AT_ONCE + 1;
-        g.sent(now);
-        g.started(now + 1, now);
-        assertEquals(1, g.factor(now + Growth.PACE), "too soon after a wait");
-        assertEquals(2, g.factor(now + 2 * Growth.PACE));
+        g.jobSent(now);
+        assertEquals(8, g.factor(now + ShareGrowth.MAX_START_DELAY_US));
+        assertEquals(1, g.factor(now + ShareGrowth.MAX_START_DELAY_US + 1), "its start was not reported");
+        now += ShareGrowth.MAX_START_DELAY_US + 1;
+        g.jobSent(now);
+        g.jobStarted(now + 1, now);
+        assertEquals(1, g.factor(now + ShareGrowth.DOUBLING_TIME_US), "too soon after a wait");
+        assertEquals(2, g.factor(now + 2 * ShareGrowth.DOUBLING_TIME_US));
         g.reset();
-        assertEquals(1, g.factor(now + 2 * Growth.PACE + 1), "after a restart of the worker");
+        assertEquals(1, g.factor(now + 2 * ShareGrowth.DOUBLING_TIME_US + 1), "after a restart of the worker");
     }
 }
