--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -277,7 +277,7 @@
         // A dispatcher that receives no peer messages owns all workers, and always finds a warm one that looks free.
         // Its share of a cold worker's budget is small and lost when unused: the worker would stay idle.
         for (Worker worker : workerIndex.coldOwned()) {
-            if (worker.openIndex >= 0 && worker.coldBudget.small() && canTake(job, worker)) {
+            if (worker.openIndex >= 0 && worker.coldBudget.hasSmallShare() && canTake(job, worker)) {
                 return worker;
             }
         }
@@ -495,7 +495,7 @@
         worker.attempts.add(attempt);
         worker.localSlots += job.request.slots();
         if (worker.ownedLocally) {
-            worker.coldBudget.send(expectedSlotTimeUs(job, worker), settings.reportsJobStart() ? now : 0);
+            worker.coldBudget.sendJob(expectedSlotTimeUs(job, worker), settings.reportsJobStart() ? now : 0);
         }
         if (worker.suspect) {
             scheduleTrial(worker);
@@ -1121,8 +1121,8 @@
      * cold workers first while warm ones have free slots.
      */
     private boolean coldBudgetCovers(Worker worker, double slotTimeUs, boolean jobsWait) {
-        double rate = coldRate.of(now - worker.coldSince) * estimates.totalSlots(kindGroup(worker.kind)) / processCount;
-        double share = worker.coldBudget.part(coldShares, now, worker.hash, worker.zone == settings.zone());
+        double rate = coldRate.perSlotAtAge(now - worker.coldSince) * estimates.totalSlots(kindGroup(worker.kind)) / processCount;
+        double share = worker.coldBudget.share(coldShares, now, worker.hash, worker.zone == settings.zone());
         share = jobsWait ? worker.coldBudget.growth.grow(share, now) : share;
         return worker.coldBudget.covers(slotTimeUs, now, share, rate, coldShares.phase(worker.hash));
     }
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -412,7 +412,7 @@
                 if (named[i] != null) {
                     double returned = lentBudget.back(
                             message.workerHashes[i], message.timestamp, message.amount(i) * PeerMessage.TRANSFER_UNIT_US, now);
-                    named[i].coldBudget.back(returned);
+                    named[i].coldBudget.refund(returned);
                     totalReturnedUs += (long) returned;
                 }
             }
--- a/src/main/java/saffronferry/fleet/ColdRate.java
+++ b/src/main/java/saffronferry/fleet/ColdRate.java
@@ -8,12 +8,12 @@
  * @param initialCapacity part of its full capacity that a worker has when it starts
  * @param coldPeriod time until a started worker is warm
  */
-public record ColdRate(double multiple, double share, long cold) {
+public record ColdRate(double overloadMultiple, double initialCapacity, long coldPeriod) {
     /** Part of the overload limit that is used: job sizes vary, and slot counts only estimate the cores. */
-    private static final double PART = 0.5;
+    private static final double LIMIT_SHARE = 0.5;
 
     /** Slot time per second and slot for a worker that started {@code age} microseconds ago. */
-    public double of(long age) {
-        return PART * multiple * (share + (1 - share) * Math.max(0, Math.min(1, (double) age / cold)));
+    public double perSlotAtAge(long age) {
+        return LIMIT_SHARE * overloadMultiple * (initialCapacity + (1 - initialCapacity) * Math.max(0, Math.min(1, (double) age / coldPeriod)));
     }
 }
--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -78,7 +78,7 @@
                 if (entry[1] == 0) {
                     budget.spend(JOB_COST);
                 } else {
-                    budget.back(JOB_COST);
+                    budget.refund(JOB_COST);
                 }
             }
             return budget.covers(JOB_COST, now, 1, RATE, 0.5);
--- a/src/test/java/saffronferry/PeerMessageTest.java
+++ b/src/test/java/saffronferry/PeerMessageTest.java
@@ -131,7 +131,7 @@
         w.coldBudget.spend(900_000);
         w.coldBudget.covers(600_000, NOW + 1_000_000, 1, 8, 0.5);
         w.coldBudget.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // refilled meanwhile
-        w.coldBudget.back(900_000);
+        w.coldBudget.refund(900_000);
         w.coldBudget.spend(1_700_000);
         assertTrue(!w.coldBudget.covers(1, NOW + 2_000_000, 1, 8, 0.5), "a refund is limited to what would have been kept");
     }
