--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -11,8 +11,8 @@
 import saffronferry.Contract.WorkerState;
 import saffronferry.fleet.ColdBudget;
 import saffronferry.fleet.ColdShares;
-import saffronferry.fleet.Lent;
-import saffronferry.fleet.Loan;
+import saffronferry.fleet.IncomingTransfers;
+import saffronferry.fleet.OutgoingTransfers;
 
 /** The state of one dispatcher: workers, call attempts, jobs and peers. The decisions are {@link Dispatcher}'s. */
 final class DispatcherState {
@@ -227,9 +227,9 @@
         private int[] offeredHashes = new int[0]; // also of workers not on the list: loans there are returned too
         boolean[] offeredAsBudget = new boolean[0]; // whether the amount is a share of a cold worker's budget
         long offeredAt;
-        final Loan borrowedBudget = new Loan();
+        final IncomingTransfers borrowedBudget = new IncomingTransfers();
         long nextLoanAt;
-        private final Lent lentBudget = new Lent();
+        private final OutgoingTransfers lentBudget = new OutgoingTransfers();
         long totalLentUs; // slot time, since this process started
         long totalReturnedUs;
         long totalBorrowedUs;
@@ -349,7 +349,7 @@
          * @param lifetime how long a loan counts
          */
         void recordOffers(Worker[] named, PeerMessage message, long now, long processStartedAt, long lifetime) {
-            boolean counts = message.grantees != null && borrowedBudget.counts(message.timestamp, now, processStartedAt, lifetime);
+            boolean counts = message.grantees != null && borrowedBudget.isValid(message.timestamp, now, processStartedAt, lifetime);
             offeredWorkers = named;
             offeredAmounts = new int[named.length];
             offeredHashes = Arrays.copyOf(message.workerHashes, named.length);
@@ -360,7 +360,7 @@
                 offeredAmounts[i] = offeredAsBudget[i] && !counts ? 0 : message.amount(i);
                 offeredAt = offeredAsBudget[i] ? Math.min(offeredAt, message.timestamp) : offeredAt;
                 if (offeredAsBudget[i] && counts) {
-                    borrowedBudget.taken(message.timestamp);
+                    borrowedBudget.markUsed(message.timestamp);
                     borrowedStamp = message.timestamp;
                     totalBorrowedUs += (long) (offeredAmounts[i] * PeerMessage.TRANSFER_UNIT_US);
                 }
@@ -375,7 +375,7 @@
         /** Lends a share of a worker's budget. It is spent here before it is sent, so it can't be spent twice. */
         void lend(Worker worker, double share, PeerMessage message, long now) {
             worker.coldBudget.spend(share);
-            lentBudget.lent(worker.hash, message.timestamp, share);
+            lentBudget.recordTransfer(worker.hash, message.timestamp, share);
             totalLentUs += (long) share;
             message.addTransfer(worker.hash, toBudgetUnits(share));
             nextLoanAt = now + MIN_LOAN_INTERVAL_US;
@@ -410,7 +410,7 @@
         void acceptReturnedBudget(Worker[] named, PeerMessage message, long now) {
             for (int i = 0; i < named.length; i++) {
                 if (named[i] != null) {
-                    double returned = lentBudget.back(
+                    double returned = lentBudget.acceptReturn(
                             message.workerHashes[i], message.timestamp, message.amount(i) * PeerMessage.TRANSFER_UNIT_US, now);
                     named[i].coldBudget.refund(returned);
                     totalReturnedUs += (long) returned;
--- a/src/main/java/saffronferry/fleet/Lent.java
+++ b/src/main/java/saffronferry/fleet/OutgoingTransfers.java
@@ -12,41 +12,41 @@
  * restore budget that the peer holds and could use as well, one transfer for each worker. Times are in microseconds,
  * work in microseconds of slot time.
  */
-public final class Lent {
+public final class OutgoingTransfers {
     /** Transfers expire sooner than this; later returns are ignored. */
-    private static final long BACK_WITHIN = 2_000_000;
+    private static final long RETURN_WINDOW_US = 2_000_000;
     /** Maximum number of recorded transfers to one peer, for all workers. */
-    private static final int MOST = 64;
+    private static final int MAX_TRANSFERS = 64;
 
     /** A message carries 16 bits of the timestamp, in units of 2^12 microseconds. */
     private static final int STAMP_SHIFT = 12;
 
-    private static final int STAMP = 0xFFFF;
+    private static final int STAMP_MASK = 0xFFFF;
 
-    private record Part(int worker, long at, double work) {}
+    private record Transfer(int worker, long timestamp, double work) {}
 
-    private final List<Part> out = new ArrayList<>();
+    private final List<Transfer> transfers = new ArrayList<>();
 
     /** Records a transfer of budget for a worker, which the caller has already charged. */
-    public void lent(int worker, long at, double work) {
-        out.removeIf(p -> at - p.at > BACK_WITHIN);
-        if (out.size() < MOST) {
-            out.add(new Part(worker, at, work));
+    public void recordTransfer(int worker, long timestamp, double work) {
+        transfers.removeIf(transfer -> timestamp - transfer.timestamp > RETURN_WINDOW_US);
+        if (transfers.size() < MAX_TRANSFERS) {
+            transfers.add(new Transfer(worker, timestamp, work));
         }
     }
 
     /**
      * Handles the return of budget for a worker.
      *
-     * @param at timestamp of the transfer that is returned
+     * @param timestamp timestamp of the transfer that is returned
      * @return the work to credit; 0 if the return is late or does not match a transfer
      */
-    public double back(int worker, long at, double work, long now) {
-        for (int i = 0; i < out.size(); i++) {
-            Part p = out.get(i);
-            if (p.worker == worker && (p.at >> STAMP_SHIFT & STAMP) == (at >> STAMP_SHIFT & STAMP)) {
-                out.remove(i);
-                return now - p.at <= BACK_WITHIN ? Math.max(0, Math.min(work, p.work)) : 0;
+    public double acceptReturn(int worker, long timestamp, double work, long now) {
+        for (int i = 0; i < transfers.size(); i++) {
+            Transfer transfer = transfers.get(i);
+            if (transfer.worker == worker && (transfer.timestamp >> STAMP_SHIFT & STAMP_MASK) == (timestamp >> STAMP_SHIFT & STAMP_MASK)) {
+                transfers.remove(i);
+                return now - transfer.timestamp <= RETURN_WINDOW_US ? Math.max(0, Math.min(work, transfer.work)) : 0;
             }
         }
         return 0;
--- a/src/main/java/saffronferry/fleet/ShareGrowth.java
+++ b/src/main/java/saffronferry/fleet/ShareGrowth.java
@@ -4,8 +4,8 @@
  * Lets a dispatcher exceed its share of a cold worker's budget while jobs start on the worker without delay.
  *
  * <p>Prompt starts show that the worker has free slots, hence that all dispatchers together send less than it can
- * handle; the share then doubles every {@link #DOUBLING_TIME_US}. A job that has to wait or is rejected resets it. In this way the
- * shares of failed dispatchers do not stay unused until the worker is warm. Times are in microseconds. See
+ * handle; the share then doubles every {@link #DOUBLING_TIME_US}. A job that has to wait or is rejected resets it. In
+ * this way the shares of failed dispatchers do not stay unused until the worker is warm. Times are in microseconds. See
  * docs/design/fleet-faults.md.
  */
 public final class ShareGrowth {
--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import saffronferry.fleet.ColdBudget;
-import saffronferry.fleet.Lent;
-import saffronferry.fleet.Loan;
+import saffronferry.fleet.IncomingTransfers;
+import saffronferry.fleet.OutgoingTransfers;
 
 /**
  * Model of the escrow protocol: a lender and a borrower share the budget of a cold worker. Transfers to the
@@ -154,10 +154,10 @@
 
     /** Whether the lender's record of outstanding loans accepts the return of a transfer. */
     private boolean acceptsReturn(State s, long at) {
-        Lent out = new Lent();
-        s.lendTimes.forEach(lent -> out.lent(0, lent, JOB_COST));
-        s.ledger.stream().filter(x -> x[1] == 1).forEach(x -> out.back(0, x[2], JOB_COST, x[0]));
-        return variant == Variant.EACH_BACK_COUNTS || out.back(0, at, JOB_COST, s.now) > 0;
+        OutgoingTransfers out = new OutgoingTransfers();
+        s.lendTimes.forEach(lent -> out.recordTransfer(0, lent, JOB_COST));
+        s.ledger.stream().filter(x -> x[1] == 1).forEach(x -> out.acceptReturn(0, x[2], JOB_COST, x[0]));
+        return variant == Variant.EACH_BACK_COUNTS || out.acceptReturn(0, at, JOB_COST, s.now) > 0;
     }
 
     private State deliver(State s, Transfer transfer) {
@@ -167,9 +167,9 @@
             }
             return s;
         }
-        Loan loan = new Loan();
-        loan.taken(s.lastAcceptedAt);
-        if (loan.counts(transfer.at, s.now, s.borrowerStartedAt, OFFER_LIFETIME_US)) {
+        IncomingTransfers loan = new IncomingTransfers();
+        loan.markUsed(s.lastAcceptedAt);
+        if (loan.isValid(transfer.at, s.now, s.borrowerStartedAt, OFFER_LIFETIME_US)) {
             s.lastAcceptedAt = transfer.at;
             s.borrowerJobs = 1; // a later offer replaces the previous one
         }
--- a/src/test/java/saffronferry/PeerMessageTest.java
+++ b/src/test/java/saffronferry/PeerMessageTest.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.BitSet;
 import org.junit.jupiter.api.Test;
-import saffronferry.fleet.Lent;
+import saffronferry.fleet.OutgoingTransfers;
 
 /** Encoding of peer messages, and transfers of cold-worker budget that are duplicated, late or lost. */
 class PeerMessageTest {
@@ -84,7 +84,7 @@
             new Case("from the future", NOW + 300_000, 0, 0, false)
         }) {
             DispatcherState.Peer y = new DispatcherState.Peer(1);
-            y.borrowedBudget.taken(c.lastTransferAt);
+            y.borrowedBudget.markUsed(c.lastTransferAt);
             PeerMessage m = PeerMessage.decode(transferOffer(c.at, 2).encode(), NOW);
             y.recordOffers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
             assertEquals(c.counts, y.offerCovers(0, 1, 600_000), c.name);
@@ -119,13 +119,13 @@
             new Case("transferred by an earlier process", 0, 0, NOW + 90_000, 0),
             new Case("too late", NOW, 18, NOW + 2_100_000, 0)
         }) {
-            Lent out = new Lent();
+            OutgoingTransfers out = new OutgoingTransfers();
             if (c.lent > 0) {
-                out.lent(w.hash, c.lentAt, c.lent * PeerMessage.TRANSFER_UNIT_US);
+                out.recordTransfer(w.hash, c.lentAt, c.lent * PeerMessage.TRANSFER_UNIT_US);
             }
             PeerMessage m = PeerMessage.decode(bytes, c.backAt);
-            assertEquals(c.back, out.back(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name);
-            assertEquals(0, out.back(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name + ", duplicated");
+            assertEquals(c.back, out.acceptReturn(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name);
+            assertEquals(0, out.acceptReturn(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name + ", duplicated");
         }
         assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
         w.coldBudget.spend(900_000);
