--- a/src/main/java/saffronferry/WorkerOwnership.java
+++ b/src/main/java/saffronferry/WorkerOwnership.java
@@ -4,7 +4,7 @@
 import java.util.BitSet;
 import saffronferry.DispatcherState.Worker;
 import saffronferry.fleet.ColdShares;
-import saffronferry.fleet.Owners;
+import saffronferry.fleet.RendezvousOwners;
 
 /**
  * Decides to which zone a worker is assigned and which dispatcher of that zone owns it, from the dispatchers that are
@@ -73,7 +73,7 @@
 
     /** The owners of the zone's workers while they are warm, in the order of the given array. */
     int[] assignWarmOwners(Worker[] sorted) {
-        return Owners.share(Arrays.stream(sorted).mapToInt(worker -> worker.hash).toArray(), zoneMembers);
+        return RendezvousOwners.assign(Arrays.stream(sorted).mapToInt(worker -> worker.hash).toArray(), zoneMembers);
     }
 
     /** The present owner of a worker of this zone: while the worker is cold, its guardian. */
--- a/src/main/java/saffronferry/fleet/ColdShares.java
+++ b/src/main/java/saffronferry/fleet/ColdShares.java
@@ -118,7 +118,7 @@
         int best = -1;
         long bestScore = 0;
         for (int member = among.nextSetBit(0); member >= 0; member = among.nextSetBit(member + 1)) {
-            long score = Owners.score(worker, member);
+            long score = RendezvousOwners.score(worker, member);
             if (best < 0 || score > bestScore) {
                 best = member;
                 bestScore = score;
--- a/src/main/java/saffronferry/fleet/Owners.java
+++ b/src/main/java/saffronferry/fleet/RendezvousOwners.java
@@ -10,8 +10,8 @@
  * of two members differ by at most one. Dispatchers that know the same workers and members compute the same owners,
  * and few workers change their owner when a worker or member is added or removed.
  */
-public final class Owners {
-    private Owners() {}
+public final class RendezvousOwners {
+    private RendezvousOwners() {}
 
     /**
      * Assigns workers to members.
@@ -20,7 +20,7 @@
      * @param members the numbers of the dispatchers, at least one, without duplicates, in any order
      * @return the number of the owner of each worker
      */
-    public static int[] share(int[] workers, int[] members) {
+    public static int[] assign(int[] workers, int[] members) {
         int[] sorted = members.clone();
         // Sorted, so that the lower number wins a tie at every dispatcher.
         Arrays.sort(sorted);
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -20,7 +20,7 @@
 import saffronferry.Contract.Tenant;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.fleet.Owners;
+import saffronferry.fleet.RendezvousOwners;
 import saffronferry.fleet.WatchEnd;
 
 class DispatcherTest {
@@ -512,8 +512,8 @@
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
                 .toArray();
-        int[] ownersOfTwo = Owners.share(hashes, new int[] {0, 2});
-        int[] ownersOfThree = Owners.share(hashes, new int[] {0, 1, 2});
+        int[] ownersOfTwo = RendezvousOwners.assign(hashes, new int[] {0, 2});
+        int[] ownersOfThree = RendezvousOwners.assign(hashes, new int[] {0, 1, 2});
         int moving = IntStream.range(0, 4)
                 .filter(i -> ownersOfTwo[i] == 0 && ownersOfThree[i] != 0)
                 .findFirst()
--- a/src/test/java/saffronferry/fleet/OwnersTest.java
+++ b/src/test/java/saffronferry/fleet/RendezvousOwnersTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class OwnersTest {
+class RendezvousOwnersTest {
     private static int[] hashes(SplittableRandom random, int n) {
         return random.ints(0, 1 << 24).distinct().limit(n).sorted().toArray();
     }
@@ -39,19 +39,19 @@
         for (int day = 0; day < 20; day++) {
             int[] workers = hashes(random, n);
             int[] members = IntStream.range(0, m).toArray();
-            int[] owners = Owners.share(workers, members);
+            int[] owners = RendezvousOwners.assign(workers, members);
             int[] backwards = IntStream.range(0, m).map(i -> m - 1 - i).toArray();
-            assertArrayEquals(owners, Owners.share(workers, backwards), "the result depends on the order of the members");
+            assertArrayEquals(owners, RendezvousOwners.assign(workers, backwards), "the result depends on the order of the members");
             for (int member : members) {
                 long owned = Arrays.stream(owners).filter(o -> o == member).count();
                 assertTrue(owned == n / m || owned == (n + m - 1) / m, owned + " of " + n + " owned by one of " + m);
             }
             if (m > 1) {
                 int[] left = without(members, random.nextInt(m));
-                byMember += moved(workers, owners, workers, Owners.share(workers, left));
+                byMember += moved(workers, owners, workers, RendezvousOwners.assign(workers, left));
             }
             int[] fewer = without(workers, random.nextInt(n));
-            byWorker += moved(workers, owners, fewer, Owners.share(fewer, members));
+            byWorker += moved(workers, owners, fewer, RendezvousOwners.assign(fewer, members));
         }
         assertTrue(
                 byMember <= 20 * mostByMember && byWorker <= 20 * mostByWorker,
--- a/src/test/java/saffronferry/fleet/ShareGrowthTest.java
+++ b/src/test/java/saffronferry/fleet/ShareGrowthTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Shares that grow on evidence from the cold worker: those of failed dispatchers get used, others are kept free. */
-class GrowthTest {
+class ShareGrowthTest {
     private static final int STEP = 5_000;
     private static final double JOB = 600_000;
     private static final int SLOTS = 5;
