--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -28,8 +28,8 @@
 import saffronferry.fleet.CallPace;
 import saffronferry.fleet.ColdRate;
 import saffronferry.fleet.ColdShares;
+import saffronferry.fleet.PeerMessageBudget;
 import saffronferry.fleet.Sharing;
-import saffronferry.fleet.TalkBudget;
 import saffronferry.fleet.WatchEnd;
 
 /**
@@ -128,7 +128,7 @@
     private double requestRate;
     private double probeCredit;
     private final RetryBudget repeatBudget;
-    private final TalkBudget talkBudget;
+    private final PeerMessageBudget talkBudget;
     private final CallPace discoveryPace;
     private final ColdShares coldShares;
     private final WorkerOwnership ownership;
@@ -179,7 +179,7 @@
         coldRate = new ColdRate(settings.overloadMultiple(), settings.coldCapacity(), settings.coldPeriod());
         repeatBudget = new RetryBudget(settings.dispatcherCount());
         discoveryPace = new CallPace(settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
-        talkBudget = new TalkBudget(
+        talkBudget = new PeerMessageBudget(
                 settings.peerPrice(), PeerMessage.MAX_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
         estimates = new LearnedEstimates(settings.kindCount(), settings.classes(), INITIAL_RUNNING_TIME_US);
         classBlocked = new boolean[queues.length];
@@ -597,16 +597,16 @@
     private void exchange() {
         combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
         PeerMessage offer = newOffer();
-        sendToOwnZone(talkBudget.fan(peers.length, offer.size(), requestRate), offer);
+        sendToOwnZone(talkBudget.fanOut(peers.length, offer.size(), requestRate), offer);
         sendToNeighbourZone();
-        exchangePeriod = talkBudget.period(requestRate);
+        exchangePeriod = talkBudget.nextPeriod(requestRate);
     }
 
     private void sendToPeer(int peer, PeerMessage message) {
         if (!settings.peerMessages() || peer == settings.self()) {
             return;
         }
-        talkBudget.spent(message.size());
+        talkBudget.recordSent(message.size());
         actions.sendToPeer(peer, message.encode());
     }
 
--- a/src/main/java/saffronferry/fleet/TalkBudget.java
+++ b/src/main/java/saffronferry/fleet/PeerMessageBudget.java
@@ -5,51 +5,51 @@
  * peers. It sets how many peers get a message in one exchange and the time until the next one. Times are in
  * microseconds.
  */
-public final class TalkBudget {
+public final class PeerMessageBudget {
     /** Part of the total value of requests that peer messages may cost. */
-    private static final double SPEND = 0.006;
+    private static final double MAX_COST_SHARE = 0.006;
     /** Request rate assumed at least, so that a dispatcher without requests stays known to its peers. */
-    private static final double LEAST_RATE = 1;
+    private static final double MIN_REQUESTS_PER_S = 1;
 
-    private static final double LEAST_PRICE = 1e-4;
+    private static final double MIN_PRICE = 1e-4;
 
     private final double bytesPerRequest;
-    private final long shortest;
-    private final long longest;
-    private long spent;
+    private final long minPeriod;
+    private final long maxPeriod;
+    private long bytesSent;
 
     /**
      * Creates a budget.
      *
      * @param price cost of one datagram of maximum size for each request, relative to the value of the request
      * @param maxDatagramBytes maximum size of a datagram
-     * @param shortest least time between exchanges
-     * @param longest longest time between exchanges
+     * @param minPeriod least time between exchanges
+     * @param maxPeriod longest time between exchanges
      */
-    public TalkBudget(double price, int maxDatagramBytes, long shortest, long longest) {
-        bytesPerRequest = SPEND / Math.max(price, LEAST_PRICE) * maxDatagramBytes;
-        this.shortest = shortest;
-        this.longest = longest;
+    public PeerMessageBudget(double price, int maxDatagramBytes, long minPeriod, long maxPeriod) {
+        bytesPerRequest = MAX_COST_SHARE / Math.max(price, MIN_PRICE) * maxDatagramBytes;
+        this.minPeriod = minPeriod;
+        this.maxPeriod = maxPeriod;
     }
 
     private double bytesPerS(double rate) {
-        return bytesPerRequest * Math.max(rate, LEAST_RATE);
+        return bytesPerRequest * Math.max(rate, MIN_REQUESTS_PER_S);
     }
 
     /** Records a sent datagram. */
-    public void spent(int bytes) {
-        spent += bytes;
+    public void recordSent(int bytes) {
+        bytesSent += bytes;
     }
 
     /** Number of peers, at least one, that may get a datagram of that size in one exchange at that request rate. */
-    public int fan(int peers, int bytes, double rate) {
-        return (int) Math.max(1, Math.min(peers, bytesPerS(rate) * shortest * 2 / 1e6 / bytes));
+    public int fanOut(int peers, int bytes, double rate) {
+        return (int) Math.max(1, Math.min(peers, bytesPerS(rate) * minPeriod * 2 / 1e6 / bytes));
     }
 
     /** Time until the next exchange, by the bytes sent since the last one. */
-    public long period(double rate) {
-        long paidTime = (long) (spent / bytesPerS(rate) * 1e6);
-        spent = 0;
-        return Math.max(shortest, Math.min(longest, paidTime));
+    public long nextPeriod(double rate) {
+        long paidTime = (long) (bytesSent / bytesPerS(rate) * 1e6);
+        bytesSent = 0;
+        return Math.max(minPeriod, Math.min(maxPeriod, paidTime));
     }
 }
