--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -25,9 +25,9 @@
 import saffronferry.DispatcherState.JobMap;
 import saffronferry.DispatcherState.Peer;
 import saffronferry.DispatcherState.Worker;
-import saffronferry.fleet.CallPace;
 import saffronferry.fleet.ColdRate;
 import saffronferry.fleet.ColdShares;
+import saffronferry.fleet.DiscoveryBackoff;
 import saffronferry.fleet.PeerMessageBudget;
 import saffronferry.fleet.Sharing;
 import saffronferry.fleet.WatchEnd;
@@ -129,7 +129,7 @@
     private double probeCredit;
     private final RetryBudget repeatBudget;
     private final PeerMessageBudget talkBudget;
-    private final CallPace discoveryPace;
+    private final DiscoveryBackoff discoveryPace;
     private final ColdShares coldShares;
     private final WorkerOwnership ownership;
     private final ColdRate coldRate;
@@ -178,7 +178,7 @@
         ownership = new WorkerOwnership(settings.zoneCount(), settings.zone(), coldShares);
         coldRate = new ColdRate(settings.overloadMultiple(), settings.coldCapacity(), settings.coldPeriod());
         repeatBudget = new RetryBudget(settings.dispatcherCount());
-        discoveryPace = new CallPace(settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
+        discoveryPace = new DiscoveryBackoff(settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
         talkBudget = new PeerMessageBudget(
                 settings.peerPrice(), PeerMessage.MAX_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
         estimates = new LearnedEstimates(settings.kindCount(), settings.classes(), INITIAL_RUNNING_TIME_US);
@@ -1158,7 +1158,7 @@
             start();
         }
         if (kind != ListKind.WARM_COPY) {
-            discoveryPace.served();
+            discoveryPace.listReceived();
         }
     }
 
@@ -1272,7 +1272,7 @@
             sendProbes();
         }
         if (settings.listOnDemand()) {
-            subscribeAfter(discoveryPace.first(random));
+            subscribeAfter(discoveryPace.firstDelay(random));
         }
     }
 
@@ -1287,12 +1287,12 @@
     @Override
     public void workerListFailed(long clock, WatchEnd reason) {
         now = clock;
-        subscribeAfter(discoveryPace.again(random, reason));
+        subscribeAfter(discoveryPace.retryDelay(random, reason));
     }
 
     private void subscribeAfter(long delayUs) {
         if (delayUs > 0) {
-            actions.startTimer(SUBSCRIBE_TOKEN, discoveryPace.after(delayUs, now));
+            actions.startTimer(SUBSCRIBE_TOKEN, discoveryPace.schedule(delayUs, now));
         } else {
             actions.subscribe();
         }
--- a/src/main/java/saffronferry/wire/DiscoveryWatch.java
+++ b/src/main/java/saffronferry/wire/DiscoveryWatch.java
@@ -8,7 +8,7 @@
 import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpMethod;
 import java.util.function.Consumer;
-import saffronferry.fleet.CallPace;
+import saffronferry.fleet.DiscoveryBackoff;
 import saffronferry.fleet.WatchEnd;
 import saffronferry.limit.Descriptors;
 import saffronferry.limit.Descriptors.Purpose;
@@ -18,9 +18,9 @@
 /** A watch on discovery's list. Each end, including a timeout, is reported once; the listener decides on a retry. */
 final class DiscoveryWatch {
     /** Restarted only by complete lines, since a partial line may never be completed. */
-    private static final long SILENCE_TIMEOUT_MS = CallPace.SILENCE / 1000;
+    private static final long SILENCE_TIMEOUT_MS = DiscoveryBackoff.WATCH_SILENCE_TIMEOUT_US / 1000;
 
-    private static final long FIRST_LIST_TIMEOUT_MS = CallPace.FIRST_LIST / 1000;
+    private static final long FIRST_LIST_TIMEOUT_MS = DiscoveryBackoff.FIRST_LIST_TIMEOUT_US / 1000;
     /** A call that ends within this time and without a list has not waited in discovery's queue. */
     private static final long IMMEDIATE_END_MS = 500;
 
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import saffronferry.Contract.WorkerState;
-import saffronferry.fleet.CallPace;
+import saffronferry.fleet.DiscoveryBackoff;
 import saffronferry.fleet.WatchEnd;
 
 /**
@@ -61,10 +61,10 @@
                 DispatcherHarness harness = watching(peers, seed);
                 long last = harness.now;
                 long[] nextId = {1};
-                harness.advance(CallPace.SILENCE);
+                harness.advance(DiscoveryBackoff.WATCH_SILENCE_TIMEOUT_US);
                 harness.dispatcher.workerListFailed(harness.now, WatchEnd.SILENT);
                 nextCall(harness, nextId);
-                harness.advance(CallPace.FIRST_LIST);
+                harness.advance(DiscoveryBackoff.FIRST_LIST_TIMEOUT_US);
                 harness.dispatcher.workerListFailed(harness.now, WatchEnd.LATE);
                 nextCall(harness, nextId);
                 harness.advance(ANSWER_US);
@@ -99,7 +99,7 @@
                 DispatcherHarness harness = watching(peers, seed);
                 long last = harness.now;
                 long[] nextId = {1};
-                harness.advance(CallPace.SILENCE);
+                harness.advance(DiscoveryBackoff.WATCH_SILENCE_TIMEOUT_US);
                 harness.dispatcher.workerListFailed(harness.now, WatchEnd.SILENT);
                 long first = nextCall(harness, nextId);
                 assertTrue(first - last + MAX_CALL_WAIT_US <= ANNOUNCED_US + STOP_US - MARGIN_US, "answered after " + (first - last + MAX_CALL_WAIT_US));
--- a/src/test/java/saffronferry/fleet/CallPaceTest.java
+++ b/src/test/java/saffronferry/fleet/DiscoveryBackoffTest.java
@@ -13,7 +13,7 @@
  * Simulates many callers and one discovery service that handles calls in turn. A call that waits longer than 2.2 s times
  * out, and costs discovery its work all the same.
  */
-class CallPaceTest {
+class DiscoveryBackoffTest {
     private static final long PATIENCE = 2_200_000;
     private static final long LONGEST = 40_000_000;
 
@@ -31,12 +31,12 @@
      */
     private static long[] play(int callers, double perSecond, long longest, boolean together, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        CallPace[] paces = new CallPace[callers];
+        DiscoveryBackoff[] paces = new DiscoveryBackoff[callers];
         int[] calls = new int[callers];
         PriorityQueue<Due> due = new PriorityQueue<>();
         for (int c = 0; c < callers; c++) {
-            paces[c] = new CallPace(callers, longest);
-            due.add(new Due(together ? 0 : paces[c].first(random), c));
+            paces[c] = new DiscoveryBackoff(callers, longest);
+            due.add(new Due(together ? 0 : paces[c].firstDelay(random), c));
         }
         long freeAt = 0;
         long last = 0;
@@ -45,9 +45,9 @@
             calls[call.caller]++;
             freeAt = Math.max(freeAt, call.at) + Math.round(1e6 / perSecond);
             if (freeAt - call.at > PATIENCE) {
-                due.add(new Due(call.at + PATIENCE + paces[call.caller].again(random, WatchEnd.LATE), call.caller));
+                due.add(new Due(call.at + PATIENCE + paces[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
             } else {
-                paces[call.caller].served();
+                paces[call.caller].listReceived();
                 last = Math.max(last, freeAt);
             }
         }
@@ -89,16 +89,16 @@
         for (int callers : new int[] {1, 8, 20, 103, 300}) {
             for (long seed = 1; seed <= 200; seed++) {
                 SplittableRandom random = new SplittableRandom(seed);
-                CallPace pace = new CallPace(callers, LONGEST);
-                assertTrue(pace.first(random) <= 4_000_000, "after a start");
-                pace.again(random, WatchEnd.LATE);
+                DiscoveryBackoff pace = new DiscoveryBackoff(callers, LONGEST);
+                assertTrue(pace.firstDelay(random) <= 4_000_000, "after a start");
+                pace.retryDelay(random, WatchEnd.LATE);
                 for (int i = 0; i < 20; i++) {
-                    assertTrue(pace.again(random, WatchEnd.DOWN) <= 5_000_000, "during an outage of any length");
+                    assertTrue(pace.retryDelay(random, WatchEnd.DOWN) <= 5_000_000, "during an outage of any length");
                 }
-                pace.served();
-                assertTrue(pace.again(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had delivered the list");
-                pace.served();
-                long silent = pace.again(random, WatchEnd.SILENT);
+                pace.listReceived();
+                assertTrue(pace.retryDelay(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had delivered the list");
+                pace.listReceived();
+                long silent = pace.retryDelay(random, WatchEnd.SILENT);
                 assertTrue(silent <= 2_000_000, "after 3 s of silence");
                 assertTrue(silent >= 150_000, "not at once");
             }
@@ -115,11 +115,11 @@
         for (long seed = 1; seed <= 50; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             PriorityQueue<Due> due = new PriorityQueue<>();
-            CallPace[] paces = new CallPace[callers];
+            DiscoveryBackoff[] paces = new DiscoveryBackoff[callers];
             for (int c = 0; c < callers; c++) {
-                paces[c] = new CallPace(callers, LONGEST);
-                paces[c].served();
-                due.add(new Due(paces[c].again(random, WatchEnd.ENDED), c));
+                paces[c] = new DiscoveryBackoff(callers, LONGEST);
+                paces[c].listReceived();
+                due.add(new Due(paces[c].retryDelay(random, WatchEnd.ENDED), c));
             }
             long back = 8_000_000;
             long freeAt = back;
@@ -127,12 +127,12 @@
             while (!due.isEmpty() && due.peek().at < 60_000_000) {
                 Due call = due.poll();
                 if (call.at < back) {
-                    due.add(new Due(call.at + paces[call.caller].again(random, WatchEnd.DOWN), call.caller));
+                    due.add(new Due(call.at + paces[call.caller].retryDelay(random, WatchEnd.DOWN), call.caller));
                     continue;
                 }
                 freeAt = Math.max(freeAt, call.at) + Math.round(1e6 / perSecond);
                 if (freeAt - call.at > PATIENCE) {
-                    due.add(new Due(call.at + PATIENCE + paces[call.caller].again(random, WatchEnd.LATE), call.caller));
+                    due.add(new Due(call.at + PATIENCE + paces[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
                 } else {
                     last = Math.max(last, freeAt);
                 }
@@ -146,9 +146,9 @@
     /** If several timers are set, only the last one leads to a call, and only once. */
     @Test
     void onlyTheLastOfSeveralTimersIsDueAndOnlyOnce() {
-        CallPace pace = new CallPace(4, LONGEST);
-        pace.after(300_000, 1_000_000);
-        pace.after(500_000, 1_100_000);
+        DiscoveryBackoff pace = new DiscoveryBackoff(4, LONGEST);
+        pace.schedule(300_000, 1_000_000);
+        pace.schedule(500_000, 1_100_000);
         assertEquals(false, pace.isDue(1_300_000));
         assertEquals(true, pace.isDue(1_599_000), "a timer may fire a little early");
         assertEquals(false, pace.isDue(1_600_000));
@@ -159,10 +159,10 @@
     @CsvSource({"1000, 40000000", "4, 900000"})
     void theDelayStaysWithinItsLimitsAfterAnyNumberOfFailures(int callers, long most) {
         SplittableRandom random = new SplittableRandom(1);
-        CallPace pace = new CallPace(callers, LONGEST);
-        assertEquals(callers > 8, pace.first(random) > 0);
+        DiscoveryBackoff pace = new DiscoveryBackoff(callers, LONGEST);
+        assertEquals(callers > 8, pace.firstDelay(random) > 0);
         for (int i = 0; i < 10_000; i++) {
-            long wait = pace.again(random, WatchEnd.LATE);
+            long wait = pace.retryDelay(random, WatchEnd.LATE);
             assertTrue(wait >= 150_000 && wait <= most, wait + " us after " + i);
         }
     }
