--- a/src/main/java/saffronferry/Balancer.java
+++ b/src/main/java/saffronferry/Balancer.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import saffronferry.fleet.Sharing;
+import saffronferry.fleet.SharingStatus;
 
 /**
  * Facade of the decision module: each call handles one event and returns the actions to perform.
@@ -68,7 +68,7 @@
     }
 
     /** Current sharing of cold workers with other dispatchers. */
-    public Sharing sharing() {
+    public SharingStatus sharing() {
         return module.sharing();
     }
 
--- a/src/main/java/saffronferry/Contract.java
+++ b/src/main/java/saffronferry/Contract.java
@@ -1,7 +1,7 @@
 package saffronferry;
 
 import java.util.List;
-import saffronferry.fleet.Sharing;
+import saffronferry.fleet.SharingStatus;
 import saffronferry.fleet.WatchEnd;
 
 /**
@@ -182,7 +182,7 @@
         int avoidedWorkers();
 
         /** Current sharing of cold workers with other dispatchers. */
-        Sharing sharing();
+        SharingStatus sharing();
 
         /** Whether attempts can be started; none is while no file descriptor or port is available. */
         void attemptCapacityChanged(long now, boolean available);
--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -29,7 +29,7 @@
 import saffronferry.fleet.ColdShares;
 import saffronferry.fleet.DiscoveryBackoff;
 import saffronferry.fleet.PeerMessageBudget;
-import saffronferry.fleet.Sharing;
+import saffronferry.fleet.SharingStatus;
 import saffronferry.fleet.WatchEnd;
 
 /**
@@ -1314,7 +1314,7 @@
     }
 
     @Override
-    public Sharing sharing() {
+    public SharingStatus sharing() {
         return workerIndex.sharing(peers, coldShares, now);
     }
 
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -15,7 +15,7 @@
 import saffronferry.DispatcherState.Peer;
 import saffronferry.DispatcherState.Worker;
 import saffronferry.fleet.ColdShares;
-import saffronferry.fleet.Sharing;
+import saffronferry.fleet.SharingStatus;
 
 /**
  * The known workers, indexed by zone, owner, kind and state, so that frequent events look at few of them however long
@@ -134,7 +134,7 @@
     }
 
     /** The present sharing of this zone's workers with other dispatchers, for operators. */
-    Sharing sharing(Peer[] peers, ColdShares shares, long now) {
+    SharingStatus sharing(Peer[] peers, ColdShares shares, long now) {
         int heard = 0;
         int counted = 0;
         long lent = 0;
@@ -154,7 +154,7 @@
         for (Worker worker : coldOwned) {
             shareSum += shares.share(now, worker.hash, worker.zone == zone);
         }
-        return new Sharing(
+        return new SharingStatus(
                 peers.length,
                 heard,
                 counted,
--- a/src/main/java/saffronferry/fleet/Sharing.java
+++ b/src/main/java/saffronferry/fleet/SharingStatus.java
@@ -15,8 +15,8 @@
  * @param returnedSlotTime part of {@code lentSlotTime} that was returned unused
  * @param borrowedSlotTime slot time of budget that others have transferred to it
  */
-public record Sharing(
-        int peers, int heard, int counted, int cold, int guarded, double part, long lent, long back, long borrowed) {
+public record SharingStatus(
+        int dispatchers, int heard, int delegates, int coldWorkers, int guardedWorkers, double meanShare, long lentSlotTime, long returnedSlotTime, long borrowedSlotTime) {
     /** Degree of degradation when peers are silent. */
     public enum Fallback {
         /** It hears all other dispatchers. */
@@ -29,6 +29,6 @@
 
     /** The current degree; a fleet of one is never degraded. */
     public Fallback fallback() {
-        return heard >= peers ? Fallback.NONE : heard > 1 ? Fallback.PARTS : Fallback.ALONE;
+        return heard >= dispatchers ? Fallback.NONE : heard > 1 ? Fallback.PARTS : Fallback.ALONE;
     }
 }
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import saffronferry.fleet.ColdShares;
-import saffronferry.fleet.Sharing;
+import saffronferry.fleet.SharingStatus;
 
 class WorkerIndexTest {
     /** Each release replaces all workers; those that are gone must not fill the memory. */
@@ -61,16 +61,16 @@
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
         harness.list(DispatcherHarness.worker("old"), DispatcherHarness.worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
-        assertEquals(Sharing.Fallback.ALONE, harness.dispatcher.sharing().fallback());
-        assertEquals(0.25, harness.dispatcher.sharing().part());
+        assertEquals(SharingStatus.Fallback.ALONE, harness.dispatcher.sharing().fallback());
+        assertEquals(0.25, harness.dispatcher.sharing().meanShare());
         for (int peer : new int[] {1, 2}) {
             harness.dispatcher.peerMessage(
                     harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).encode());
         }
-        Sharing sharing = harness.dispatcher.sharing();
-        assertEquals(Sharing.Fallback.PARTS, sharing.fallback());
-        assertEquals("4 3 2 1", sharing.peers() + " " + sharing.heard() + " " + sharing.counted() + " " + sharing.cold());
-        assertTrue(sharing.guarded() == 0 || sharing.part() == 1 / 3.0, "one is in another zone: " + sharing);
+        SharingStatus sharing = harness.dispatcher.sharing();
+        assertEquals(SharingStatus.Fallback.PARTS, sharing.fallback());
+        assertEquals("4 3 2 1", sharing.dispatchers() + " " + sharing.heard() + " " + sharing.delegates() + " " + sharing.coldWorkers());
+        assertTrue(sharing.guardedWorkers() == 0 || sharing.meanShare() == 1 / 3.0, "one is in another zone: " + sharing);
     }
 
     private static final LearnedEstimates ESTIMATES =
