--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -16,7 +16,7 @@
 import saffronferry.Contract.JobClass;
 import saffronferry.HandoverState;
 import saffronferry.limit.AcceptGate;
-import saffronferry.limit.Descriptors;
+import saffronferry.limit.DescriptorBudget;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
 import saffronferry.ops.DrainState;
@@ -59,7 +59,7 @@
     private final Vertx vertx;
     private final Context context;
     private final BoundedLog log;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final BoundedTransport transport;
     private final Metrics metrics;
     private final DrainState drain = new DrainState();
@@ -95,7 +95,7 @@
         this.log = log;
         descriptors = descriptors(config);
         transport = transports.apply(new AcceptGate(descriptors), log);
-        descriptors.onFree(transport::onDescriptorFreed);
+        descriptors.addReleaseListener(transport::onDescriptorFreed);
         metrics = new Metrics(
                 config.settings.settings.classes().stream().map(c -> c.name()).toList());
         vertx = new VertxBuilder(new VertxOptions()
@@ -117,13 +117,13 @@
         transport.onListenerLost(() -> fail("the listening socket is closed"));
     }
 
-    private static Descriptors descriptors(Config config) {
+    private static DescriptorBudget descriptors(Config config) {
         int processLimit = ProcessLimits.maxOpenFiles();
         String key = processLimit < config.maxDescriptors
                 ? "the process's own limit, below the key limits.sockets"
                 : "configuration key limits.sockets";
         try {
-            return new Descriptors(
+            return new DescriptorBudget(
                     Math.min(processLimit, config.maxDescriptors),
                     ProcessLimits.openFiles() + DESCRIPTORS_STILL_TO_OPEN);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/saffronferry/lifecycle/SiblingMonitor.java
+++ b/src/main/java/saffronferry/lifecycle/SiblingMonitor.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.function.Supplier;
 import saffronferry.HandoverState;
-import saffronferry.limit.Descriptors;
+import saffronferry.limit.DescriptorBudget;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
 
@@ -38,7 +38,7 @@
     private final Vertx vertx;
     private final ProcessRegistry registry;
     private final BanFile file;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final BoundedLog log;
     private ProcessRegistry.Siblings last;
     private Supplier<HandoverState> ownState;
@@ -47,7 +47,7 @@
     private boolean replaced;
 
     /** Registers this process, so that siblings share the dispatcher's descriptors with it. Reads files. */
-    SiblingMonitor(Vertx vertx, ProcessRegistry registry, BanFile file, Descriptors descriptors, BoundedLog log) {
+    SiblingMonitor(Vertx vertx, ProcessRegistry registry, BanFile file, DescriptorBudget descriptors, BoundedLog log) {
         this.vertx = vertx;
         this.registry = registry;
         this.file = file;
@@ -60,7 +60,7 @@
             log.line("cannot register this process", String.valueOf(e));
             last = new ProcessRegistry.Siblings(0, HandoverState.NONE);
         }
-        descriptors.share(1 + last.count());
+        descriptors.shareAmong(1 + last.count());
     }
 
     /** Starts polling: publishes the own state to siblings and passes their changes to the listener. */
@@ -113,7 +113,7 @@
     private void update(ProcessRegistry.Siblings next) {
         if (next.count() != last.count()) {
             log.line("processes of this dispatcher", Integer.toString(1 + next.count()));
-            descriptors.share(1 + next.count());
+            descriptors.shareAmong(1 + next.count());
         }
         if (!next.state().equals(last.state())) {
             listener.siblingStateChanged(next.state());
--- a/src/main/java/saffronferry/limit/AcceptGate.java
+++ b/src/main/java/saffronferry/limit/AcceptGate.java
@@ -1,6 +1,6 @@
 package saffronferry.limit;
 
-import saffronferry.limit.Descriptors.Purpose;
+import saffronferry.limit.DescriptorBudget.Purpose;
 
 /**
  * Decides whether the next pending connection is accepted or stays in the system's backlog.
@@ -18,7 +18,7 @@
     /** After a start, one more connection per turn is accepted each time that this many have been accepted. */
     private static final int A_STEP = 8;
 
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Purpose purpose;
     private final int tight;
 
@@ -28,8 +28,8 @@
     private long closedUntil = Long.MIN_VALUE;
 
     /** Creates a gate for clients' connections. */
-    public AcceptGate(Descriptors descriptors) {
-        this(descriptors, Purpose.CLIENTS, Descriptors.TIGHT);
+    public AcceptGate(DescriptorBudget descriptors) {
+        this(descriptors, Purpose.CLIENTS, DescriptorBudget.LOW_CLIENTS);
     }
 
     /**
@@ -37,7 +37,7 @@
      *
      * @param lowMark idle connections should be closed while fewer descriptors than this are available
      */
-    public AcceptGate(Descriptors descriptors, Purpose purpose, int lowMark) {
+    public AcceptGate(DescriptorBudget descriptors, Purpose purpose, int lowMark) {
         this.descriptors = descriptors;
         this.purpose = purpose;
         this.tight = lowMark;
@@ -45,7 +45,7 @@
 
     /** Takes a descriptor for a connection to be accepted now; false if accepting is paused. */
     public boolean enter(long now) {
-        return now >= closedUntil && descriptors.take(purpose);
+        return now >= closedUntil && descriptors.tryTake(purpose);
     }
 
     /** The connection for which a descriptor was taken has been accepted. */
@@ -81,7 +81,7 @@
 
     /** Whether accepting may resume after a pause. */
     public boolean mayResume(long now) {
-        return now >= closedUntil && descriptors.left(purpose) > 0;
+        return now >= closedUntil && descriptors.available(purpose) > 0;
     }
 
     /** Number of pending connections that one turn of the event loop may accept. */
@@ -91,6 +91,6 @@
 
     /** Whether idle connections should be closed to make room for new ones. */
     public boolean tight() {
-        return descriptors.left(purpose) + leaving < tight;
+        return descriptors.available(purpose) + leaving < tight;
     }
 }
--- a/src/main/java/saffronferry/limit/AttemptRoom.java
+++ b/src/main/java/saffronferry/limit/AttemptRoom.java
@@ -1,6 +1,6 @@
 package saffronferry.limit;
 
-import saffronferry.limit.Descriptors.Purpose;
+import saffronferry.limit.DescriptorBudget.Purpose;
 
 /**
  * Whether further call attempts can be opened: descriptors for workers are available, and the system has not refused
@@ -15,12 +15,12 @@
     /** Time after which opening is tried again: the system usually has a free descriptor or port soon. */
     public static final long PAUSE = 50;
 
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Listener listener;
     private boolean open = true;
     private long closedUntil = Long.MIN_VALUE;
 
-    public AttemptRoom(Descriptors descriptors, Listener listener) {
+    public AttemptRoom(DescriptorBudget descriptors, Listener listener) {
         this.descriptors = descriptors;
         this.listener = listener;
     }
@@ -33,7 +33,7 @@
 
     /** To be called whenever a descriptor was taken or released. */
     public void look(long now) {
-        boolean availableNow = descriptors.left(Purpose.WORKERS) > 0 && now >= closedUntil;
+        boolean availableNow = descriptors.available(Purpose.WORKERS) > 0 && now >= closedUntil;
         if (availableNow != open) {
             open = availableNow;
             listener.room(availableNow);
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -31,8 +31,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import saffronferry.limit.AcceptGate;
-import saffronferry.limit.Descriptors;
-import saffronferry.limit.Descriptors.Purpose;
+import saffronferry.limit.DescriptorBudget;
+import saffronferry.limit.DescriptorBudget.Purpose;
 
 /** The HTTP server for operators, with one call per connection. A {@link CallHandler} interprets the calls. */
 public final class ConsoleServer {
@@ -59,11 +59,11 @@
     /** Connections whose call is incomplete, the oldest first. */
     private final Set<CallConnection> incomplete = new LinkedHashSet<>();
 
-    public ConsoleServer(Vertx vertx, Descriptors descriptors, BoundedTransport transport, CallHandler handler) {
+    public ConsoleServer(Vertx vertx, DescriptorBudget descriptors, BoundedTransport transport, CallHandler handler) {
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.transport = transport;
         this.handler = handler;
-        admission = new BoundedTransport.ListenerAdmission(new AcceptGate(descriptors, Purpose.CONSOLE, Descriptors.TIGHT_CONSOLE));
+        admission = new BoundedTransport.ListenerAdmission(new AcceptGate(descriptors, Purpose.CONSOLE, DescriptorBudget.LOW_CONSOLE));
         admission.pending().onSilent(this::makeRoomIfTight);
     }
 
--- a/src/main/java/saffronferry/wire/Dialer.java
+++ b/src/main/java/saffronferry/wire/Dialer.java
@@ -19,8 +19,8 @@
 import java.net.SocketException;
 import java.util.function.Consumer;
 import saffronferry.Contract.Outcome;
-import saffronferry.limit.Descriptors;
-import saffronferry.limit.Descriptors.Purpose;
+import saffronferry.limit.DescriptorBudget;
+import saffronferry.limit.DescriptorBudget.Purpose;
 import saffronferry.ops.ControlUsage;
 import saffronferry.ops.ControlUsage.Kind;
 
@@ -31,7 +31,7 @@
 
     private final EventLoop loop;
     private final HttpClient client;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Purpose purpose;
     /** Null if the traffic of these connections is not counted. */
     private final ByteCounter counter;
@@ -78,7 +78,7 @@
         }
     }
 
-    Dialer(Vertx vertx, HttpClient client, Descriptors descriptors, Purpose purpose) {
+    Dialer(Vertx vertx, HttpClient client, DescriptorBudget descriptors, Purpose purpose) {
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.client = client;
         this.descriptors = descriptors;
@@ -98,7 +98,7 @@
             String uri,
             Consumer<HttpClientRequest> opened,
             Consumer<Throwable> failed) {
-        if (!descriptors.take(purpose)) {
+        if (!descriptors.tryTake(purpose)) {
             failed.accept(NO_DESCRIPTOR_LEFT);
             return;
         }
--- a/src/main/java/saffronferry/wire/DiscoveryWatch.java
+++ b/src/main/java/saffronferry/wire/DiscoveryWatch.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 import saffronferry.fleet.DiscoveryBackoff;
 import saffronferry.fleet.WatchEnd;
-import saffronferry.limit.Descriptors;
-import saffronferry.limit.Descriptors.Purpose;
+import saffronferry.limit.DescriptorBudget;
+import saffronferry.limit.DescriptorBudget.Purpose;
 import saffronferry.log.BoundedLog;
 import saffronferry.state.ListUpdate;
 
@@ -45,7 +45,7 @@
             ListParser parser,
             Consumer<ListUpdate> listener,
             Consumer<WatchEnd> endListener,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             BoundedLog log) {
         this.vertx = vertx;
         this.discovery = discovery;
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -13,7 +13,7 @@
 import saffronferry.Contract.JobClass;
 import saffronferry.agree.Gossip;
 import saffronferry.limit.AttemptRoom;
-import saffronferry.limit.Descriptors;
+import saffronferry.limit.DescriptorBudget;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Metrics;
 import saffronferry.state.CallAttempt;
@@ -65,7 +65,7 @@
             Options options,
             Balancer balancer,
             Metrics figures,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             BoundedTransport transport,
             BoundedLog log) {
         this.vertx = vertx;
@@ -75,7 +75,7 @@
         listPushed = options.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
         AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
-        descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
+        descriptors.addReleaseListener(() -> room.look(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
                 vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
         discoveryWatch = new DiscoveryWatch(
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -13,8 +13,8 @@
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
 import saffronferry.limit.AttemptRoom;
-import saffronferry.limit.Descriptors;
-import saffronferry.limit.Descriptors.Purpose;
+import saffronferry.limit.DescriptorBudget;
+import saffronferry.limit.DescriptorBudget.Purpose;
 import saffronferry.log.BoundedLog;
 import saffronferry.state.CallAttempt;
 
@@ -52,7 +52,7 @@
             Vertx vertx,
             double connectTimeout,
             LoadReportParser loads,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             AttemptRoom room,
             BoundedLog log) {
         this.vertx = vertx;
--- a/src/test/java/saffronferry/lifecycle/SiblingMonitorTest.java
+++ b/src/test/java/saffronferry/lifecycle/SiblingMonitorTest.java
@@ -14,7 +14,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 import saffronferry.HandoverState;
-import saffronferry.limit.Descriptors;
+import saffronferry.limit.DescriptorBudget;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
 
@@ -43,7 +43,7 @@
                         }
                     },
                     file,
-                    new Descriptors(1024, 32),
+                    new DescriptorBudget(1024, 32),
                     new BoundedLog());
             polls.set(0);
             vertx.runOnContext(v -> monitor.start(() -> HandoverState.NONE, new SiblingMonitor.Listener() {
--- a/src/test/java/saffronferry/limit/LimitsTest.java
+++ b/src/test/java/saffronferry/limit/LimitsTest.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import saffronferry.limit.Descriptors.Purpose;
+import saffronferry.limit.DescriptorBudget.Purpose;
 
 /** The descriptor budget, the accept gate, the attempt capacity and the event loop monitor, with a simulated clock. */
 class LimitsTest {
     private static final int OWN = 20;
 
-    private static int takeAll(Descriptors d, Purpose p) {
+    private static int takeAll(DescriptorBudget d, Purpose p) {
         int n = 0;
-        while (d.take(p)) {
+        while (d.tryTake(p)) {
             n++;
         }
         return n;
@@ -28,16 +28,16 @@
     void eachPurposeGetsItsGuaranteedNumberInAnyOrder() {
         for (int limit : new int[] {128, 256, 384, 1024}) {
             for (Purpose greedy : Purpose.values()) {
-                Descriptors d = new Descriptors(limit, OWN);
+                DescriptorBudget d = new DescriptorBudget(limit, OWN);
                 int sum = OWN + takeAll(d, greedy);
-                assertTrue(sum - OWN <= d.most(greedy));
+                assertTrue(sum - OWN <= d.maximum(greedy));
                 for (Purpose p : Purpose.values()) {
                     sum += takeAll(d, p);
                 }
                 assertTrue(d.used(Purpose.CLIENTS) >= limit / 3, limit + " after " + greedy);
                 assertTrue(d.used(Purpose.WORKERS) >= limit / 4, limit + " after " + greedy);
                 assertTrue(d.used(Purpose.PROBES) >= 8 && d.used(Purpose.DISCOVERY) == 4);
-                assertTrue(sum <= limit - Descriptors.SPARE, sum + " of " + limit);
+                assertTrue(sum <= limit - DescriptorBudget.RESERVED, sum + " of " + limit);
             }
         }
     }
@@ -46,14 +46,14 @@
     @Test
     void takesAndReleasesInAnyOrderKeepTheBounds() {
         Random random = new Random(7);
-        Descriptors d = new Descriptors(256, OWN);
+        DescriptorBudget d = new DescriptorBudget(256, OWN);
         Map<Purpose, Integer> held = new EnumMap<>(Purpose.class);
         for (int i = 0; i < 200_000; i++) {
             Purpose p = Purpose.values()[random.nextInt(4)];
             int heldNow = held.getOrDefault(p, 0);
             if (random.nextInt(5) < (i / 1000 % 2 == 0 ? 3 : 2)) {
-                int left = d.left(p);
-                boolean got = d.take(p);
+                int left = d.available(p);
+                boolean got = d.tryTake(p);
                 assertEquals(left > 0, got);
                 held.merge(p, got ? 1 : 0, Integer::sum);
             } else if (heldNow > 0) {
@@ -61,9 +61,9 @@
                 held.put(p, heldNow - 1);
             }
             int sum = held.values().stream().mapToInt(Integer::intValue).sum();
-            assertTrue(sum <= 256 - OWN - Descriptors.SPARE);
-            assertTrue(held.getOrDefault(Purpose.WORKERS, 0) >= 64 || d.left(Purpose.WORKERS) > 0);
-            assertTrue(held.getOrDefault(Purpose.CLIENTS, 0) >= 85 || d.left(Purpose.CLIENTS) > 0);
+            assertTrue(sum <= 256 - OWN - DescriptorBudget.RESERVED);
+            assertTrue(held.getOrDefault(Purpose.WORKERS, 0) >= 64 || d.available(Purpose.WORKERS) > 0);
+            assertTrue(held.getOrDefault(Purpose.CLIENTS, 0) >= 85 || d.available(Purpose.CLIENTS) > 0);
         }
         held.forEach((p, n) -> {
             for (int i = 0; i < n; i++) {
@@ -76,14 +76,14 @@
 
     @Test
     void anInsufficientLimitIsReportedWithItsNumbers() {
-        Exception e = assertThrows(IllegalArgumentException.class, () -> new Descriptors(64, OWN));
+        Exception e = assertThrows(IllegalArgumentException.class, () -> new DescriptorBudget(64, OWN));
         assertTrue(e.getMessage().contains("64") && e.getMessage().contains("20"), e.getMessage());
     }
 
     /** The pause doubles with each failed accept, and the first success resets it. */
     @Test
     void theGateBacksOffWhileAcceptingFails() {
-        AcceptGate gate = new AcceptGate(new Descriptors(256, OWN));
+        AcceptGate gate = new AcceptGate(new DescriptorBudget(256, OWN));
         long now = 0;
         long[] pauses = {10, 20, 40, 80, 160, 320, 500, 500};
         for (long pause : pauses) {
@@ -103,7 +103,7 @@
     /** After a start connections are accepted one by one, then more per turn up to a limit. */
     @Test
     void acceptsPerTurnGrowAfterAStart() {
-        AcceptGate gate = new AcceptGate(new Descriptors(1024, OWN));
+        AcceptGate gate = new AcceptGate(new DescriptorBudget(1024, OWN));
         int[] atTurn = {1, 1, 1, 1, 1, 1, 1, 1, 2, 2};
         for (int expected : atTurn) {
             assertEquals(expected, gate.perTurn());
@@ -120,12 +120,12 @@
     /** Accepting pauses without descriptors and can resume as soon as one is released. */
     @Test
     void acceptingPausesWithoutDescriptorsAndResumes() {
-        Descriptors d = new Descriptors(256, OWN);
+        DescriptorBudget d = new DescriptorBudget(256, OWN);
         AcceptGate gate = new AcceptGate(d);
         int[] freed = {0};
-        d.onFree(() -> freed[0]++);
+        d.addReleaseListener(() -> freed[0]++);
         for (int i = 0; i < 128; i++) {
-            assertEquals(i > 128 - Descriptors.TIGHT, gate.tight(), "at " + i);
+            assertEquals(i > 128 - DescriptorBudget.LOW_CLIENTS, gate.tight(), "at " + i);
             assertTrue(gate.enter(0));
             gate.accepted();
         }
@@ -143,7 +143,7 @@
     /** Capacity is reported on changes only: lost with the last descriptor or a refusal by the system, then regained. */
     @Test
     void attemptCapacityIsReportedOnChangesOnly() {
-        Descriptors d = new Descriptors(256, OWN);
+        DescriptorBudget d = new DescriptorBudget(256, OWN);
         java.util.List<Boolean> reported = new java.util.ArrayList<>();
         AttemptRoom room = new AttemptRoom(d, reported::add);
         room.look(0);
@@ -178,24 +178,24 @@
     void processesThatShareALimitStayWithinItTogether() {
         for (int seed = 0; seed < 50; seed++) {
             Random random = new Random(seed);
-            Descriptors[] both = {new Descriptors(384, 30), new Descriptors(384, 30)};
-            both[0].share(2);
-            both[1].share(2);
+            DescriptorBudget[] both = {new DescriptorBudget(384, 30), new DescriptorBudget(384, 30)};
+            both[0].shareAmong(2);
+            both[1].shareAmong(2);
             int[] held = new int[2];
             for (int i = 0; i < 2_000; i++) {
                 int who = random.nextInt(2);
                 Purpose p = Purpose.values()[random.nextInt(Purpose.values().length)];
                 if (random.nextInt(3) > 0) {
-                    held[who] += both[who].take(p) ? 1 : 0;
+                    held[who] += both[who].tryTake(p) ? 1 : 0;
                 } else if (both[who].used(p) > 0) {
                     both[who].release(p);
                     held[who]--;
                 }
-                assertTrue(held[0] + 30 + held[1] + 30 <= 384 - Descriptors.SPARE);
+                assertTrue(held[0] + 30 + held[1] + 30 <= 384 - DescriptorBudget.RESERVED);
             }
-            both[0].share(1);
+            both[0].shareAmong(1);
             int more = 0;
-            while (both[0].take(Purpose.CLIENTS)) {
+            while (both[0].tryTake(Purpose.CLIENTS)) {
                 more++;
             }
             assertTrue(more > 60, "alone again, it may hold the full number");
@@ -205,16 +205,16 @@
     /** Descriptors held before sharing stay in use, and no more are given out until enough are released. */
     @Test
     void aSharingProcessTakesNoMoreUntilEnoughAreReleased() {
-        Descriptors d = new Descriptors(384, 30);
-        while (d.take(Purpose.CLIENTS)) {
+        DescriptorBudget d = new DescriptorBudget(384, 30);
+        while (d.tryTake(Purpose.CLIENTS)) {
             continue;
         }
         int held = d.used(Purpose.CLIENTS);
-        d.share(2);
-        assertFalse(d.take(Purpose.CLIENTS));
+        d.shareAmong(2);
+        assertFalse(d.tryTake(Purpose.CLIENTS));
         while (d.used(Purpose.CLIENTS) > held / 2) {
             d.release(Purpose.CLIENTS);
         }
-        assertTrue(d.take(Purpose.WORKERS));
+        assertTrue(d.tryTake(Purpose.WORKERS));
     }
 }
