--- a/src/main/java/saffronferry/limit/AcceptGate.java
+++ b/src/main/java/saffronferry/limit/AcceptGate.java
@@ -10,22 +10,22 @@
  */
 public final class AcceptGate {
     /** Pause after the first failure. */
-    static final long FIRST_PAUSE = 10;
+    static final long MIN_PAUSE_MS = 10;
 
-    static final long LONGEST_PAUSE = 500;
+    static final long MAX_PAUSE_MS = 500;
     /** Connections accepted in one turn of the event loop; more would delay requests in progress. */
-    static final int MOST_A_TURN = 8;
+    static final int MAX_ACCEPTS_PER_TURN = 8;
     /** After a start, one more connection per turn is accepted each time that this many have been accepted. */
-    private static final int A_STEP = 8;
+    private static final int ACCEPTS_PER_STEP = 8;
 
     private final DescriptorBudget descriptors;
     private final Purpose purpose;
-    private final int tight;
+    private final int lowMark;
 
-    private long pause = FIRST_PAUSE;
-    private int accepted;
-    private int leaving;
-    private long closedUntil = Long.MIN_VALUE;
+    private long pause = MIN_PAUSE_MS;
+    private int acceptedCount;
+    private int closingCount;
+    private long pausedUntil = Long.MIN_VALUE;
 
     /** Creates a gate for clients' connections. */
     public AcceptGate(DescriptorBudget descriptors) {
@@ -40,57 +40,57 @@
     public AcceptGate(DescriptorBudget descriptors, Purpose purpose, int lowMark) {
         this.descriptors = descriptors;
         this.purpose = purpose;
-        this.tight = lowMark;
+        this.lowMark = lowMark;
     }
 
     /** Takes a descriptor for a connection to be accepted now; false if accepting is paused. */
-    public boolean enter(long now) {
-        return now >= closedUntil && descriptors.tryTake(purpose);
+    public boolean tryAcquire(long now) {
+        return now >= pausedUntil && descriptors.tryTake(purpose);
     }
 
     /** The connection for which a descriptor was taken has been accepted. */
     public void accepted() {
-        pause = FIRST_PAUSE;
-        accepted = Math.min(accepted + 1, A_STEP * MOST_A_TURN);
+        pause = MIN_PAUSE_MS;
+        acceptedCount = Math.min(acceptedCount + 1, ACCEPTS_PER_STEP * MAX_ACCEPTS_PER_TURN);
     }
 
     /** No connection was pending; gives the descriptor back. */
-    public void nothing() {
+    public void nothingAccepted() {
         descriptors.release(purpose);
     }
 
     /** The system call failed; returns the time to pause. */
-    public long failed(long now) {
+    public long acceptFailed(long now) {
         long currentPause = pause;
-        closedUntil = now + currentPause;
-        pause = Math.min(LONGEST_PAUSE, 2 * pause);
+        pausedUntil = now + currentPause;
+        pause = Math.min(MAX_PAUSE_MS, 2 * pause);
         descriptors.release(purpose);
         return currentPause;
     }
 
     /** A connection is being closed; its descriptor is still in use. */
-    public void leaving() {
-        leaving++;
+    public void connectionClosing() {
+        closingCount++;
     }
 
-    /** A connection reported to {@link #leaving()} is closed; releases its descriptor. */
-    public void left() {
-        leaving--;
+    /** A connection reported to {@link #closingCount()} is closed; releases its descriptor. */
+    public void connectionClosed() {
+        closingCount--;
         descriptors.release(purpose);
     }
 
     /** Whether accepting may resume after a pause. */
-    public boolean mayResume(long now) {
-        return now >= closedUntil && descriptors.available(purpose) > 0;
+    public boolean canResume(long now) {
+        return now >= pausedUntil && descriptors.available(purpose) > 0;
     }
 
     /** Number of pending connections that one turn of the event loop may accept. */
-    public int perTurn() {
-        return Math.min(MOST_A_TURN, 1 + accepted / A_STEP);
+    public int acceptsPerTurn() {
+        return Math.min(MAX_ACCEPTS_PER_TURN, 1 + acceptedCount / ACCEPTS_PER_STEP);
     }
 
     /** Whether idle connections should be closed to make room for new ones. */
-    public boolean tight() {
-        return descriptors.available(purpose) + leaving < tight;
+    public boolean isLow() {
+        return descriptors.available(purpose) + closingCount < lowMark;
     }
 }
--- a/src/main/java/saffronferry/wire/BoundedTransport.java
+++ b/src/main/java/saffronferry/wire/BoundedTransport.java
@@ -214,21 +214,21 @@
         @Override
         protected int doReadMessages(List<Object> unused) {
             boolean more = true;
-            for (int i = gate.perTurn(); more && i > 0; i--) {
+            for (int i = gate.acceptsPerTurn(); more && i > 0; i--) {
                 more = acceptOne();
             }
             return 0;
         }
 
         private boolean acceptOne() {
-            if (!gate.enter(now())) {
+            if (!gate.tryAcquire(now())) {
                 pause();
                 return false;
             }
             try {
                 SocketChannel socket = BoundedTransport.this.accept(javaChannel());
                 if (socket == null) {
-                    gate.nothing();
+                    gate.nothingAccepted();
                     return false;
                 }
                 gate.accepted();
@@ -237,7 +237,7 @@
                 return true;
             } catch (IOException | RuntimeException | Error e) {
                 // if passed on, the library would close the listening socket on an Error, and fill its log
-                long pauseMs = gate.failed(now());
+                long pauseMs = gate.acceptFailed(now());
                 log.line("accept failed", e.getMessage());
                 pause();
                 eventLoop().schedule(this::resume, pauseMs, TimeUnit.MILLISECONDS);
@@ -264,7 +264,7 @@
         }
 
         private void resume() {
-            if (paused && isOpen() && gate.mayResume(now())) {
+            if (paused && isOpen() && gate.canResume(now())) {
                 paused = false;
                 config().setAutoRead(true);
             }
@@ -310,8 +310,8 @@
             super.doClose();
             if (!closed) {
                 closed = true;
-                gate.leaving();
-                afterNextSelect(eventLoop(), gate::left);
+                gate.connectionClosing();
+                afterNextSelect(eventLoop(), gate::connectionClosed);
             }
         }
     }
--- a/src/main/java/saffronferry/wire/ClientConnections.java
+++ b/src/main/java/saffronferry/wire/ClientConnections.java
@@ -74,7 +74,7 @@
      * gate admits no further ones.
      */
     private void makeRoomIfTight() {
-        if (!gate.tight() || pending.closeOldest()) {
+        if (!gate.isLow() || pending.closeOldest()) {
             return;
         }
         Set<ClientConnection> candidates = inFirstRequest.isEmpty() ? idle : inFirstRequest;
--- a/src/main/java/saffronferry/wire/PendingConnections.java
+++ b/src/main/java/saffronferry/wire/PendingConnections.java
@@ -132,8 +132,8 @@
                 } catch (IOException e) {
                     // nothing more can be done to close it
                 }
-                gate.leaving();
-                BoundedTransport.afterNextSelect(loop, gate::left);
+                gate.connectionClosing();
+                BoundedTransport.afterNextSelect(loop, gate::connectionClosed);
             }
         }
     }
--- a/src/test/java/saffronferry/limit/LimitsTest.java
+++ b/src/test/java/saffronferry/limit/LimitsTest.java
@@ -87,17 +87,17 @@
         long now = 0;
         long[] pauses = {10, 20, 40, 80, 160, 320, 500, 500};
         for (long pause : pauses) {
-            assertTrue(gate.enter(now));
-            assertEquals(pause, gate.failed(now));
-            assertFalse(gate.enter(now + pause - 1));
-            assertFalse(gate.mayResume(now + pause - 1));
+            assertTrue(gate.tryAcquire(now));
+            assertEquals(pause, gate.acceptFailed(now));
+            assertFalse(gate.tryAcquire(now + pause - 1));
+            assertFalse(gate.canResume(now + pause - 1));
             now += pause;
-            assertTrue(gate.mayResume(now));
+            assertTrue(gate.canResume(now));
         }
-        assertTrue(gate.enter(now));
+        assertTrue(gate.tryAcquire(now));
         gate.accepted();
-        assertTrue(gate.enter(now));
-        assertEquals(10, gate.failed(now));
+        assertTrue(gate.tryAcquire(now));
+        assertEquals(10, gate.acceptFailed(now));
     }
 
     /** After a start connections are accepted one by one, then more per turn up to a limit. */
@@ -106,15 +106,15 @@
         AcceptGate gate = new AcceptGate(new DescriptorBudget(1024, OWN));
         int[] atTurn = {1, 1, 1, 1, 1, 1, 1, 1, 2, 2};
         for (int expected : atTurn) {
-            assertEquals(expected, gate.perTurn());
-            gate.enter(0);
+            assertEquals(expected, gate.acceptsPerTurn());
+            gate.tryAcquire(0);
             gate.accepted();
         }
         for (int i = 0; i < 200; i++) {
-            gate.enter(0);
+            gate.tryAcquire(0);
             gate.accepted();
         }
-        assertEquals(AcceptGate.MOST_A_TURN, gate.perTurn());
+        assertEquals(AcceptGate.MAX_ACCEPTS_PER_TURN, gate.acceptsPerTurn());
     }
 
     /** Accepting pauses without descriptors and can resume as soon as one is released. */
@@ -125,18 +125,18 @@
         int[] freed = {0};
         d.addReleaseListener(() -> freed[0]++);
         for (int i = 0; i < 128; i++) {
-            assertEquals(i > 128 - DescriptorBudget.LOW_CLIENTS, gate.tight(), "at " + i);
-            assertTrue(gate.enter(0));
+            assertEquals(i > 128 - DescriptorBudget.LOW_CLIENTS, gate.isLow(), "at " + i);
+            assertTrue(gate.tryAcquire(0));
             gate.accepted();
         }
-        assertFalse(gate.enter(0));
-        assertFalse(gate.mayResume(0));
-        gate.leaving();
-        assertFalse(gate.enter(0));
-        gate.left();
+        assertFalse(gate.tryAcquire(0));
+        assertFalse(gate.canResume(0));
+        gate.connectionClosing();
+        assertFalse(gate.tryAcquire(0));
+        gate.connectionClosed();
         assertEquals(1, freed[0]);
-        assertTrue(gate.mayResume(0) && gate.enter(0));
-        gate.nothing();
+        assertTrue(gate.canResume(0) && gate.tryAcquire(0));
+        gate.nothingAccepted();
         assertEquals(127, d.used(Purpose.CLIENTS));
     }
 
