--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -12,7 +12,7 @@
 import saffronferry.BalancerEvent;
 import saffronferry.Contract.JobClass;
 import saffronferry.agree.Gossip;
-import saffronferry.limit.AttemptRoom;
+import saffronferry.limit.AttemptCapacity;
 import saffronferry.limit.DescriptorBudget;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Metrics;
@@ -74,8 +74,8 @@
         peerListen = options.peerListen();
         listPushed = options.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
-        AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
-        descriptors.addReleaseListener(() -> room.look(System.nanoTime() / 1_000_000));
+        AttemptCapacity room = new AttemptCapacity(descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
+        descriptors.addReleaseListener(() -> room.update(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
                 vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
         discoveryWatch = new DiscoveryWatch(
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -12,7 +12,7 @@
 import java.util.function.BooleanSupplier;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
-import saffronferry.limit.AttemptRoom;
+import saffronferry.limit.AttemptCapacity;
 import saffronferry.limit.DescriptorBudget;
 import saffronferry.limit.DescriptorBudget.Purpose;
 import saffronferry.log.BoundedLog;
@@ -37,7 +37,7 @@
     private final Vertx vertx;
     private final Dialer attempts;
     private final Dialer probes;
-    private final AttemptRoom room;
+    private final AttemptCapacity room;
     private final SubchannelResponseParser responseParser;
     private final LoadReportParser loads;
     private final BoundedLog log;
@@ -53,7 +53,7 @@
             double connectTimeout,
             LoadReportParser loads,
             DescriptorBudget descriptors,
-            AttemptRoom room,
+            AttemptCapacity room,
             BoundedLog log) {
         this.vertx = vertx;
         this.loads = loads;
@@ -91,7 +91,7 @@
         Exchange exchange = new Exchange(message, remainingMicros, attempt);
         attempts.dial(
                 message.method(), Address.parse(address), message.uri(), exchange::connected, exchange::connectFailed);
-        room.look(nowMs());
+        room.update(nowMs());
         return exchange::cancel;
     }
 
@@ -157,8 +157,8 @@
         /** No connection was opened. If this process lacks resources, the balancer must pause new attempts. */
         void connectFailed(Throwable cause) {
             if (Dialer.connectFailureOutcome(cause) == Outcome.NOT_SENT) {
-                room.refused(nowMs());
-                vertx.setTimer(AttemptRoom.PAUSE, t -> room.look(nowMs()));
+                room.openFailed(nowMs());
+                vertx.setTimer(AttemptCapacity.PAUSE_MS, t -> room.update(nowMs()));
             }
             writeFailed(cause);
         }
--- a/src/test/java/saffronferry/limit/LimitsTest.java
+++ b/src/test/java/saffronferry/limit/LimitsTest.java
@@ -145,17 +145,17 @@
     void attemptCapacityIsReportedOnChangesOnly() {
         DescriptorBudget d = new DescriptorBudget(256, OWN);
         java.util.List<Boolean> reported = new java.util.ArrayList<>();
-        AttemptRoom room = new AttemptRoom(d, reported::add);
-        room.look(0);
+        AttemptCapacity room = new AttemptCapacity(d, reported::add);
+        room.update(0);
         assertTrue(reported.isEmpty());
         takeAll(d, Purpose.WORKERS);
-        room.look(0);
-        room.look(1);
+        room.update(0);
+        room.update(1);
         d.release(Purpose.WORKERS);
-        room.look(2);
-        room.refused(10);
-        room.look(10 + AttemptRoom.PAUSE - 1);
-        room.look(10 + AttemptRoom.PAUSE);
+        room.update(2);
+        room.openFailed(10);
+        room.update(10 + AttemptCapacity.PAUSE_MS - 1);
+        room.update(10 + AttemptCapacity.PAUSE_MS);
         assertEquals(java.util.List.of(false, true, false, true), reported);
     }
 
