--- a/src/main/java/saffronferry/lifecycle/Watchdog.java
+++ b/src/main/java/saffronferry/lifecycle/Watchdog.java
@@ -1,7 +1,7 @@
 package saffronferry.lifecycle;
 
 import io.vertx.core.Vertx;
-import saffronferry.limit.LoopWatch;
+import saffronferry.limit.EventLoopMonitor;
 
 /**
  * Ends a process whose event loop is dead or hangs. Otherwise it would keep its clients' connections and its address
@@ -18,7 +18,7 @@
 
     private final Runnable onHang;
     private final long checkIntervalMs;
-    private final LoopWatch watch;
+    private final EventLoopMonitor watch;
     private volatile long heartbeats;
     private volatile boolean stopped;
 
@@ -26,7 +26,7 @@
     Watchdog(long hangTimeoutMs, Runnable onHang) {
         this.onHang = onHang;
         checkIntervalMs = Math.min(CHECK_INTERVAL_MS, hangTimeoutMs);
-        watch = new LoopWatch((int) (hangTimeoutMs / checkIntervalMs));
+        watch = new EventLoopMonitor((int) (hangTimeoutMs / checkIntervalMs));
     }
 
     /** To be called on the event loop. */
@@ -43,7 +43,7 @@
 
     private void watchLoop() {
         try {
-            while (!stopped && !watch.hangs(heartbeats)) {
+            while (!stopped && !watch.isHung(heartbeats)) {
                 Thread.sleep(checkIntervalMs);
             }
             if (!stopped) {
--- a/src/test/java/saffronferry/limit/LimitsTest.java
+++ b/src/test/java/saffronferry/limit/LimitsTest.java
@@ -162,11 +162,11 @@
     /** Only consecutive checks of a stalled loop count. */
     @Test
     void aLoopIsHungOnlyAfterConsecutiveStalledChecks() {
-        LoopWatch watch = new LoopWatch(3);
+        EventLoopMonitor watch = new EventLoopMonitor(3);
         boolean[] hung = new boolean[9];
         long[] turns = {0, 0, 0, 1, 1, 2, 2, 2, 2};
         for (int i = 0; i < turns.length; i++) {
-            hung[i] = watch.hangs(turns[i]);
+            hung[i] = watch.isHung(turns[i]);
         }
         for (int i = 0; i < turns.length; i++) {
             assertEquals(i == 8, hung[i], "check " + i);
