--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -180,7 +180,7 @@
                         settings.settings.classes(),
                         effectiveSettings == null ? settings.tenants : effectiveSettings.tenantNames(),
                         config.listParser,
-                        settings.fieldOf("free slots"),
+                        settings.reportField("free slots"),
                         settings.connectTimeout,
                         !settings.settings.listOnDemand()),
                 new Balancer(settings.settings),
--- a/src/main/java/saffronferry/settings/SettingsReader.java
+++ b/src/main/java/saffronferry/settings/SettingsReader.java
@@ -17,9 +17,9 @@
  */
 public final class SettingsReader {
     /** Default of the time within which discovery has to be asked. */
-    private static final double ASK_WITHIN = 10;
+    private static final double DEFAULT_ASK_WITHIN_S = 10;
     /** Multiple of that time that is allowed after a failed call. */
-    private static final int AFTER_FAILURE = 4;
+    private static final int FAILURE_DELAY_MULTIPLE = 4;
 
     public final Settings settings;
     public final List<String> classes;
@@ -42,11 +42,11 @@
         try {
             kinds = names(top, "kinds");
             zones = names(top, "zones");
-            JSONObject limits = part(top, "limits");
-            JSONObject rules = part(top, "rules");
-            family = part(top, "familyInfo");
-            JSONObject prices = part(top, "deductions");
-            JSONObject report = part(top, "report");
+            JSONObject limits = section(top, "limits");
+            JSONObject rules = section(top, "rules");
+            family = section(top, "familyInfo");
+            JSONObject prices = section(top, "deductions");
+            JSONObject report = section(top, "report");
             connectTimeout = number(limits, "connectTimeout", 0.25);
             List<JobClass> jobClasses = classes(top, family);
             classes = jobClasses.stream().map(JobClass::name).toList();
@@ -85,14 +85,14 @@
                     flag(limits, "retryAfter") ? micros(limits, "maxRetryAfter") : 0,
                     number(prices, "peer", 0),
                     number(prices, "probe", 0),
-                    (long) (AFTER_FAILURE * number(rules, "askWithin", ASK_WITHIN) * 1e6));
+                    (long) (FAILURE_DELAY_MULTIPLE * number(rules, "askWithin", DEFAULT_ASK_WITHIN_S) * 1e6));
         } catch (JSONException e) {
             throw new IllegalArgumentException(e.getMessage());
         }
     }
 
     /** The name of the load report's field with this meaning, or null. */
-    public String fieldOf(String meaning) {
+    public String reportField(String meaning) {
         return family.optString("reportX0").equals(meaning)
                 ? "x0"
                 : family.optString("reportX1").equals(meaning) ? "x1" : null;
@@ -166,7 +166,7 @@
         return o.isNull(key) ? new JSONArray() : o.getJSONArray(key);
     }
 
-    private static JSONObject part(JSONObject o, String key) {
+    private static JSONObject section(JSONObject o, String key) {
         return o.isNull(key) ? new JSONObject() : o.getJSONObject(key);
     }
 
