--- a/src/main/java/saffronferry/limit/AcceptGate.java
+++ b/src/main/java/saffronferry/limit/AcceptGate.java
@@ -73,7 +73,7 @@
         closingCount++;
     }
 
-    /** A connection reported to {@link #closingCount()} is closed; releases its descriptor. */
+    /** A connection reported to {@link #connectionClosing()} is closed; releases its descriptor. */
     public void connectionClosed() {
         closingCount--;
         descriptors.release(purpose);
--- a/src/main/java/saffronferry/limit/AttemptCapacity.java
+++ b/src/main/java/saffronferry/limit/AttemptCapacity.java
@@ -9,7 +9,7 @@
 public final class AttemptCapacity {
     /** Receives changes. */
     public interface Listener {
-        void room(boolean available);
+        void capacityChanged(boolean available);
     }
 
     /** Time after which opening is tried again: the system usually has a free descriptor or port soon. */
@@ -36,7 +36,7 @@
         boolean availableNow = descriptors.available(Purpose.WORKERS) > 0 && now >= pausedUntil;
         if (availableNow != available) {
             available = availableNow;
-            listener.room(availableNow);
+            listener.capacityChanged(availableNow);
         }
     }
 }
--- a/src/main/java/saffronferry/limit/DescriptorBudget.java
+++ b/src/main/java/saffronferry/limit/DescriptorBudget.java
@@ -45,7 +45,7 @@
     private final List<Runnable> releaseListeners = new ArrayList<>();
 
     /**
-     * Divides a limit of which the process itself holds {@code own} descriptors, listening sockets included.
+     * Divides a limit of which the process itself holds {@code heldByProcess} descriptors, listening sockets included.
      *
      * @throws IllegalArgumentException if the guaranteed numbers do not fit
      */
