--- a/src/main/java/saffronferry/PeerMessage.java
+++ b/src/main/java/saffronferry/PeerMessage.java
@@ -61,8 +61,8 @@
     int[] workerHashes = new int[8];
     int[] entryValues = new int[8];
     /**
-     * Time of sending in microseconds, by the clock that all dispatchers share; valid if {@link #grantees} is not null. In
-     * a return it is the timestamp of the transfer that is returned.
+     * Time of sending in microseconds, by the clock that all dispatchers share; valid if {@link #grantees} is not null.
+     * In a return it is the timestamp of the transfer that is returned.
      */
     long timestamp;
     /**
--- a/src/main/java/saffronferry/fleet/IncomingTransfers.java
+++ b/src/main/java/saffronferry/fleet/IncomingTransfers.java
@@ -13,8 +13,8 @@
      * Whether a transfer may be used.
      *
      * @param timestamp timestamp of the transfer
-     * @param processStartedAt start of this process. Earlier transfers belong to its predecessor, and so do those of that
-     *     very moment: the state-space explorer found a transfer that two processes spent
+     * @param processStartedAt start of this process. Earlier transfers belong to its predecessor, and so do those of
+     *     that very moment: the state-space explorer found a transfer that two processes spent
      * @param lifetime time for which a transfer is valid
      */
     public boolean isValid(long timestamp, long now, long processStartedAt, long lifetime) {
--- a/src/test/java/saffronferry/HandoverStateTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -47,7 +47,7 @@
     }
 
     /** A balancer that has learned from reports that the worker has six slots. */
-    private static Balancer taught() throws Exception {
+    private static Balancer balancerWithEstimates() throws Exception {
         Balancer b = balancer();
         for (int i = 1; i <= 10; i++) {
             b.report(S + i, new BalancerEvent.Probed("w", Outcome.OK, new Report(Double.NaN, Double.NaN, 6)));
@@ -62,13 +62,13 @@
         Balancer next = balancer();
         next.report(
                 2 * S,
-                new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), taught().handoverState().learned())));
+                new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), balancerWithEstimates().handoverState().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
     @Test
     void slotsThatTheOtherProcessUsesCountAsTakenUntilItsNextState() throws Exception {
-        Balancer b = taught();
+        Balancer b = balancerWithEstimates();
         b.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
         assertEquals(Map.of("w", 2), b.handoverState().busySlots());
@@ -77,7 +77,7 @@
         assertEquals(3, sent(b.report(2 * S + 20_000, new BalancerEvent.OtherProcessState(HandoverState.NONE))));
     }
 
-    /** If the other process's jobs were not counted, each report would make the worker seem smaller during an upgrade. */
+    /** If the other process's jobs were not counted, reports during an upgrade would make the worker seem smaller. */
     @Test
     void slotEstimatesAccountForJobsOfTheOtherProcess() throws Exception {
         Balancer b = balancer();
@@ -104,15 +104,15 @@
             b.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(new HashMap<>(), learned)));
             assertArrayEquals(before, b.handoverState().learned());
         }
-        Balancer knows = taught();
-        double[] own = knows.handoverState().learned();
-        knows.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), before)));
-        assertArrayEquals(own, knows.handoverState().learned(), "a process with estimates of its own keeps them");
+        Balancer withOwnEstimates = balancerWithEstimates();
+        double[] own = withOwnEstimates.handoverState().learned();
+        withOwnEstimates.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), before)));
+        assertArrayEquals(own, withOwnEstimates.handoverState().learned(), "a process with estimates of its own keeps them");
         assertTrue(own[0] > 5);
     }
 
     /** Number of jobs sent to a cold worker in its first seconds, each of which ends as soon as it is sent. */
-    private static int sentCold(Balancer b) {
+    private static int sentToColdWorker(Balancer b) {
         b.report(
                 2 * S,
                 new BalancerEvent.Resolved(
@@ -134,10 +134,10 @@
     /** Both processes together may send to a cold worker what one may send alone. */
     @Test
     void bothProcessesShareTheBudgetOfColdWorkers() throws Exception {
-        int alone = sentCold(taught());
-        Balancer one = taught();
+        int alone = sentToColdWorker(balancerWithEstimates());
+        Balancer one = balancerWithEstimates();
         one.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), new double[] {1})));
-        int ofTwo = sentCold(one);
-        assertTrue(ofTwo > 0 && ofTwo <= alone / 2 + 1, ofTwo + " with another process, " + alone + " alone");
+        int withOtherProcess = sentToColdWorker(one);
+        assertTrue(withOtherProcess > 0 && withOtherProcess <= alone / 2 + 1, withOtherProcess + " with another process, " + alone + " alone");
     }
 }
--- a/src/test/java/saffronferry/PeerMessageTest.java
+++ b/src/test/java/saffronferry/PeerMessageTest.java
@@ -83,14 +83,14 @@
             new Case("for an earlier process", NOW - 100_000, NOW - 50_000, 0, false),
             new Case("from the future", NOW + 300_000, 0, 0, false)
         }) {
-            DispatcherState.Peer y = new DispatcherState.Peer(1);
-            y.borrowedBudget.markUsed(c.lastTransferAt);
+            DispatcherState.Peer peer = new DispatcherState.Peer(1);
+            peer.borrowedBudget.markUsed(c.lastTransferAt);
             PeerMessage m = PeerMessage.decode(transferOffer(c.at, 2).encode(), NOW);
-            y.recordOffers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
-            assertEquals(c.counts, y.offerCovers(0, 1, 600_000), c.name);
+            peer.recordOffers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
+            assertEquals(c.counts, peer.offerCovers(0, 1, 600_000), c.name);
             if (c.counts) {
-                y.consumeOffer(0, 1, 600_000);
-                assertEquals(false, y.offerCovers(0, 1, 600_000), "spent");
+                peer.consumeOffer(0, 1, 600_000);
+                assertEquals(false, peer.offerCovers(0, 1, 600_000), "spent");
             }
         }
     }
@@ -101,7 +101,8 @@
         DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
         DispatcherState.Peer lender = new DispatcherState.Peer(0);
         PeerMessage offer = transferOffer(NOW, 2);
-        lender.recordOffers(new DispatcherState.Worker[] {null}, PeerMessage.decode(offer.encode(), NOW), NOW, 0, 400_000); // an unknown worker
+        DispatcherState.Worker[] unknownWorker = {null};
+        lender.recordOffers(unknownWorker, PeerMessage.decode(offer.encode(), NOW), NOW, 0, 400_000);
         assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000) && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
         assertTrue(lender.hasUnusedLoan(false, NOW, 400_000), "no job waits");
         byte[] bytes = lender.returnUnusedBudget(new PeerMessage(PeerMessage.Type.RETURNS, 0, 1, 1, 1, 50 * MS))
@@ -119,13 +120,13 @@
             new Case("transferred by an earlier process", 0, 0, NOW + 90_000, 0),
             new Case("too late", NOW, 18, NOW + 2_100_000, 0)
         }) {
-            OutgoingTransfers out = new OutgoingTransfers();
+            OutgoingTransfers transfers = new OutgoingTransfers();
             if (c.lent > 0) {
-                out.recordTransfer(w.hash, c.lentAt, c.lent * PeerMessage.TRANSFER_UNIT_US);
+                transfers.recordTransfer(w.hash, c.lentAt, c.lent * PeerMessage.TRANSFER_UNIT_US);
             }
             PeerMessage m = PeerMessage.decode(bytes, c.backAt);
-            assertEquals(c.back, out.acceptReturn(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name);
-            assertEquals(0, out.acceptReturn(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name + ", duplicated");
+            assertEquals(c.back, transfers.acceptReturn(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name);
+            assertEquals(0, transfers.acceptReturn(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name + ", duplicated");
         }
         assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
         w.coldBudget.spend(900_000);
@@ -140,14 +141,14 @@
     @Test
     void aTransferIsChargedBeforeItIsSent() {
         DispatcherState.Worker w = new DispatcherState.Worker("cold", 0);
-        DispatcherState.Peer y = new DispatcherState.Peer(1);
-        y.zone = 0;
+        DispatcherState.Peer peer = new DispatcherState.Peer(1);
+        peer.zone = 0;
         PeerMessage m = transferOffer(NOW, 2);
-        assertTrue(y.mayLend(m, NOW, 0));
+        assertTrue(peer.mayLend(m, NOW, 0));
         assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
-        y.lend(w, DispatcherState.Peer.roundUpToBudgetUnits(600_000), m, NOW);
+        peer.lend(w, DispatcherState.Peer.roundUpToBudgetUnits(600_000), m, NOW);
         assertEquals(false, w.coldBudget.covers(250_000, NOW, 1, 8, 0.5), "the transfer is charged");
-        assertTrue(!y.mayLend(m, NOW + 1_000, 0), "two transfers must have different timestamps");
+        assertTrue(!peer.mayLend(m, NOW + 1_000, 0), "two transfers must have different timestamps");
         assertNotNull(PeerMessage.decode(m.encode(), NOW));
     }
 }
--- a/src/test/java/saffronferry/fleet/DiscoveryBackoffTest.java
+++ b/src/test/java/saffronferry/fleet/DiscoveryBackoffTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Simulates many callers and one discovery service that handles calls in turn. A call that waits longer than 2.2 s times
- * out, and costs discovery its work all the same.
+ * Simulates many callers and one discovery service that handles calls in turn. A call that waits longer than 2.2 s
+ * times out, and costs discovery its work all the same.
  */
 class DiscoveryBackoffTest {
     private static final long PATIENCE = 2_200_000;
@@ -29,30 +29,30 @@
      * Simulates until all callers are served, for four minutes at most. Returns the time at which the last caller was
      * served and the largest number of calls by one caller.
      */
-    private static long[] play(int callers, double perSecond, long longest, boolean together, long seed) {
+    private static long[] simulate(int callers, double perSecond, long longest, boolean together, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        DiscoveryBackoff[] paces = new DiscoveryBackoff[callers];
+        DiscoveryBackoff[] backoffs = new DiscoveryBackoff[callers];
         int[] calls = new int[callers];
-        PriorityQueue<Due> due = new PriorityQueue<>();
+        PriorityQueue<Due> queue = new PriorityQueue<>();
         for (int c = 0; c < callers; c++) {
-            paces[c] = new DiscoveryBackoff(callers, longest);
-            due.add(new Due(together ? 0 : paces[c].firstDelay(random), c));
+            backoffs[c] = new DiscoveryBackoff(callers, longest);
+            queue.add(new Due(together ? 0 : backoffs[c].firstDelay(random), c));
         }
         long freeAt = 0;
         long last = 0;
-        while (!due.isEmpty() && due.peek().at < 240_000_000) {
-            Due call = due.poll();
+        while (!queue.isEmpty() && queue.peek().at < 240_000_000) {
+            Due call = queue.poll();
             calls[call.caller]++;
             freeAt = Math.max(freeAt, call.at) + Math.round(1e6 / perSecond);
             if (freeAt - call.at > PATIENCE) {
-                due.add(new Due(call.at + PATIENCE + paces[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
+                queue.add(new Due(call.at + PATIENCE + backoffs[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
             } else {
-                paces[call.caller].listReceived();
+                backoffs[call.caller].listReceived();
                 last = Math.max(last, freeAt);
             }
         }
         return new long[] {
-            due.isEmpty() ? last : Long.MAX_VALUE,
+            queue.isEmpty() ? last : Long.MAX_VALUE,
             java.util.Arrays.stream(calls).max().getAsInt()
         };
     }
@@ -63,7 +63,7 @@
     void allAreServedThoughAllStartAtOnce(int callers, double perSecond, long most, long calls) {
         for (long seed = 1; seed <= 20; seed++) {
             for (boolean together : new boolean[] {false, true}) {
-                long[] served = play(callers, perSecond, LONGEST, together, seed);
+                long[] served = simulate(callers, perSecond, LONGEST, together, seed);
                 assertTrue(
                         served[0] <= most * 1_000_000,
                         (together ? "together" : "spread") + " seed " + seed + ": last after " + served[0] / 1e6
@@ -76,7 +76,7 @@
     /** Without the spread, forty callers keep the queue so long that no call is ever served. */
     @Test
     void callersThatRetryAtOnceAreNeverServed() {
-        assertEquals(Long.MAX_VALUE, play(40, 5, 600_000, true, 1)[0]);
+        assertEquals(Long.MAX_VALUE, simulate(40, 5, 600_000, true, 1)[0]);
     }
 
     /**
@@ -89,16 +89,16 @@
         for (int callers : new int[] {1, 8, 20, 103, 300}) {
             for (long seed = 1; seed <= 200; seed++) {
                 SplittableRandom random = new SplittableRandom(seed);
-                DiscoveryBackoff pace = new DiscoveryBackoff(callers, LONGEST);
-                assertTrue(pace.firstDelay(random) <= 4_000_000, "after a start");
-                pace.retryDelay(random, WatchEnd.LATE);
+                DiscoveryBackoff backoff = new DiscoveryBackoff(callers, LONGEST);
+                assertTrue(backoff.firstDelay(random) <= 4_000_000, "after a start");
+                backoff.retryDelay(random, WatchEnd.LATE);
                 for (int i = 0; i < 20; i++) {
-                    assertTrue(pace.retryDelay(random, WatchEnd.DOWN) <= 5_000_000, "during an outage of any length");
+                    assertTrue(backoff.retryDelay(random, WatchEnd.DOWN) <= 5_000_000, "during an outage of any length");
                 }
-                pace.listReceived();
-                assertTrue(pace.retryDelay(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had delivered the list");
-                pace.listReceived();
-                long silent = pace.retryDelay(random, WatchEnd.SILENT);
+                backoff.listReceived();
+                assertTrue(backoff.retryDelay(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had delivered the list");
+                backoff.listReceived();
+                long silent = backoff.retryDelay(random, WatchEnd.SILENT);
                 assertTrue(silent <= 2_000_000, "after 3 s of silence");
                 assertTrue(silent >= 150_000, "not at once");
             }
@@ -106,39 +106,40 @@
     }
 
     /**
-     * A hundred callers that poll discovery while it is down do not overload it at its return: all are served within 6 s
-     * if it can serve that many, and soon after if the queue is slightly too long. An earlier version took up to 45 s.
+     * A hundred callers that poll discovery while it is down do not overload it at its return: all are served within
+     * 6 s if it can serve that many, and soon after if the queue is slightly too long. An earlier version took up to
+     * 45 s.
      */
     @ParameterizedTest
     @CsvSource({"6, 4, 6", "20, 5, 8", "30, 7, 8", "100, 40, 6", "100, 16, 14"})
     void allAreServedSoonAfterAnOutage(int callers, double perSecond, long most) {
         for (long seed = 1; seed <= 50; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            PriorityQueue<Due> due = new PriorityQueue<>();
-            DiscoveryBackoff[] paces = new DiscoveryBackoff[callers];
+            PriorityQueue<Due> queue = new PriorityQueue<>();
+            DiscoveryBackoff[] backoffs = new DiscoveryBackoff[callers];
             for (int c = 0; c < callers; c++) {
-                paces[c] = new DiscoveryBackoff(callers, LONGEST);
-                paces[c].listReceived();
-                due.add(new Due(paces[c].retryDelay(random, WatchEnd.ENDED), c));
+                backoffs[c] = new DiscoveryBackoff(callers, LONGEST);
+                backoffs[c].listReceived();
+                queue.add(new Due(backoffs[c].retryDelay(random, WatchEnd.ENDED), c));
             }
             long back = 8_000_000;
             long freeAt = back;
             long last = 0;
-            while (!due.isEmpty() && due.peek().at < 60_000_000) {
-                Due call = due.poll();
+            while (!queue.isEmpty() && queue.peek().at < 60_000_000) {
+                Due call = queue.poll();
                 if (call.at < back) {
-                    due.add(new Due(call.at + paces[call.caller].retryDelay(random, WatchEnd.DOWN), call.caller));
+                    queue.add(new Due(call.at + backoffs[call.caller].retryDelay(random, WatchEnd.DOWN), call.caller));
                     continue;
                 }
                 freeAt = Math.max(freeAt, call.at) + Math.round(1e6 / perSecond);
                 if (freeAt - call.at > PATIENCE) {
-                    due.add(new Due(call.at + PATIENCE + paces[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
+                    queue.add(new Due(call.at + PATIENCE + backoffs[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
                 } else {
                     last = Math.max(last, freeAt);
                 }
             }
             assertTrue(
-                    due.isEmpty() && last <= back + most * 1_000_000,
+                    queue.isEmpty() && last <= back + most * 1_000_000,
                     "seed " + seed + ": " + (last - back) / 1e6 + " s");
         }
     }
@@ -146,12 +147,12 @@
     /** If several timers are set, only the last one leads to a call, and only once. */
     @Test
     void onlyTheLastOfSeveralTimersIsDueAndOnlyOnce() {
-        DiscoveryBackoff pace = new DiscoveryBackoff(4, LONGEST);
-        pace.schedule(300_000, 1_000_000);
-        pace.schedule(500_000, 1_100_000);
-        assertEquals(false, pace.isDue(1_300_000));
-        assertEquals(true, pace.isDue(1_599_000), "a timer may fire a little early");
-        assertEquals(false, pace.isDue(1_600_000));
+        DiscoveryBackoff backoff = new DiscoveryBackoff(4, LONGEST);
+        backoff.schedule(300_000, 1_000_000);
+        backoff.schedule(500_000, 1_100_000);
+        assertEquals(false, backoff.isDue(1_300_000));
+        assertEquals(true, backoff.isDue(1_599_000), "a timer may fire a little early");
+        assertEquals(false, backoff.isDue(1_600_000));
     }
 
     /** A growing number of failures must not overflow the delay, and a few callers always retry soon. */
@@ -159,10 +160,10 @@
     @CsvSource({"1000, 40000000", "4, 900000"})
     void theDelayStaysWithinItsLimitsAfterAnyNumberOfFailures(int callers, long most) {
         SplittableRandom random = new SplittableRandom(1);
-        DiscoveryBackoff pace = new DiscoveryBackoff(callers, LONGEST);
-        assertEquals(callers > 8, pace.firstDelay(random) > 0);
+        DiscoveryBackoff backoff = new DiscoveryBackoff(callers, LONGEST);
+        assertEquals(callers > 8, backoff.firstDelay(random) > 0);
         for (int i = 0; i < 10_000; i++) {
-            long wait = pace.retryDelay(random, WatchEnd.LATE);
+            long wait = backoff.retryDelay(random, WatchEnd.LATE);
             assertTrue(wait >= 150_000 && wait <= most, wait + " us after " + i);
         }
     }
--- a/src/test/java/saffronferry/limit/LimitsTest.java
+++ b/src/test/java/saffronferry/limit/LimitsTest.java
@@ -140,7 +140,7 @@
         assertEquals(127, d.used(Purpose.CLIENTS));
     }
 
-    /** Capacity is reported on changes only: lost with the last descriptor or a refusal by the system, then regained. */
+    /** Changes of capacity are reported: lost with the last descriptor or a refusal by the system, then regained. */
     @Test
     void attemptCapacityIsReportedOnChangesOnly() {
         DescriptorBudget d = new DescriptorBudget(256, OWN);
