--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -178,7 +178,8 @@
         ownership = new WorkerOwnership(settings.zoneCount(), settings.zone(), coldShares);
         coldRate = new ColdRate(settings.overloadMultiple(), settings.coldCapacity(), settings.coldPeriod());
         repeatBudget = new RetryBudget(settings.dispatcherCount());
-        discoveryPace = new DiscoveryBackoff(settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
+        discoveryPace = new DiscoveryBackoff(
+                settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
         talkBudget = new PeerMessageBudget(
                 settings.peerPrice(), PeerMessage.MAX_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
         estimates = new LearnedEstimates(settings.kindCount(), settings.classes(), INITIAL_RUNNING_TIME_US);
@@ -583,8 +584,8 @@
 
     // ---- messages between dispatchers ----
     private PeerMessage newMessage(PeerMessage.Type type) {
-        PeerMessage message = new PeerMessage(
-                type, settings.zone(), acceptance, combinedAcceptance, requestRate, exchangePeriod);
+        PeerMessage message =
+                new PeerMessage(type, settings.zone(), acceptance, combinedAcceptance, requestRate, exchangePeriod);
         message.timestamp = now;
         message.knowsColdWorker = zoneHasCold;
         if (zoneHasCold || now < coldAnnouncedUntil) {
@@ -733,8 +734,10 @@
                 now);
         zoneLastHeardAt[message.zone] = now;
         // with P < 1 the peer holds jobs, and without an offer of its own it asks for slots: answer with an offer
-        boolean asks =
-                message.type == PeerMessage.Type.OFFERS && message.entryCount == 0 && message.acceptance < 1 && heldSlots == 0;
+        boolean asks = message.type == PeerMessage.Type.OFFERS
+                && message.entryCount == 0
+                && message.acceptance < 1
+                && heldSlots == 0;
         // a peer that is heard for the first time may have just started, and has to learn of this dispatcher too
         if (firstMessage || asks && workerIndex.hasOpen()) {
             PeerMessage answer = asks ? addLoans(peer, newOffer()) : newOffer();
@@ -844,8 +847,8 @@
     }
 
     private void scheduleTrial(Worker worker) {
-        worker.nextTrialAt = now
-                + withJitter(FIRST_TRIAL_DELAY_US << Math.min(worker.failedTrials, MAX_TRIAL_DELAY_DOUBLINGS));
+        worker.nextTrialAt =
+                now + withJitter(FIRST_TRIAL_DELAY_US << Math.min(worker.failedTrials, MAX_TRIAL_DELAY_DOUBLINGS));
         worker.failedTrials = saturatingIncrement(worker.failedTrials);
     }
 
@@ -976,8 +979,8 @@
             case FULL -> {
                 // a worker that drains before the list says so rejects every job: back off, and longer each time
                 worker.backoffUntil = now
-                        + withJitter(FIRST_FULL_BACKOFF_US
-                                << Math.min(worker.consecutiveFulls, MAX_FULL_BACKOFF_DOUBLINGS));
+                        + withJitter(
+                                FIRST_FULL_BACKOFF_US << Math.min(worker.consecutiveFulls, MAX_FULL_BACKOFF_DOUBLINGS));
                 worker.consecutiveFulls = saturatingIncrement(worker.consecutiveFulls);
                 worker.lastFullAt = now;
                 worker.coldBudget.growth.jobWaited(now);
@@ -1121,7 +1124,9 @@
      * cold workers first while warm ones have free slots.
      */
     private boolean coldBudgetCovers(Worker worker, double slotTimeUs, boolean jobsWait) {
-        double rate = coldRate.perSlotAtAge(now - worker.coldSince) * estimates.totalSlots(kindGroup(worker.kind)) / processCount;
+        double rate = coldRate.perSlotAtAge(now - worker.coldSince)
+                * estimates.totalSlots(kindGroup(worker.kind))
+                / processCount;
         double share = worker.coldBudget.share(coldShares, now, worker.hash, worker.zone == settings.zone());
         share = jobsWait ? worker.coldBudget.growth.grow(share, now) : share;
         return worker.coldBudget.covers(slotTimeUs, now, share, rate, coldShares.phase(worker.hash));
@@ -1215,8 +1220,7 @@
     /** Assigns workers to zones and owners anew, and updates those whose assignment may have changed. */
     private void reassignWorkers() {
         int[] zoneMembers = Arrays.stream(peers)
-                .filter(peer -> peer.number == settings.self()
-                        || peer.lastHeardAt > 0 && peer.zone == settings.zone())
+                .filter(peer -> peer.number == settings.self() || peer.lastHeardAt > 0 && peer.zone == settings.zone())
                 .mapToInt(peer -> peer.number)
                 .toArray();
         BitSet servedZones = new BitSet();
@@ -1374,8 +1378,7 @@
                 continue;
             }
             sendToPeer(
-                    peer.number,
-                    peer.addHoldsReport(now, workerIndex.borrowed(), newMessage(PeerMessage.Type.HOLDS)));
+                    peer.number, peer.addHoldsReport(now, workerIndex.borrowed(), newMessage(PeerMessage.Type.HOLDS)));
         }
         sendConstrained();
         spillPressed();
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -274,7 +274,8 @@
                         shares.isSelf(peer.number)
                                 || peer.lastHeardAt > 0
                                         && peer.zone == zone
-                                        && message.timestamp - peer.lastHeardAt <= peer.silenceTimeout() - ColdShares.LEASE_US);
+                                        && message.timestamp - peer.lastHeardAt
+                                                <= peer.silenceTimeout() - ColdShares.LEASE_US);
             }
             message.grantees = shares.grant(message.heardPeers, message.timestamp);
         }
@@ -349,7 +350,8 @@
          * @param lifetime how long a loan counts
          */
         void recordOffers(Worker[] named, PeerMessage message, long now, long processStartedAt, long lifetime) {
-            boolean counts = message.grantees != null && borrowedBudget.isValid(message.timestamp, now, processStartedAt, lifetime);
+            boolean counts = message.grantees != null
+                    && borrowedBudget.isValid(message.timestamp, now, processStartedAt, lifetime);
             offeredWorkers = named;
             offeredAmounts = new int[named.length];
             offeredHashes = Arrays.copyOf(message.workerHashes, named.length);
@@ -411,7 +413,10 @@
             for (int i = 0; i < named.length; i++) {
                 if (named[i] != null) {
                     double returned = lentBudget.acceptReturn(
-                            message.workerHashes[i], message.timestamp, message.amount(i) * PeerMessage.TRANSFER_UNIT_US, now);
+                            message.workerHashes[i],
+                            message.timestamp,
+                            message.amount(i) * PeerMessage.TRANSFER_UNIT_US,
+                            now);
                     named[i].coldBudget.refund(returned);
                     totalReturnedUs += (long) returned;
                 }
--- a/src/main/java/saffronferry/HandoverState.java
+++ b/src/main/java/saffronferry/HandoverState.java
@@ -15,7 +15,9 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof HandoverState state && busySlots.equals(state.busySlots) && Arrays.equals(learned, state.learned);
+        return other instanceof HandoverState state
+                && busySlots.equals(state.busySlots)
+                && Arrays.equals(learned, state.learned);
     }
 
     @Override
--- a/src/main/java/saffronferry/LearnedEstimates.java
+++ b/src/main/java/saffronferry/LearnedEstimates.java
@@ -18,6 +18,7 @@
     private static final double BEST_TIME_RISE_RATE = 0.0005;
     /** Weight of a report above, and of one below, the maximum of free slots. */
     private static final double FREE_SLOTS_RISE_RATE = 0.3;
+
     private static final double FREE_SLOTS_FALL_RATE = 0.001;
     /** Upper bound of plausible values in a snapshot. */
     private static final double MAX_RESTORED_VALUE = 1e12;
@@ -47,20 +48,25 @@
         mostFreeSlots = new double[kinds + 1];
         kindSlowdown = new double[kinds + 1];
         Arrays.fill(kindSlowdown, 1);
-        meanRunTime = classes.stream().mapToDouble(c -> Math.max(firstMean, c.latencyTarget())).toArray();
+        meanRunTime = classes.stream()
+                .mapToDouble(c -> Math.max(firstMean, c.latencyTarget()))
+                .toArray();
         bestRunTime = meanRunTime.clone();
         endedJobs = new int[meanRunTime.length];
     }
 
     /** Records that a worker of the kind ran a job of the class in {@code took} microseconds. */
     void recordRunTime(int jobClass, int kind, long took) {
-        kindSlowdown[kind] += (Math.min(MAX_SLOWDOWN, took / meanRunTime[jobClass]) - kindSlowdown[kind]) * MIN_MEAN_RATE;
+        kindSlowdown[kind] +=
+                (Math.min(MAX_SLOWDOWN, took / meanRunTime[jobClass]) - kindSlowdown[kind]) * MIN_MEAN_RATE;
         // The first jobs weigh more: an initial estimate that is far too low would make workers with long jobs suspect.
         endedJobs[jobClass] = Dispatcher.saturatingIncrement(endedJobs[jobClass]);
         double rate = Math.max(MIN_MEAN_RATE, 1 / (endedJobs[jobClass] + 1.0));
         meanRunTime[jobClass] += (took - meanRunTime[jobClass]) * rate;
         bestRunTime[jobClass] += (meanRunTime[jobClass] - bestRunTime[jobClass])
-                * (rate > MIN_MEAN_RATE ? 1 : meanRunTime[jobClass] < bestRunTime[jobClass] ? rate : BEST_TIME_RISE_RATE);
+                * (rate > MIN_MEAN_RATE
+                        ? 1
+                        : meanRunTime[jobClass] < bestRunTime[jobClass] ? rate : BEST_TIME_RISE_RATE);
     }
 
     /**
@@ -81,7 +87,8 @@
     /** Records the number of free slots that a worker of the kind reports. */
     void recordFreeSlots(int kind, double free) {
         if (Math.abs(free) <= MAX_SLOTS) {
-            mostFreeSlots[kind] += (free - mostFreeSlots[kind]) * (free > mostFreeSlots[kind] ? FREE_SLOTS_RISE_RATE : FREE_SLOTS_FALL_RATE);
+            mostFreeSlots[kind] += (free - mostFreeSlots[kind])
+                    * (free > mostFreeSlots[kind] ? FREE_SLOTS_RISE_RATE : FREE_SLOTS_FALL_RATE);
         }
     }
 
@@ -129,7 +136,8 @@
      * does not fit this process's kinds and classes.
      */
     void restore(double[] all) {
-        boolean hasOwn = Arrays.stream(slotSamples).sum() + Arrays.stream(endedJobs).sum() > 0;
+        boolean hasOwn =
+                Arrays.stream(slotSamples).sum() + Arrays.stream(endedJobs).sum() > 0;
         // The array comes from a file: one infinite value would overload or idle all workers of a kind.
         boolean valid = all.length == 2 * slotEstimate.length + 3 * meanRunTime.length
                 && Arrays.stream(all).allMatch(x -> x >= 0 && x < MAX_RESTORED_VALUE);
--- a/src/main/java/saffronferry/PeerMessage.java
+++ b/src/main/java/saffronferry/PeerMessage.java
@@ -77,7 +77,13 @@
     /** Whether the sender knows a cold worker of its zone. */
     boolean knowsColdWorker;
 
-    PeerMessage(Type type, int zone, double acceptance, double combinedAcceptance, double requestRate, long exchangePeriod) {
+    PeerMessage(
+            Type type,
+            int zone,
+            double acceptance,
+            double combinedAcceptance,
+            double requestRate,
+            long exchangePeriod) {
         this.type = type;
         this.zone = zone;
         this.acceptance = acceptance;
@@ -137,7 +143,9 @@
         if (type == Type.RETURNS) {
             return RETURN_STAMP_BYTES;
         }
-        return grantees == null ? 0 : GRANT_HEADER_BYTES + setBytes() * (heardPeers.equals(grantees) ? 1 : 2) + otherZoneBytes();
+        return grantees == null
+                ? 0
+                : GRANT_HEADER_BYTES + setBytes() * (heardPeers.equals(grantees) ? 1 : 2) + otherZoneBytes();
     }
 
     private int setBytes() {
@@ -206,12 +214,23 @@
         }
         boolean isReturn = (bytes[6] & ~FLAGS) == Type.RETURNS.ordinal();
         boolean hasGrant = (bytes[6] & GRANT_FLAG) != 0 && !isReturn;
-        int granteeBytes = hasGrant && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES ? bytes[HEADER_BYTES + 2] & ~HEARD_SET_FLAG & 0xFF : 0;
-        int heardBytes = hasGrant && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES && (bytes[HEADER_BYTES + 2] & HEARD_SET_FLAG) != 0 ? granteeBytes : 0;
-        int entriesStart = HEADER_BYTES + (hasGrant ? GRANT_HEADER_BYTES + granteeBytes + heardBytes : isReturn ? RETURN_STAMP_BYTES : 0);
-        int otherZoneBytes = hasGrant && (bytes[6] & OTHER_ZONES_FLAG) != 0 && bytes.length > entriesStart ? 1 + (bytes[entriesStart] & 0xFF) : 0;
+        int granteeBytes = hasGrant && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES
+                ? bytes[HEADER_BYTES + 2] & ~HEARD_SET_FLAG & 0xFF
+                : 0;
+        int heardBytes = hasGrant
+                        && bytes.length >= HEADER_BYTES + GRANT_HEADER_BYTES
+                        && (bytes[HEADER_BYTES + 2] & HEARD_SET_FLAG) != 0
+                ? granteeBytes
+                : 0;
+        int entriesStart = HEADER_BYTES
+                + (hasGrant ? GRANT_HEADER_BYTES + granteeBytes + heardBytes : isReturn ? RETURN_STAMP_BYTES : 0);
+        int otherZoneBytes = hasGrant && (bytes[6] & OTHER_ZONES_FLAG) != 0 && bytes.length > entriesStart
+                ? 1 + (bytes[entriesStart] & 0xFF)
+                : 0;
         entriesStart += otherZoneBytes;
-        if (bytes.length < entriesStart || granteeBytes > MAX_SET_BYTES || (bytes.length - entriesStart) % ENTRY_BYTES != 0) {
+        if (bytes.length < entriesStart
+                || granteeBytes > MAX_SET_BYTES
+                || (bytes.length - entriesStart) % ENTRY_BYTES != 0) {
             return null;
         }
         PeerMessage message = new PeerMessage(
@@ -223,10 +242,14 @@
                 (bytes[5] & 0xFF) * PERIOD_UNIT_US);
         message.knowsColdWorker = (bytes[6] & COLD_FLAG) != 0;
         if (hasGrant) {
-            message.grantees = BitSet.valueOf(Arrays.copyOfRange(bytes, HEADER_BYTES + GRANT_HEADER_BYTES, HEADER_BYTES + GRANT_HEADER_BYTES + granteeBytes));
+            message.grantees = BitSet.valueOf(Arrays.copyOfRange(
+                    bytes, HEADER_BYTES + GRANT_HEADER_BYTES, HEADER_BYTES + GRANT_HEADER_BYTES + granteeBytes));
             int setsEnd = entriesStart - otherZoneBytes;
-            message.heardPeers = heardBytes == 0 ? message.grantees : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd - heardBytes, setsEnd));
-            message.otherZonePeers = otherZoneBytes == 0 ? null : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd + 1, entriesStart));
+            message.heardPeers = heardBytes == 0
+                    ? message.grantees
+                    : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd - heardBytes, setsEnd));
+            message.otherZonePeers =
+                    otherZoneBytes == 0 ? null : BitSet.valueOf(Arrays.copyOfRange(bytes, setsEnd + 1, entriesStart));
         }
         if (hasGrant || isReturn) {
             // The time nearest to now with this stamp: datagrams are delayed by less than two minutes.
--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -276,8 +276,7 @@
     }
 
     private void updateAvailableCount(Worker worker) {
-        boolean available =
-                worker.assignedZone == zone && worker.state == WorkerState.IN_SERVICE && !worker.suspect;
+        boolean available = worker.assignedZone == zone && worker.state == WorkerState.IN_SERVICE && !worker.suspect;
         if (available != worker.countedAvailable) {
             worker.countedAvailable = available;
             availableCount[kindGroupOf(worker)] += available ? 1 : -1;
--- a/src/main/java/saffronferry/WorkerOwnership.java
+++ b/src/main/java/saffronferry/WorkerOwnership.java
@@ -73,7 +73,8 @@
 
     /** The owners of the zone's workers while they are warm, in the order of the given array. */
     int[] assignWarmOwners(Worker[] sorted) {
-        return RendezvousOwners.assign(Arrays.stream(sorted).mapToInt(worker -> worker.hash).toArray(), zoneMembers);
+        return RendezvousOwners.assign(
+                Arrays.stream(sorted).mapToInt(worker -> worker.hash).toArray(), zoneMembers);
     }
 
     /** The present owner of a worker of this zone: while the worker is cold, its guardian. */
--- a/src/main/java/saffronferry/adapter/AdapterMain.java
+++ b/src/main/java/saffronferry/adapter/AdapterMain.java
@@ -13,7 +13,9 @@
     /** Serves the simulator until the end of input; exits with 1 if the input is malformed or a pipe fails. */
     public static void run() {
         try {
-            new SimulatorProtocol(new LineReader(new FileInputStream(FileDescriptor.in)), new FileOutputStream(FileDescriptor.out))
+            new SimulatorProtocol(
+                            new LineReader(new FileInputStream(FileDescriptor.in)),
+                            new FileOutputStream(FileDescriptor.out))
                     .run();
         } catch (ProtocolException | EOFException e) {
             System.err.println("saffronferry: " + e.getMessage());
--- a/src/main/java/saffronferry/adapter/LineReader.java
+++ b/src/main/java/saffronferry/adapter/LineReader.java
@@ -250,7 +250,8 @@
 
     private double parseDecimal(String field, int numberEnd, int fieldEnd) {
         try {
-            double value = Double.parseDouble(new String(buffer, position, numberEnd - position, StandardCharsets.US_ASCII));
+            double value =
+                    Double.parseDouble(new String(buffer, position, numberEnd - position, StandardCharsets.US_ASCII));
             if (Double.isNaN(value) || Double.isInfinite(value)) {
                 throw notANumber(field, fieldEnd);
             }
@@ -273,7 +274,8 @@
         }
         int fieldEnd = findFieldEnd(field);
         for (int i = 0; position < fieldEnd; i++) {
-            boolean empty = buffer[position] == ',' || buffer[position] == '-' && (position + 1 == fieldEnd || buffer[position + 1] == ',');
+            boolean empty = buffer[position] == ','
+                    || buffer[position] == '-' && (position + 1 == fieldEnd || buffer[position + 1] == ',');
             double value = Double.NaN;
             if (empty) {
                 position += buffer[position] == ',' ? 1 : 2;
--- a/src/main/java/saffronferry/adapter/SimulatorProtocol.java
+++ b/src/main/java/saffronferry/adapter/SimulatorProtocol.java
@@ -57,6 +57,7 @@
     /** Names of the outcomes in the protocol, in the order of {@link #OUTCOME_BY_CODE}. */
     private static final byte[][] OUTCOMES =
             words("delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused");
+
     private static final Outcome[] OUTCOME_BY_CODE = {
         Outcome.OK,
         Outcome.ERROR,
@@ -255,7 +256,8 @@
                 case RESULT -> dispatchAttemptResult(instance);
                 case TIMER -> instance.dispatcher.timerFired(now, in.readInteger("nonce"));
                 case PONG -> dispatchProbeResult(instance);
-                case MEMO -> instance.dispatcher.peerMessage(now, (int) in.readInteger("author"), in.readBase64("bytes"));
+                case MEMO ->
+                    instance.dispatcher.peerMessage(now, (int) in.readInteger("author"), in.readBase64("bytes"));
                 case HEARTBEAT -> dispatchAttemptNote(instance);
                 case DROPPED -> instance.dispatcher.clientGone(now, in.readInteger("ref"));
                 case MEMBERS -> dispatchWorkerList(instance);
@@ -288,7 +290,9 @@
         int slots = in.skipIfAbsent() ? 1 : (int) in.readInteger("coresNeeded");
         in.skipField(); // memory
         long attributes = in.skipIfAbsent() ? 0 : in.readInteger("attrs");
-        instance.dispatcher.request(now, new Request(id, requestClass, tenant, validUntil, slots, (attributes & RESENT_ATTRIBUTE_BIT) != 0));
+        instance.dispatcher.request(
+                now,
+                new Request(id, requestClass, tenant, validUntil, slots, (attributes & RESENT_ATTRIBUTE_BIT) != 0));
     }
 
     private Outcome readOutcome() {
@@ -358,6 +362,7 @@
         if (number < 0 || workerTables[number] == null) {
             throw in.malformed("field table names no list: " + number);
         }
-        instance.dispatcher.workerList(now, ListKind.values()[kind], resolve(workerTables[number], instance.settingsReader));
+        instance.dispatcher.workerList(
+                now, ListKind.values()[kind], resolve(workerTables[number], instance.settingsReader));
     }
 }
--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -298,10 +298,7 @@
         Set<SettingKey> seen = new HashSet<>();
         for (Iterator<RecentChange> i = recentChanges.descendingIterator(); i.hasNext(); ) {
             SettingChange change = map.get(i.next().key());
-            if (change != null
-                    && leaves.test(change.leaf())
-                    && seen.add(change.key())
-                    && !datagram.addChange(change)) {
+            if (change != null && leaves.test(change.leaf()) && seen.add(change.key()) && !datagram.addChange(change)) {
                 break;
             }
         }
@@ -543,8 +540,8 @@
     private boolean send(int peer, GossipDatagram datagram, long now) {
         refillTokens(now);
         // Digests are smaller than changes and would otherwise always take the tokens first.
-        boolean yieldsToChanges = datagram.kind() != GossipDatagram.Kind.CHANGES
-                && !(rumors.isEmpty() && pendingReplies.isEmpty());
+        boolean yieldsToChanges =
+                datagram.kind() != GossipDatagram.Kind.CHANGES && !(rumors.isEmpty() && pendingReplies.isEmpty());
         if (peer == options.self()
                 || tokensBytes
                         < Math.max(
--- a/src/main/java/saffronferry/agree/GossipDatagram.java
+++ b/src/main/java/saffronferry/agree/GossipDatagram.java
@@ -191,11 +191,7 @@
         return setting == null
                 ? null
                 : new SettingChange(
-                        new SettingKey(setting, name),
-                        value,
-                        group.timestampUs(),
-                        group.origin(),
-                        group.incarnation());
+                        new SettingKey(setting, name), value, group.timestampUs(), group.origin(), group.incarnation());
     }
 
     private void putText(String text) {
--- a/src/main/java/saffronferry/cli/ConfigCommand.java
+++ b/src/main/java/saffronferry/cli/ConfigCommand.java
@@ -19,7 +19,8 @@
     }
 
     @Command(name = "check", description = "Reads a configuration as serve does and reports what is wrong with it.")
-    int check(@Parameters(paramLabel = "FILE", description = "the JSON file that BALANCER_CONFIG would name") Path file) {
+    int check(
+            @Parameters(paramLabel = "FILE", description = "the JSON file that BALANCER_CONFIG would name") Path file) {
         Config.check(file);
         spec.commandLine().getOut().println(file + ": fine");
         return 0;
--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -1,6 +1,5 @@
 package saffronferry.cli;
 
-import saffronferry.lab.world.ClusterSimulation.RunResult;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -28,6 +27,7 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioException;
 import saffronferry.lab.scenario.ScenarioReader;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 
 /** The command {@code lab}: simulates scenarios in virtual time. */
 @Command(name = "lab", description = "Simulates scenarios in virtual time and compares policies.")
@@ -125,7 +125,11 @@
         List<List<String>> combinations = Sweep.parseSteps(set);
         if (result != null) {
             // Warm up the JIT compiler: otherwise the decisions of the first size would be timed before compilation.
-            Lab.run(readScenario(file, combinations.get(0)), chosen, parseSeeds(seeds).subList(0, 1), 1);
+            Lab.run(
+                    readScenario(file, combinations.get(0)),
+                    chosen,
+                    parseSeeds(seeds).subList(0, 1),
+                    1);
         }
         for (List<String> values : combinations) {
             Scenario scenario = readScenario(file, values);
@@ -136,7 +140,8 @@
         printTable(all);
         if (result != null) {
             Files.writeString(
-                    result, Sweep.json(readScenario(file, List.of()).name(), plays).toString(1) + "\n");
+                    result,
+                    Sweep.json(readScenario(file, List.of()).name(), plays).toString(1) + "\n");
             out().println("wrote " + result);
         }
         return reportViolations(all.values().stream().flatMap(List::stream).toList());
@@ -149,15 +154,21 @@
                     + "an error.")
     int explore(
             @Option(names = "--depth", defaultValue = "8", description = "steps (${DEFAULT-VALUE})") int depth,
-            @Option(names = "--faults", defaultValue = "2", description = "at most, in one execution (${DEFAULT-VALUE})") int faults,
+            @Option(
+                            names = "--faults",
+                            defaultValue = "2",
+                            description = "at most, in one execution (${DEFAULT-VALUE})")
+                    int faults,
             @Option(names = "--states", defaultValue = "3000000", description = "at most (${DEFAULT-VALUE})")
                     int states) {
         boolean allAsExpected = true;
         for (SharesModel.Variant variant : SharesModel.Variant.values()) {
-            allAsExpected &= exploreModel(new SharesModel(variant, faults), depth, states, variant == SharesModel.Variant.AS_BUILT);
+            allAsExpected &= exploreModel(
+                    new SharesModel(variant, faults), depth, states, variant == SharesModel.Variant.AS_BUILT);
         }
         for (EscrowModel.Variant variant : EscrowModel.Variant.values()) {
-            allAsExpected &= exploreModel(new EscrowModel(variant), depth, states, variant == EscrowModel.Variant.AS_BUILT);
+            allAsExpected &=
+                    exploreModel(new EscrowModel(variant), depth, states, variant == EscrowModel.Variant.AS_BUILT);
         }
         return allAsExpected ? 0 : Main.EXIT_CHECK_FAILED;
     }
@@ -258,7 +269,10 @@
                                 .orElse(0),
                         sum(days, "attempts") / sum(days, "requests"),
                         (sum(days, "datagrams") + sum(days, "probes")) / sum(days, "requests"),
-                        days.stream().mapToDouble(RunResult::decisionUsPerRequest).average().orElse(0),
+                        days.stream()
+                                .mapToDouble(RunResult::decisionUsPerRequest)
+                                .average()
+                                .orElse(0),
                         days.stream()
                                 .mapToDouble(d -> d.events() / d.wallSeconds())
                                 .average()
--- a/src/main/java/saffronferry/cli/Main.java
+++ b/src/main/java/saffronferry/cli/Main.java
@@ -24,7 +24,12 @@
         },
         description = "A dispatcher between clients and workers, with its simulation laboratory and its fault rig.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:done", "1:cannot run", "2:bad usage or configuration", "3:a rule, a bound or a limit was violated"})
+        exitCodeList = {
+            "0:done",
+            "1:cannot run",
+            "2:bad usage or configuration",
+            "3:a rule, a bound or a limit was violated"
+        })
 public final class Main {
     /** Exit code: a rule, a bound or a limit was violated. */
     static final int EXIT_CHECK_FAILED = 3;
--- a/src/main/java/saffronferry/cli/RigCommand.java
+++ b/src/main/java/saffronferry/cli/RigCommand.java
@@ -1,7 +1,5 @@
 package saffronferry.cli;
 
-import saffronferry.rig.FaultRig;
-import saffronferry.rig.FleetResourceUsage;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -19,6 +17,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.rig.FaultRig;
+import saffronferry.rig.FleetResourceUsage;
 import saffronferry.rig.IdleDispatcher;
 
 /** The command {@code rig}: runs real dispatcher processes and injects faults. */
@@ -46,7 +46,8 @@
                             description = "a key as lab explain prints it, with another value")
                     List<String> set,
             @Option(names = "--out", paramLabel = "FILE", description = "file to write the JSON result to") Path out,
-            @Option(names = "--logs", paramLabel = "DIR", description = "directory for the dispatchers' logs") Path logs)
+            @Option(names = "--logs", paramLabel = "DIR", description = "directory for the dispatchers' logs")
+                    Path logs)
             throws IOException, InterruptedException {
         Scenario scenario = LabCommand.readScenario(file, set);
         List<JSONObject> all = new ArrayList<>();
@@ -134,7 +135,8 @@
                             figures.getDouble("list_bytes_in_per_s"),
                             figures.getLong("list_whole_bytes"));
             out().flush();
-            held &= checkLimit(workerCount, figures, "core_percent", mostCore) & checkLimit(workerCount, figures, "resident_mb", mostResident);
+            held &= checkLimit(workerCount, figures, "core_percent", mostCore)
+                    & checkLimit(workerCount, figures, "resident_mb", mostResident);
         }
         if (out != null) {
             Files.writeString(
@@ -174,14 +176,16 @@
                             description = "a key as lab explain prints it, with another value")
                     List<String> set,
             @Option(names = "--out", paramLabel = "FILE", description = "file to write the JSON result to") Path out,
-            @Option(names = "--logs", paramLabel = "DIR", description = "directory for the dispatchers' logs") Path logs)
+            @Option(names = "--logs", paramLabel = "DIR", description = "directory for the dispatchers' logs")
+                    Path logs)
             throws IOException, InterruptedException {
         Scenario scenario = LabCommand.readScenario(file, set);
         if (settle * 1e6 >= scenario.length()) {
             throw new IllegalArgumentException(
                     "--settle: is not before the end of the day, " + scenario.length() / 1e6 + " s: " + settle);
         }
-        JSONObject result = FaultRig.run(scenario, seed, logs, new FaultRig.UsageOptions(readStartCommand(deploy), settle));
+        JSONObject result =
+                FaultRig.run(scenario, seed, logs, new FaultRig.UsageOptions(readStartCommand(deploy), settle));
         JSONObject figures = FleetResourceUsage.summary(result.getJSONArray("processes"));
         for (String name : List.of("requests", "served", "refused", "failed", "datagrams", "rules_broken")) {
             figures.put(name, result.getInt(name));
--- a/src/main/java/saffronferry/cli/ScaleCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleCommand.java
@@ -1,7 +1,5 @@
 package saffronferry.cli;
 
-import saffronferry.scale.ScaleSimulation.Run;
-import saffronferry.scale.ScaleSimulation;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -20,6 +18,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.scale.ScaleSimulation;
+import saffronferry.scale.ScaleSimulation.Run;
 
 /** The command {@code scale}: measures what each dispatcher of a large simulated fleet costs. */
 @Command(
@@ -74,7 +74,8 @@
             printRow(plays.get(i));
             // Write the file after each run, so that an interrupted sweep keeps its results.
             if (out != null) {
-                Files.writeString(out, ScaleSimulation.json(file.toString(), seed, plays).toString(1) + "\n");
+                Files.writeString(
+                        out, ScaleSimulation.json(file.toString(), seed, plays).toString(1) + "\n");
             }
         }
         plays.forEach(play -> play.violations()
--- a/src/main/java/saffronferry/fleet/ColdRate.java
+++ b/src/main/java/saffronferry/fleet/ColdRate.java
@@ -14,6 +14,8 @@
 
     /** Slot time per second and slot for a worker that started {@code age} microseconds ago. */
     public double perSlotAtAge(long age) {
-        return LIMIT_SHARE * overloadMultiple * (initialCapacity + (1 - initialCapacity) * Math.max(0, Math.min(1, (double) age / coldPeriod)));
+        return LIMIT_SHARE
+                * overloadMultiple
+                * (initialCapacity + (1 - initialCapacity) * Math.max(0, Math.min(1, (double) age / coldPeriod)));
     }
 }
--- a/src/main/java/saffronferry/fleet/ColdShares.java
+++ b/src/main/java/saffronferry/fleet/ColdShares.java
@@ -58,7 +58,9 @@
      * does not hear this dispatcher would leave the share unused; but a grant that was sent is valid for a lease.
      */
     public boolean canDelegateTo(int dispatcher, long now) {
-        return hearsSelf[dispatcher] || now - grantedAt[dispatcher] > LEASE_US || now - lastNamedAt[dispatcher] <= LEASE_US;
+        return hearsSelf[dispatcher]
+                || now - grantedAt[dispatcher] > LEASE_US
+                || now - lastNamedAt[dispatcher] <= LEASE_US;
     }
 
     /** The dispatchers known to be in other zones, to be sent to a peer that has just started. */
@@ -94,7 +96,13 @@
      * @param at when the message was sent, by the shared clock
      */
     public void receiveGrant(
-            int dispatcher, boolean inOtherZone, BitSet grantees, BitSet heard, BitSet inOtherZones, long at, long now) {
+            int dispatcher,
+            boolean inOtherZone,
+            BitSet grantees,
+            BitSet heard,
+            BitSet inOtherZones,
+            long at,
+            long now) {
         if (inOtherZones != null && !inOtherZone) {
             otherZonePeers.or(inOtherZones);
             otherZonePeers.clear(grants.length, Math.max(grants.length, otherZonePeers.length()));
--- a/src/main/java/saffronferry/fleet/DiscoveryBackoff.java
+++ b/src/main/java/saffronferry/fleet/DiscoveryBackoff.java
@@ -74,13 +74,20 @@
         boolean overloaded = timedOut && recoveryTimeoutsLeft == 0;
         recoveryTimeoutsLeft = timedOut ? Math.max(0, recoveryTimeoutsLeft - 1) : RECOVERY_TIMEOUTS;
         // The longest delay is allowed after a timeout only, not when a watch has merely ended.
-        long limit = reason == WatchEnd.SILENT ? MAX_DELAY_AFTER_SILENCE_US : reason == WatchEnd.DOWN ? MAX_DELAY_WHILE_DOWN_US : overloaded ? maxDelay : MAX_DELAY_US;
-        double wantedSpread = excessCallers * (timedOut ? RETRY_SPACING_US * (overloaded ? Math.pow(SPREAD_GROWTH, failures) : 1) : OUTAGE_SPACING_US);
+        long limit = reason == WatchEnd.SILENT
+                ? MAX_DELAY_AFTER_SILENCE_US
+                : reason == WatchEnd.DOWN ? MAX_DELAY_WHILE_DOWN_US : overloaded ? maxDelay : MAX_DELAY_US;
+        double wantedSpread = excessCallers
+                * (timedOut
+                        ? RETRY_SPACING_US * (overloaded ? Math.pow(SPREAD_GROWTH, failures) : 1)
+                        : OUTAGE_SPACING_US);
         failures = overloaded ? Math.min(failures + 1, MAX_FAILURES) : Math.max(failures, 1);
         watching = false;
         long spread = (long) Math.min(limit - 2 * pause, wantedSpread);
         // A few callers need no spread: any delay reduces the time left for a change to take effect.
-        return pause / 2 + random.nextLong(excessCallers == 0 ? pause / 2 : pause) + (spread > 0 ? random.nextLong(spread) : 0);
+        return pause / 2
+                + random.nextLong(excessCallers == 0 ? pause / 2 : pause)
+                + (spread > 0 ? random.nextLong(spread) : 0);
     }
 
     /** Notes the time of the next call. Only the most recent one counts. */
--- a/src/main/java/saffronferry/fleet/IncomingTransfers.java
+++ b/src/main/java/saffronferry/fleet/IncomingTransfers.java
@@ -18,7 +18,10 @@
      * @param lifetime time for which a transfer is valid
      */
     public boolean isValid(long timestamp, long now, long processStartedAt, long lifetime) {
-        return timestamp > lastTimestamp && timestamp > processStartedAt && now - timestamp < lifetime && timestamp <= now + ColdShares.MAX_CLOCK_ERROR_US;
+        return timestamp > lastTimestamp
+                && timestamp > processStartedAt
+                && now - timestamp < lifetime
+                && timestamp <= now + ColdShares.MAX_CLOCK_ERROR_US;
     }
 
     /** Marks a transfer as used: it is not valid again, nor is any older one. */
--- a/src/main/java/saffronferry/fleet/OutgoingTransfers.java
+++ b/src/main/java/saffronferry/fleet/OutgoingTransfers.java
@@ -44,7 +44,8 @@
     public double acceptReturn(int worker, long timestamp, double work, long now) {
         for (int i = 0; i < transfers.size(); i++) {
             Transfer transfer = transfers.get(i);
-            if (transfer.worker == worker && (transfer.timestamp >> STAMP_SHIFT & STAMP_MASK) == (timestamp >> STAMP_SHIFT & STAMP_MASK)) {
+            if (transfer.worker == worker
+                    && (transfer.timestamp >> STAMP_SHIFT & STAMP_MASK) == (timestamp >> STAMP_SHIFT & STAMP_MASK)) {
                 transfers.remove(i);
                 return now - transfer.timestamp <= RETURN_WINDOW_US ? Math.max(0, Math.min(work, transfer.work)) : 0;
             }
--- a/src/main/java/saffronferry/fleet/SharingStatus.java
+++ b/src/main/java/saffronferry/fleet/SharingStatus.java
@@ -16,7 +16,15 @@
  * @param borrowedSlotTime slot time of budget that others have transferred to it
  */
 public record SharingStatus(
-        int dispatchers, int heard, int delegates, int coldWorkers, int guardedWorkers, double meanShare, long lentSlotTime, long returnedSlotTime, long borrowedSlotTime) {
+        int dispatchers,
+        int heard,
+        int delegates,
+        int coldWorkers,
+        int guardedWorkers,
+        double meanShare,
+        long lentSlotTime,
+        long returnedSlotTime,
+        long borrowedSlotTime) {
     /** Degree of degradation when peers are silent. */
     public enum Fallback {
         /** It hears all other dispatchers. */
--- a/src/main/java/saffronferry/lab/Lab.java
+++ b/src/main/java/saffronferry/lab/Lab.java
@@ -52,7 +52,9 @@
                 .put("schema", SCHEMA)
                 .put("scenario", scenario.name())
                 .put("policy", policy.label())
-                .put("goal", runs.stream().mapToDouble(RunResult::goal).average().orElse(0))
+                .put(
+                        "goal",
+                        runs.stream().mapToDouble(RunResult::goal).average().orElse(0))
                 .put("days", all);
     }
 }
--- a/src/main/java/saffronferry/lab/check/RuleChecker.java
+++ b/src/main/java/saffronferry/lab/check/RuleChecker.java
@@ -120,7 +120,8 @@
     private void report(String rule, long now, int dispatcher, String description, OpenRequest request) {
         violationCount++;
         if (violations.size() < MAX_LISTED_VIOLATIONS) {
-            violations.add(new Violation(rule, now, dispatcher, description, request == null ? List.of() : List.copyOf(request.history)));
+            violations.add(new Violation(
+                    rule, now, dispatcher, description, request == null ? List.of() : List.copyOf(request.history)));
         }
     }
 
@@ -193,7 +194,10 @@
                     id.dispatcher(),
                     worker + " is sent RPC " + id.rpc()
                             + String.format(
-                                    Locale.ROOT, " %.3f s after the word that it is %s", (now - known.atUs) / 1e6, known.state),
+                                    Locale.ROOT,
+                                    " %.3f s after the word that it is %s",
+                                    (now - known.atUs) / 1e6,
+                                    known.state),
                     request);
         }
         Long bannedAt = bannedSince.getOrDefault(id.dispatcher(), Map.of()).get(worker);
@@ -203,7 +207,8 @@
                     now,
                     id.dispatcher(),
                     worker + " is sent RPC " + id.rpc()
-                            + String.format(Locale.ROOT, " %.3f s after an operator took it out", (now - bannedAt) / 1e6),
+                            + String.format(
+                                    Locale.ROOT, " %.3f s after an operator took it out", (now - bannedAt) / 1e6),
                     request);
         }
         request.attempts.add(new Attempt(worker, zone, cell, now));
@@ -216,7 +221,8 @@
             case KEYED ->
                 now <= mayHaveRun.sentAt + request.rpcClass.keyTtl()
                         && (request.rpcClass.group() == DedupScope.ALL
-                                || zone == mayHaveRun.zone && (request.rpcClass.group() == DedupScope.ZONE || cell == mayHaveRun.cell));
+                                || zone == mayHaveRun.zone
+                                        && (request.rpcClass.group() == DedupScope.ZONE || cell == mayHaveRun.cell));
         };
     }
 
@@ -247,7 +253,12 @@
                 || request.rpcClass.effect() == Idempotency.SAFE
                 || request.rpcClass.effect() == Idempotency.KEYED && request.rpcClass.group() == DedupScope.ALL;
         if (refused && !retryIsSafe) {
-            report("duplicate", now, id.dispatcher(), "RPC " + id.rpc() + " is refused though it may have run", request);
+            report(
+                    "duplicate",
+                    now,
+                    id.dispatcher(),
+                    "RPC " + id.rpc() + " is refused though it may have run",
+                    request);
         }
         if (now > request.validUntil + scenario.rules().slack()) {
             report("lost", now, id.dispatcher(), "RPC " + id.rpc() + " is answered after its time", request);
@@ -266,13 +277,15 @@
 
     /** A dispatcher receives the state of a worker. */
     public void workerStateReceived(long now, int dispatcher, String worker, WorkerState state) {
-        knownStates.computeIfAbsent(dispatcher, d -> new HashMap<>())
+        knownStates
+                .computeIfAbsent(dispatcher, d -> new HashMap<>())
                 .compute(
                         worker,
-                        (w, previous) ->
-                                previous != null && previous.state != WorkerState.IN_SERVICE && state != WorkerState.IN_SERVICE
-                                        ? previous
-                                        : sharedState(state, now));
+                        (w, previous) -> previous != null
+                                        && previous.state != WorkerState.IN_SERVICE
+                                        && state != WorkerState.IN_SERVICE
+                                ? previous
+                                : sharedState(state, now));
     }
 
     private KnownState sharedState(WorkerState state, long now) {
@@ -308,10 +321,13 @@
             window.poll();
         }
         double windowWork = window.stream().mapToDouble(Arrival::work).sum();
-        maxColdMultiple = Math.max(maxColdMultiple, windowWork / (capacity * scenario.rules().coldWindow() / 1e6));
+        maxColdMultiple = Math.max(
+                maxColdMultiple, windowWork / (capacity * scenario.rules().coldWindow() / 1e6));
         double meanWork = scenario.meanWork() / 1e6;
-        double budget =
-                scenario.rules().coldOverloadMultiple() * capacity * scenario.rules().coldWindow() / 1e6;
+        double budget = scenario.rules().coldOverloadMultiple()
+                * capacity
+                * scenario.rules().coldWindow()
+                / 1e6;
         // an excess of 2 * sqrt(N) + 2 calls over a budget of N calls is attributed to chance, however many
         // dispatchers send
         double slack = Math.min(MAX_CHANCE_CALLS, 2 * Math.sqrt(budget / meanWork) + 2) * meanWork;
--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -125,7 +125,8 @@
             String what = s.inFlight.get(i).returned ? "the return message" : "the offer";
             steps.add(new Transition<>(what + " is lost", lost));
             steps.add(new Transition<>(what + " arrives", deliver(lost.copy(), s.inFlight.get(i))));
-            steps.add(new Transition<>(what + " arrives, and a duplicate follows", deliver(s.copy(), s.inFlight.get(i))));
+            steps.add(
+                    new Transition<>(what + " arrives, and a duplicate follows", deliver(s.copy(), s.inFlight.get(i))));
         }
         if (s.borrowerJobs > 0) {
             State sends = s.copy();
@@ -179,7 +180,9 @@
     @Override
     public String violation(State s) {
         double maxWork = RATE * (s.now - START_TIME_US) + JOB_COST;
-        return s.jobsSent * JOB_COST > maxWork ? s.jobsSent + " jobs were sent in " + (s.now - START_TIME_US) / 1e6 + " s" : null;
+        return s.jobsSent * JOB_COST > maxWork
+                ? s.jobsSent + " jobs were sent in " + (s.now - START_TIME_US) / 1e6 + " s"
+                : null;
     }
 
     @Override
--- a/src/main/java/saffronferry/lab/explore/SharesModel.java
+++ b/src/main/java/saffronferry/lab/explore/SharesModel.java
@@ -78,6 +78,7 @@
         final boolean[][] usesShare = new boolean[DISPATCHERS][DISPATCHERS];
         /** When [k] last sent a message that grants its share to [i]. */
         final long[][] releasedAt = new long[DISPATCHERS][DISPATCHERS];
+
         final int[] doubleUseTicks = new int[DISPATCHERS];
         final List<Datagram> inFlight = new ArrayList<>();
 
@@ -235,7 +236,9 @@
         ColdShares c = s.shares[i];
         c.setZoneMembers(IntStream.range(0, DISPATCHERS)
                 .filter(j -> j == i
-                        || s.lastHeardAt[i][j] > 0 && s.now - s.lastHeardAt[i][j] <= 2 * ColdShares.LEASE_US && c.canDelegateTo(j, s.now))
+                        || s.lastHeardAt[i][j] > 0
+                                && s.now - s.lastHeardAt[i][j] <= 2 * ColdShares.LEASE_US
+                                && c.canDelegateTo(j, s.now))
                 .toArray());
         boolean guards = c.guardian(WORKER_HASH) == i;
         for (int k = 0; k < DISPATCHERS; k++) {
@@ -261,7 +264,10 @@
     public String violation(State s) {
         for (int k = 0; k < DISPATCHERS; k++) {
             for (int i = 0; i < DISPATCHERS; i++) {
-                if (i != k && i != s.stopped && s.usesShare[i][k] && s.now - s.releasedAt[k][i] >= ColdShares.LEASE_US) {
+                if (i != k
+                        && i != s.stopped
+                        && s.usesShare[i][k]
+                        && s.now - s.releasedAt[k][i] >= ColdShares.LEASE_US) {
                     return (char) ('A' + i) + " uses " + (char) ('A' + k) + "'s share, granted "
                             + (s.now - s.releasedAt[k][i]) / 1e6 + " s ago";
                 }
@@ -270,7 +276,8 @@
                 return (char) ('A' + k) + "'s share is used by two dispatchers for longer than a lease";
             }
             if (s.quietTicks == QUIET_TICKS && users(s, k) != 1) {
-                return (char) ('A' + k) + "'s share is used by " + users(s, k) + " dispatchers after a time without faults";
+                return (char) ('A' + k) + "'s share is used by " + users(s, k)
+                        + " dispatchers after a time without faults";
             }
         }
         return null;
@@ -290,7 +297,8 @@
             key.append('|').append(s.shares[i].state(s.now)).append(s.doubleUseTicks[i]);
             for (int j = 0; j < DISPATCHERS; j++) {
                 key.append(',').append(Math.min(s.now - s.lastHeardAt[i][j], 3 * ColdShares.LEASE_US));
-                key.append(s.usesShare[i][j] ? 'u' : '.').append(Math.min(s.now - s.releasedAt[i][j], LATE_DELAY_US + TICK_US));
+                key.append(s.usesShare[i][j] ? 'u' : '.')
+                        .append(Math.min(s.now - s.releasedAt[i][j], LATE_DELAY_US + TICK_US));
             }
         }
         s.inFlight.forEach(d -> key.append(d.from)
--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -94,7 +94,9 @@
 
     private void send(long now, OpenRequest openRequest, List<BalancerAction> steps) {
         WorkerView worker =
-                openRequest.attempts.size() < settings.maxAttempts() && now < openRequest.request.validUntil() ? choose(now, openRequest) : null;
+                openRequest.attempts.size() < settings.maxAttempts() && now < openRequest.request.validUntil()
+                        ? choose(now, openRequest)
+                        : null;
         if (worker == null) {
             refuseOrFail(openRequest, steps);
             return;
@@ -110,16 +112,20 @@
         List<WorkerView> candidates = inService;
         if (openRequest.possiblyRun != null && jobClass.idempotency() != Idempotency.SAFE) {
             WorkerView possiblyRunOn = openRequest.possiblyRun.worker();
-            boolean retryAllowed = jobClass.idempotency() == Idempotency.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
+            boolean retryAllowed = jobClass.idempotency() == Idempotency.KEYED
+                    && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
             candidates = !retryAllowed
                     ? List.of()
                     : inService.stream()
                             .filter(w -> jobClass.dedupScope() == DedupScope.ALL
-                                    || w.zone == possiblyRunOn.zone && (jobClass.dedupScope() == DedupScope.ZONE || w.cell == possiblyRunOn.cell))
+                                    || w.zone == possiblyRunOn.zone
+                                            && (jobClass.dedupScope() == DedupScope.ZONE
+                                                    || w.cell == possiblyRunOn.cell))
                             .toList();
         }
         if (jobClass.kind() >= 0) {
-            candidates = candidates.stream().filter(w -> w.kind == jobClass.kind()).toList();
+            candidates =
+                    candidates.stream().filter(w -> w.kind == jobClass.kind()).toList();
         }
         for (int i = 0; i < MAX_CHOICES && !candidates.isEmpty(); i++) {
             WorkerView w = chooser.choose(candidates, random);
@@ -138,7 +144,10 @@
         boolean retryIsSafe = openRequest.possiblyRun == null
                 || jobClass.idempotency() == Idempotency.SAFE
                 || jobClass.idempotency() == Idempotency.KEYED && jobClass.dedupScope() == DedupScope.ALL;
-        steps.add(retryIsSafe ? new BalancerAction.Refuse(openRequest.request.id(), 0) : new BalancerAction.Fail(openRequest.request.id()));
+        steps.add(
+                retryIsSafe
+                        ? new BalancerAction.Refuse(openRequest.request.id(), 0)
+                        : new BalancerAction.Fail(openRequest.request.id()));
     }
 
     @Override
--- a/src/main/java/saffronferry/lab/policy/Policy.java
+++ b/src/main/java/saffronferry/lab/policy/Policy.java
@@ -41,7 +41,8 @@
      * Creates the dispatch logic of a dispatcher. {@code trueLoad} returns the actual load of a worker and is used by
      * {@link #SIGHTED} only.
      */
-    public DispatchLogic createLogic(Settings settings, UniformRandomProvider random, ToDoubleFunction<String> trueLoad) {
+    public DispatchLogic createLogic(
+            Settings settings, UniformRandomProvider random, ToDoubleFunction<String> trueLoad) {
         return switch (this) {
             case NETWORKED_QUEUES -> DispatchLogic.networkedQueues(settings);
             case RANDOM -> new BaselineLogic(settings, random, (all, r) -> all.get(r.nextInt(all.size())));
--- a/src/main/java/saffronferry/lab/scenario/Limits.java
+++ b/src/main/java/saffronferry/lab/scenario/Limits.java
@@ -45,7 +45,9 @@
         all.put("control_bytes_per_s", "bytes a second a dispatcher, in and out, all kinds");
         all.put("control_bytes_worst_per_s", "bytes of a dispatcher in its busiest second");
         all.put("start_control_bytes", "bytes per dispatcher before the first request, including the first list");
-        all.put("start_decision_ms", "milliseconds of CPU time per dispatcher before the first request, including the first list");
+        all.put(
+                "start_decision_ms",
+                "milliseconds of CPU time per dispatcher before the first request, including the first list");
         all.put("heap_mb_per_dispatcher", "megabytes of heap: the module and the worker list");
         all.put("module_heap_mb_per_dispatcher", "megabytes of heap: the module alone");
         all.put("list_heap_mb_per_dispatcher", "megabytes of heap: the worker list alone");
--- a/src/main/java/saffronferry/lab/scenario/RandomFaults.java
+++ b/src/main/java/saffronferry/lab/scenario/RandomFaults.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import saffronferry.lab.scenario.Scenario.LinkFault;
 import saffronferry.lab.scenario.Scenario.Fault;
+import saffronferry.lab.scenario.Scenario.LinkFault;
 
 /**
  * Random faults in addition to those listed in a scenario: their number, their kinds, and the interval in which
--- a/src/main/java/saffronferry/lab/scenario/Scenario.java
+++ b/src/main/java/saffronferry/lab/scenario/Scenario.java
@@ -69,7 +69,13 @@
     public record Tenant(String name, double share, double entitled) {}
 
     /** Offered work as a share of the fleet's capacity, and its variation over time. */
-    public record Load(double share, String shape, double swing, double zoneSkew, long maxRequests, DispatcherSkew dispatcherSkew) {}
+    public record Load(
+            double share,
+            String shape,
+            double swing,
+            double zoneSkew,
+            long maxRequests,
+            DispatcherSkew dispatcherSkew) {}
 
     /**
      * Uneven distribution of requests: the first {@code loadedDispatchers} receive {@code factor} times as many as
@@ -78,9 +84,7 @@
     public record DispatcherSkew(int loadedDispatchers, double factor, int idleDispatchers) {
         /** The relative weight of a dispatcher among {@code dispatcherCount} dispatchers. */
         public double weight(int dispatcher, int dispatcherCount) {
-            return dispatcher < loadedDispatchers
-                    ? factor
-                    : dispatcher >= dispatcherCount - idleDispatchers ? 0 : 1;
+            return dispatcher < loadedDispatchers ? factor : dispatcher >= dispatcherCount - idleDispatchers ? 0 : 1;
         }
 
         /** Whether all dispatchers have the same weight. */
@@ -110,7 +114,13 @@
      * cold worker fails when it receives more than {@code coldOverloadMultiple} times its capacity within
      * {@code coldWindow}.
      */
-    public record Rules(long slack, long drain, double coldOverloadMultiple, long coldWindow, int maxAttempts, long maxRetryAfter) {}
+    public record Rules(
+            long slack,
+            long drain,
+            double coldOverloadMultiple,
+            long coldWindow,
+            int maxAttempts,
+            long maxRetryAfter) {}
 
     /** Costs that are passed to the dispatch logic: of a peer message, of a probe, of work over a tenant's share. */
     public record Prices(double peer, double probe, double overShare) {}
@@ -163,8 +173,8 @@
     /** A copy with the random faults for a seed added. */
     public Scenario withRandomFaults(long seed) {
         List<Fault> all = new ArrayList<>(faults);
-        all.addAll(
-                randomFaults.generate(seed, length, zones, tenants.stream().map(Tenant::name).toList()));
+        all.addAll(randomFaults.generate(
+                seed, length, zones, tenants.stream().map(Tenant::name).toList()));
         return new Scenario(
                 name,
                 length,
--- a/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
+++ b/src/main/java/saffronferry/lab/scenario/ScenarioReader.java
@@ -30,7 +30,8 @@
 public final class ScenarioReader {
     private static final Map<String, Idempotency> EFFECTS =
             Map.of("repeatable", Idempotency.SAFE, "by_key", Idempotency.KEYED, "once", Idempotency.UNSAFE);
-    private static final Map<String, DedupScope> GROUPS = Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL);
+    private static final Map<String, DedupScope> GROUPS =
+            Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL);
     /** Kinds of faults; docs/operations/laboratory.md describes the meaning of part and size for each. */
     public static final List<String> FAULT_KINDS = List.of(
             "slow",
@@ -216,7 +217,8 @@
                 s.number("late_worth", 0.3, 0, 1, "share of the worth that a late answer keeps"),
                 EFFECTS.get(s.text("effect", "repeatable", List.of("repeatable", "by_key", "once"))),
                 GROUPS.get(s.text("group", "all", List.of("all", "zone", "cell"))),
-                secondsToMicros(s.number("key_ttl_s", 40, 0, 3_600, "seconds for which repeated requests are deduplicated")),
+                secondsToMicros(
+                        s.number("key_ttl_s", 40, 0, 3_600, "seconds for which repeated requests are deduplicated")),
                 secondsToMicros(s.number("work_s", 0.2, 0.0001, 3_600, "seconds of work, mean")),
                 s.number("tail", 0.8, 0, 4, "standard deviation of the logarithm of the work"));
         s.rejectUnknownKeys();
@@ -264,7 +266,8 @@
                 s.number("jitter", 0.2, 0, 10, "relative"),
                 s.number("loss", 0.01, 0, 1, "share of datagrams lost"),
                 secondsToMicros(s.number("connect_timeout_s", 0.25, 0.001, 60, "seconds")),
-                secondsToMicros(s.number("front_notice_s", 2.5, 0, 600, "seconds until the front end notices a dead dispatcher")));
+                secondsToMicros(s.number(
+                        "front_notice_s", 2.5, 0, 600, "seconds until the front end notices a dead dispatcher")));
         s.rejectUnknownKeys();
         return n;
     }
@@ -291,8 +294,10 @@
 
     private Rules rules(Section s) {
         Rules r = new Rules(
-                secondsToMicros(s.number("slack_s", 0.02, 0, 10, "seconds after the deadline in which an answer is accepted")),
-                secondsToMicros(s.number("drain_s", 2, 0, 60, "seconds after the notice of a drain in which new work may still arrive")),
+                secondsToMicros(
+                        s.number("slack_s", 0.02, 0, 10, "seconds after the deadline in which an answer is accepted")),
+                secondsToMicros(s.number(
+                        "drain_s", 2, 0, 60, "seconds after the notice of a drain in which new work may still arrive")),
                 s.number("fall_multiple", 3, 0.1, 100, "multiple of a cold worker's capacity"),
                 secondsToMicros(s.number("fall_s", 3, 0.1, 600, "seconds, length of the window")),
                 s.whole("most_tries", 4, 1, 100, "attempts"),
@@ -317,7 +322,8 @@
                 s.number("loss", 1, 0, 1, "of the datagrams concerned"),
                 s.number("doubled", 0, 0, 1, "of the datagrams concerned"),
                 secondsToMicros(s.number("delay_s", 0, 0, 600, "seconds, largest random delay of a datagram")),
-                secondsToMicros(s.number("flap_s", 0, 0, 600, "seconds for which it is active and inactive in turn; 0: always active")));
+                secondsToMicros(s.number(
+                        "flap_s", 0, 0, 600, "seconds for which it is active and inactive in turn; 0: always active")));
     }
 
     private static Bounds bounds(Section s) {
@@ -352,7 +358,8 @@
                 secondsToMicros(s.number("until_s", length / 1e6, 0, 36_000, "seconds")));
         for (String kind : d.kinds()) {
             if (!FAULT_KINDS.contains(kind)) {
-                s.addProblem("kinds", "names no kind of trouble: \"" + kind + "\"" + Section.suggestion(kind, FAULT_KINDS));
+                s.addProblem(
+                        "kinds", "names no kind of trouble: \"" + kind + "\"" + Section.suggestion(kind, FAULT_KINDS));
             }
         }
         if (d.from() >= d.until()) {
--- a/src/main/java/saffronferry/lab/scenario/Section.java
+++ b/src/main/java/saffronferry/lab/scenario/Section.java
@@ -165,7 +165,8 @@
         List<Section> result = new ArrayList<>();
         if (got instanceof TomlArray array && array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             for (int i = 0; i < array.size(); i++) {
-                result.add(new Section(file, full(key) + "[" + i + "]", array.getTable(i), problems, values, overrides));
+                result.add(
+                        new Section(file, full(key) + "[" + i + "]", array.getTable(i), problems, values, overrides));
             }
         } else if (got != null) {
             problem(key, "expected tables [[" + full(key) + "]], got " + kind(got));
--- a/src/main/java/saffronferry/lab/world/ClientPopulation.java
+++ b/src/main/java/saffronferry/lab/world/ClientPopulation.java
@@ -90,7 +90,8 @@
     }
 
     private void createRequest(UniformRandomProvider requestRandom, int fixedTenant) {
-        int rpcClass = weightedIndex(scenario.classes().stream().mapToDouble(RpcClass::share).toArray(), requestRandom.nextDouble());
+        int rpcClass = weightedIndex(
+                scenario.classes().stream().mapToDouble(RpcClass::share).toArray(), requestRandom.nextDouble());
         double tenantDraw = requestRandom.nextDouble();
         int tenant = fixedTenant >= 0
                 ? fixedTenant
@@ -108,9 +109,17 @@
         double normal = ZigguratSampler.NormalizedGaussian.of(requestRandom).sample();
         double work = spec.work() * Math.exp(spec.tail() * normal - spec.tail() * spec.tail() / 2);
         requestRandom.nextDouble(); // unused draw: keeps the requests that earlier versions drew from a seed
-        boolean honoursRetryAfter = requestRandom.nextDouble() < scenario.clients().retryAfterShare();
+        boolean honoursRetryAfter =
+                requestRandom.nextDouble() < scenario.clients().retryAfterShare();
         ClientRequest request = new ClientRequest(
-                scheduler.now(), rpcClass, tenant, zone, Math.max(1, work), scheduler.now() + spec.deadline(), takeToken(tenant), honoursRetryAfter);
+                scheduler.now(),
+                rpcClass,
+                tenant,
+                zone,
+                Math.max(1, work),
+                scheduler.now() + spec.deadline(),
+                takeToken(tenant),
+                honoursRetryAfter);
         simulation.statistics.asked(request, worth(request));
         sendToDispatcher(request);
     }
@@ -153,7 +162,11 @@
                 RpcClass spec = scenario.classes().get(request.rpcClass);
                 long latency = scheduler.now() - request.arrivedAt;
                 double targetLatency = Math.min(spec.deadline(), spec.aim() + spec.stretch() * request.work);
-                simulation.statistics.served(request, worth(request) * (latency <= targetLatency ? 1 : spec.lateWorth()), latency, latency <= targetLatency);
+                simulation.statistics.served(
+                        request,
+                        worth(request) * (latency <= targetLatency ? 1 : spec.lateWorth()),
+                        latency,
+                        latency <= targetLatency);
             } else {
                 simulation.statistics.refusals += refused ? 1 : 0;
                 simulation.statistics.failures += refused ? 0 : 1;
@@ -173,7 +186,9 @@
     private void retryOrGiveUp(ClientRequest request, long retryAfter) {
         long backoff = scenario.clients().backoff() << Math.min(request.clientTries - 1, 6);
         long wait = request.honoursRetryAfter && retryAfter > 0 ? retryAfter : backoff;
-        if (!request.finished && request.clientTries <= scenario.clients().retries() && scheduler.now() + wait < request.deadline) {
+        if (!request.finished
+                && request.clientTries <= scenario.clients().retries()
+                && scheduler.now() + wait < request.deadline) {
             scheduler.after(Math.max(1, wait), () -> sendToDispatcher(request));
         } else {
             request.finished = true;
--- a/src/main/java/saffronferry/lab/world/ClusterSimulation.java
+++ b/src/main/java/saffronferry/lab/world/ClusterSimulation.java
@@ -74,7 +74,8 @@
         this.decorator = decorator;
         streams = new RandomStreams(seed);
         checker = new RuleChecker(scenario);
-        network = new NetworkModel(scenario.network(), streams.of("network", 0), new PeerLinks(scenario, START_TIME_US + SETTLE_TIME_US));
+        network = new NetworkModel(
+                scenario.network(), streams.of("network", 0), new PeerLinks(scenario, START_TIME_US + SETTLE_TIME_US));
         registry = new Registry(scenario.discovery(), scheduler);
         statistics = new RunStatistics(scenario, START_TIME_US + SETTLE_TIME_US);
         coldUtilization = new ColdUtilization(scheduler, scenario.zones().size());
@@ -82,7 +83,8 @@
         capacity = workers.values().stream().mapToDouble(Worker::fullCapacity).sum();
         clients = new ClientPopulation(this, capacity);
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            dispatchers.add(new EmulatedDispatcher(i, i % scenario.zones().size(), this, (d, incarnation) -> createLogic(policy, d, incarnation)));
+            dispatchers.add(new EmulatedDispatcher(
+                    i, i % scenario.zones().size(), this, (d, incarnation) -> createLogic(policy, d, incarnation)));
         }
     }
 
@@ -106,13 +108,15 @@
         long startNanos = System.nanoTime();
         ClusterSimulation simulation = new ClusterSimulation(scenario.withRandomFaults(seed), policy, seed, decorator);
         simulation.runToEnd();
-        JSONObject json = simulation.statistics
+        JSONObject json = simulation
+                .statistics
                 .json(simulation.scheduler.executedCount())
                 .put("cold_multiple", Math.round(simulation.checker.maxColdMultiple() * 1e3) / 1e3)
                 .put("cold_used", Math.round(simulation.coldUtilization.mean() * 1e3) / 1e3)
                 .put("cold_used_least", Math.round(simulation.coldUtilization.min() * 1e3) / 1e3);
         JSONArray broken = new JSONArray();
-        simulation.checker
+        simulation
+                .checker
                 .violations()
                 .forEach(b -> broken.put(new JSONObject()
                         .put("rule", b.rule())
@@ -138,7 +142,9 @@
     }
 
     private long decisionCpuNanos() {
-        return dispatchers.stream().mapToLong(EmulatedDispatcher::decisionCpuNanos).sum();
+        return dispatchers.stream()
+                .mapToLong(EmulatedDispatcher::decisionCpuNanos)
+                .sum();
     }
 
     private void runToEnd() {
@@ -208,7 +214,9 @@
         double shares = scenario.kinds().stream().mapToDouble(WorkerKind::share).sum();
         for (int i = 0; i < scenario.workers(); i++) {
             int kind = 0;
-            for (int k = 0; k < deficit.length; k++) { // the kind with the largest deficit, so that shares hold at any cluster size
+            for (int k = 0;
+                    k < deficit.length;
+                    k++) { // the kind with the largest deficit, so that shares hold at any cluster size
                 deficit[k] += scenario.kinds().get(k).share() / shares;
                 kind = deficit[k] > deficit[kind] ? k : kind;
             }
@@ -254,8 +262,10 @@
             tenants.add(new Tenant(scenario.tenants().get(i).name(), clients.allowancePerSecond()[i]));
         }
         long cold = scenario.kinds().stream().mapToLong(WorkerKind::cold).max().orElse(0);
-        double coldShare =
-                scenario.kinds().stream().mapToDouble(WorkerKind::coldFrom).min().orElse(1);
+        double coldShare = scenario.kinds().stream()
+                .mapToDouble(WorkerKind::coldFrom)
+                .min()
+                .orElse(1);
         Scenario.Rules rules = scenario.rules();
         Scenario.Prices prices = scenario.prices();
         return new Settings(
@@ -391,7 +401,9 @@
         if (to >= 0 && to < dispatchers.size()) {
             EmulatedDispatcher peer = dispatchers.get(to);
             for (long delay : network.datagramDelays(scheduler.now(), from.number, to)) {
-                scheduler.after(network.delayBetween(from.zone, peer.zone) + delay, () -> peer.peerMessageReceived(from.number, payload));
+                scheduler.after(
+                        network.delayBetween(from.zone, peer.zone) + delay,
+                        () -> peer.peerMessageReceived(from.number, payload));
             }
         }
     }
--- a/src/main/java/saffronferry/lab/world/ColdUtilization.java
+++ b/src/main/java/saffronferry/lab/world/ColdUtilization.java
@@ -45,7 +45,8 @@
         for (int z = 0; z < waiting.length; z++) {
             int zone = z;
             waiting[z] = scheduler.now() - notServedAt[z] < WAITING_THRESHOLD_US
-                    || dispatchers.stream().anyMatch(n -> n.zone == zone && n.hasRequestWaitingLongerThan(WAITING_THRESHOLD_US));
+                    || dispatchers.stream()
+                            .anyMatch(n -> n.zone == zone && n.hasRequestWaitingLongerThan(WAITING_THRESHOLD_US));
         }
         for (Worker w : workers) {
             if (!w.cold() || w.capacity() <= 0 || w.info().state() != WorkerState.IN_SERVICE) {
--- a/src/main/java/saffronferry/lab/world/EmulatedDispatcher.java
+++ b/src/main/java/saffronferry/lab/world/EmulatedDispatcher.java
@@ -130,7 +130,11 @@
             return false;
         }
         long id = ++lastId;
-        Rpc rpc = new Rpc(clientRequest, id, clientRequest.deadline - simulation.scenario.network().client(), scheduler.now());
+        Rpc rpc = new Rpc(
+                clientRequest,
+                id,
+                clientRequest.deadline - simulation.scenario.network().client(),
+                scheduler.now());
         openRpcs.put(id, rpc);
         RuleChecker.Id requestId = checkerId(id);
         checker.requestAccepted(scheduler.now(), requestId, clientRequest.rpcClass, rpc.validUntil);
@@ -140,7 +144,9 @@
                 expire(rpc);
             }
         });
-        scheduler.at(rpc.validUntil + simulation.scenario.rules().slack() + 1, () -> checker.deadlinePassed(scheduler.now(), requestId));
+        scheduler.at(
+                rpc.validUntil + simulation.scenario.rules().slack() + 1,
+                () -> checker.deadlinePassed(scheduler.now(), requestId));
         Request request = new Request(id, clientRequest.rpcClass, clientRequest.tenant, rpc.validUntil, 1, false);
         decide(b -> b.pick(scheduler.now(), request));
         return true;
@@ -201,8 +207,9 @@
         }
         boolean answered = rpc.answered;
         removeIfDone(rpc);
-        decide(b ->
-                b.report(scheduler.now(), new BalancerEvent.AttemptEnded(id, attempt, outcome, scheduler.now() - a.sentAt, answered, null)));
+        decide(b -> b.report(
+                scheduler.now(),
+                new BalancerEvent.AttemptEnded(id, attempt, outcome, scheduler.now() - a.sentAt, answered, null)));
     }
 
     private void removeIfDone(Rpc rpc) {
@@ -215,7 +222,8 @@
     boolean hasRequestWaitingLongerThan(long thresholdUs) {
         return up
                 && openRpcs.values().stream()
-                        .anyMatch(r -> !r.answered && r.attemptsInFlight == 0 && scheduler.now() - r.idleSince > thresholdUs);
+                        .anyMatch(r ->
+                                !r.answered && r.attemptsInFlight == 0 && scheduler.now() - r.idleSince > thresholdUs);
     }
 
     void peerMessageReceived(int peer, byte[] bytes) {
@@ -241,7 +249,9 @@
         if (kind != ListKind.CHANGES) {
             knownWorkers.clear();
             checker.fullListReceived(
-                    scheduler.now(), number, entries.stream().map(WorkerInfo::address).toList());
+                    scheduler.now(),
+                    number,
+                    entries.stream().map(WorkerInfo::address).toList());
         }
         for (WorkerInfo info : entries) {
             knownWorkers.put(info.address(), info);
@@ -353,19 +363,27 @@
         rpc.attemptsInFlight++;
         int currentIncarnation = incarnation;
         if (worker == null || scheduler.now() >= rpc.validUntil) {
-            scheduler.after(0, () -> ifSameIncarnation(currentIncarnation, () -> attemptEnded(rpc.id, number, Outcome.NOT_SENT)));
+            scheduler.after(
+                    0,
+                    () -> ifSameIncarnation(currentIncarnation, () -> attemptEnded(rpc.id, number, Outcome.NOT_SENT)));
             return;
         }
-        boolean informed =
-                knownWorkers.containsKey(worker.address) && knownWorkers.get(worker.address).startedAt() != 0;
+        boolean informed = knownWorkers.containsKey(worker.address)
+                && knownWorkers.get(worker.address).startedAt() != 0;
         scheduler.after(simulation.network.delayBetween(zone, worker.zone), () -> {
             if (!worker.up()) {
-                deliverFromWorker(worker, currentIncarnation, n -> n.attemptEnded(rpc.id, number, Outcome.CONNECT_FAILED));
+                deliverFromWorker(
+                        worker, currentIncarnation, n -> n.attemptEnded(rpc.id, number, Outcome.CONNECT_FAILED));
             } else if (!a.ended) {
                 a.job = new Job(this, rpc.id, number, rpc.clientRequest.work);
                 if (worker.cold()
                         && checker.coldArrivalOverloads(
-                                scheduler.now(), worker.address, worker.capacity(), rpc.clientRequest.work, this.number, informed)) {
+                                scheduler.now(),
+                                worker.address,
+                                worker.capacity(),
+                                rpc.clientRequest.work,
+                                this.number,
+                                informed)) {
                     simulation.overload(worker);
                 }
                 if (worker.up()) {
@@ -388,7 +406,10 @@
         Worker worker = simulation.worker(address);
         int currentIncarnation = incarnation;
         if (worker == null) {
-            scheduler.after(0, () -> ifSameIncarnation(currentIncarnation, () -> probeEnded(address, Outcome.CONNECT_FAILED, null)));
+            scheduler.after(
+                    0,
+                    () -> ifSameIncarnation(
+                            currentIncarnation, () -> probeEnded(address, Outcome.CONNECT_FAILED, null)));
             return;
         }
         long oneWayDelay = simulation.network.delayBetween(zone, worker.zone);
@@ -396,7 +417,9 @@
             if (!worker.up()) {
                 deliverFromWorker(worker, currentIncarnation, n -> n.probeEnded(address, Outcome.CONNECT_FAILED, null));
             } else if (worker.hung()) {
-                scheduler.after(PROBE_TIMEOUT_US - oneWayDelay, () -> ifSameIncarnation(currentIncarnation, () -> probeEnded(address, Outcome.TIMEOUT, null)));
+                scheduler.after(
+                        PROBE_TIMEOUT_US - oneWayDelay,
+                        () -> ifSameIncarnation(currentIncarnation, () -> probeEnded(address, Outcome.TIMEOUT, null)));
             } else {
                 Report report = worker.report();
                 deliverFromWorker(worker, currentIncarnation, n -> n.probeEnded(address, Outcome.OK, report));
--- a/src/main/java/saffronferry/lab/world/FaultInjector.java
+++ b/src/main/java/saffronferry/lab/world/FaultInjector.java
@@ -29,7 +29,8 @@
         for (int i = 0; i < all.size(); i++) {
             Fault fault = all.get(i);
             if (SIGNAL_FAULTS.contains(fault.kind())) {
-                throw new IllegalArgumentException("trouble " + fault.kind() + " sends a signal to a process, which cannot be simulated; use rig fleet");
+                throw new IllegalArgumentException("trouble " + fault.kind()
+                        + " sends a signal to a process, which cannot be simulated; use rig fleet");
             }
             UniformRandomProvider random = simulation.streams.of("trouble", i);
             int index = i;
@@ -51,7 +52,8 @@
     private void begin(Fault fault, int index, UniformRandomProvider random) {
         switch (fault.kind()) {
             case "slow" ->
-                sampleWorkers(fault.part(), random).forEach(w -> applyFor(fault, () -> w.slow(Math.max(1, fault.size())), () -> w.slow(1)));
+                sampleWorkers(fault.part(), random)
+                        .forEach(w -> applyFor(fault, () -> w.slow(Math.max(1, fault.size())), () -> w.slow(1)));
             case "hung" ->
                 sampleWorkers(fault.part(), random)
                         .forEach(w -> applyFor(fault, () -> w.hang(true), () -> {
@@ -63,7 +65,8 @@
             case "crash" ->
                 sampleWorkers(fault.part(), random).forEach(w -> {
                     w.crash();
-                    simulation.registry.changed(w, simulation.registry.settings().silentNotice());
+                    simulation.registry.changed(
+                            w, simulation.registry.settings().silentNotice());
                     restart(w);
                 });
             case "zone_loss" -> crashMatching(fault, w -> w.zone == zoneIndex(fault));
@@ -85,13 +88,19 @@
             case "stale_reports" ->
                 sampleWorkers(fault.part(), random)
                         .forEach(w -> applyFor(fault, () -> w.freezeReports(true), () -> w.freezeReports(false)));
-            case "discovery_outage" -> applyFor(fault, () -> simulation.registry.outage(true), () -> simulation.registry.outage(false));
+            case "discovery_outage" ->
+                applyFor(fault, () -> simulation.registry.outage(true), () -> simulation.registry.outage(false));
             case "peer_cut" -> {} // PeerLinks applies it by the clock
             case "replace" -> sampleWorkers(fault.part(), random).forEach(w -> replace(fault, w));
-            case "list_withheld" -> simulation.registry.withhold(affectedDispatchers(fault), scheduler.now() + fault.length());
+            case "list_withheld" ->
+                simulation.registry.withhold(affectedDispatchers(fault), scheduler.now() + fault.length());
             case "dispatcher_term" -> restartDispatchers(fault, random);
             case "list_disorder" ->
-                simulation.registry.disorder(affectedDispatchers(fault), Math.round(fault.size() * 1e6), scheduler.now() + fault.length(), random);
+                simulation.registry.disorder(
+                        affectedDispatchers(fault),
+                        Math.round(fault.size() * 1e6),
+                        scheduler.now() + fault.length(),
+                        random);
             default -> throw new IllegalStateException("unknown kind of trouble: " + fault.kind());
         }
     }
@@ -119,7 +128,8 @@
     }
 
     private int affectedDispatchers(Fault fault) {
-        return (int) Math.max(1, Math.round(fault.part() * simulation.dispatchers().size()));
+        return (int)
+                Math.max(1, Math.round(fault.part() * simulation.dispatchers().size()));
     }
 
     /** Starts a replacement at once, while the old worker drains for {@code size} seconds. */
@@ -150,11 +160,13 @@
                 scheduler.after(drainUs, () -> {
                     if (old.up()) {
                         old.crash();
-                        simulation.registry.changed(old, simulation.registry.settings().notice());
+                        simulation.registry.changed(
+                                old, simulation.registry.settings().notice());
                     }
                     Worker replacement = simulation.addReplacement(old);
                     replacement.start(true);
-                    simulation.registry.changed(replacement, simulation.registry.settings().add());
+                    simulation.registry.changed(
+                            replacement, simulation.registry.settings().add());
                 });
             });
         }
@@ -170,7 +182,9 @@
         int n = (int) Math.max(1, Math.round(fault.part() * dispatchers.size()));
         for (int i = 0; i < n; i++) {
             EmulatedDispatcher dispatcher = dispatchers.get(i);
-            scheduler.after(fault.length() * i / n, () -> simulation.restartDispatcher(dispatcher, Math.round(Math.max(0.01, fault.size()) * 1e6)));
+            scheduler.after(
+                    fault.length() * i / n,
+                    () -> simulation.restartDispatcher(dispatcher, Math.round(Math.max(0.01, fault.size()) * 1e6)));
         }
     }
 
@@ -181,7 +195,14 @@
         }
         double extraPerSecond = Math.max(0, fault.size() - 1) * simulation.requestsPerSecond(tenant);
         if (extraPerSecond > 0) {
-            simulation.clients.startArrivals("burst", index, extraPerSecond, tenant, scheduler.now(), scheduler.now() + fault.length(), ClusterSimulation.STEADY_RATE);
+            simulation.clients.startArrivals(
+                    "burst",
+                    index,
+                    extraPerSecond,
+                    tenant,
+                    scheduler.now(),
+                    scheduler.now() + fault.length(),
+                    ClusterSimulation.STEADY_RATE);
         }
     }
 }
--- a/src/main/java/saffronferry/lab/world/Worker.java
+++ b/src/main/java/saffronferry/lab/world/Worker.java
@@ -214,8 +214,13 @@
             return 0;
         }
         double jobsHeld = running.size() + queue.size();
-        double contentionFactor = jobsHeld > kind.thrashAt() ? 1 / (1 + kind.thrash() * (jobsHeld - kind.thrashAt())) : 1;
-        return speed * Math.min(1, kind.cores() / (double) running.size()) * contentionFactor * capacityShare() / slowdownFactor;
+        double contentionFactor =
+                jobsHeld > kind.thrashAt() ? 1 / (1 + kind.thrash() * (jobsHeld - kind.thrashAt())) : 1;
+        return speed
+                * Math.min(1, kind.cores() / (double) running.size())
+                * contentionFactor
+                * capacityShare()
+                / slowdownFactor;
     }
 
     /** Accounts for the work done up to now and refreshes the load report. Call it before each state change. */
--- a/src/main/java/saffronferry/lifecycle/Config.java
+++ b/src/main/java/saffronferry/lifecycle/Config.java
@@ -56,11 +56,8 @@
         try {
             String text = Files.readString(Path.of(file));
             int[] knownSpan = ListParser.findObject(text, "known");
-            JSONObject json =
-                    new JSONObject(
-                            knownSpan == null
-                                    ? text
-                                    : text.substring(0, knownSpan[0]) + "null" + text.substring(knownSpan[1]));
+            JSONObject json = new JSONObject(
+                    knownSpan == null ? text : text.substring(0, knownSpan[0]) + "null" + text.substring(knownSpan[1]));
             putIfMissing(json, "listen", environment.get("BALANCER_LISTEN"));
             putIfMissing(json, "discovery", environment.get("BALANCER_DISCOVERY"));
             putIfMissing(json, "console", environment.get("BALANCER_CONSOLE"));
@@ -159,8 +156,7 @@
     }
 
     private static int readMaxDescriptors(JSONObject limits) {
-        int sockets =
-                limits == null || limits.isNull("sockets") ? DEFAULT_DESCRIPTORS : limits.getInt("sockets");
+        int sockets = limits == null || limits.isNull("sockets") ? DEFAULT_DESCRIPTORS : limits.getInt("sockets");
         if (sockets < MIN_DESCRIPTORS) {
             throw new IllegalArgumentException("must be at least " + MIN_DESCRIPTORS + ": " + sockets);
         }
--- a/src/main/java/saffronferry/lifecycle/ConfigDiff.java
+++ b/src/main/java/saffronferry/lifecycle/ConfigDiff.java
@@ -57,7 +57,8 @@
     private static String value(SettingKey key, JSONObject entry) {
         String value;
         try {
-            value = DynamicSetting.formatNumber(entry.isNull(key.setting().field) ? 0 : entry.getDouble(key.setting().field));
+            value = DynamicSetting.formatNumber(
+                    entry.isNull(key.setting().field) ? 0 : entry.getDouble(key.setting().field));
         } catch (JSONException e) {
             throw new IllegalArgumentException("configuration key " + key + ": must be a number");
         }
--- a/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
+++ b/src/main/java/saffronferry/lifecycle/ConsoleHandler.java
@@ -5,9 +5,9 @@
 import java.util.function.UnaryOperator;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
-import saffronferry.ops.OperatorCall;
 import saffronferry.ops.ControlUsage;
 import saffronferry.ops.Metrics;
+import saffronferry.ops.OperatorCall;
 import saffronferry.state.RpcCoordinator;
 import saffronferry.wire.ConsoleServer;
 
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -333,7 +333,8 @@
         applyDrainPhase();
         vertx.setTimer(
                 ACCEPT_AFTER_SIGTERM_MS,
-                t -> wire.coordinator().capDeadlines(countedDeadline + AFTER_COUNTED_DEADLINE_MS - ACCEPT_AFTER_SIGTERM_MS));
+                t -> wire.coordinator()
+                        .capDeadlines(countedDeadline + AFTER_COUNTED_DEADLINE_MS - ACCEPT_AFTER_SIGTERM_MS));
     }
 
     /** Applies the phase of the drain to clients, now and whenever it changes over time. */
--- a/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
+++ b/src/main/java/saffronferry/lifecycle/EffectiveSettings.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.json.JSONObject;
-import saffronferry.Contract.Tenant;
 import saffronferry.BalancerEvent;
-import saffronferry.agree.GossipStatus;
-import saffronferry.agree.SettingChange;
+import saffronferry.Contract.Tenant;
 import saffronferry.agree.DynamicSetting;
 import saffronferry.agree.Gossip;
+import saffronferry.agree.GossipStatus;
+import saffronferry.agree.SettingChange;
 import saffronferry.agree.SettingKey;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Metrics;
@@ -95,9 +95,11 @@
             log.line(
                     "settings",
                     switch (state) {
-                        case CONNECTED -> "agreed upon with another dispatcher, " + status.heldChanges() + " changes held";
+                        case CONNECTED ->
+                            "agreed upon with another dispatcher, " + status.heldChanges() + " changes held";
                         case CATCHING_UP -> "catching up";
-                        case ISOLATED -> "no contact to other dispatchers; where two quotas are known, the smaller applies";
+                        case ISOLATED ->
+                            "no contact to other dispatchers; where two quotas are known, the smaller applies";
                     });
             apply();
         }
@@ -115,7 +117,8 @@
         ConfigDiff diff = ConfigDiff.between(file, next.json);
         diff.refused().forEach(key -> log.line("read at a start only", "configuration key " + key));
         if (!diff.changes().isEmpty()) {
-            gossip.applyLocalChanges(clock.now(), diff.changes()).forEach(fault -> log.line("setting not changed", fault));
+            gossip.applyLocalChanges(clock.now(), diff.changes())
+                    .forEach(fault -> log.line("setting not changed", fault));
             log.line("settings changed", diff.changes().size() + " by the new file");
         }
         file = next.json;
@@ -197,7 +200,10 @@
                         "app_settings_refused",
                         "Changes not taken: faulty, ahead of the clock, too old or too many.",
                         a.rejectedChanges()),
-                counter("app_settings_dropped", "Datagrams forged, garbled, late or of another version.", a.droppedDatagrams()));
+                counter(
+                        "app_settings_dropped",
+                        "Datagrams forged, garbled, late or of another version.",
+                        a.droppedDatagrams()));
     }
 
     private static Metric gauge(String name, String help, double value) {
--- a/src/main/java/saffronferry/lifecycle/ProcessRegistry.java
+++ b/src/main/java/saffronferry/lifecycle/ProcessRegistry.java
@@ -111,8 +111,9 @@
         if (others.isEmpty()) {
             return new Siblings(0, HandoverState.NONE);
         }
-        JSONObject json =
-                new JSONObject().put("jobs", new JSONObject(own.busySlots())).put("learned", new JSONArray(own.learned()));
+        JSONObject json = new JSONObject()
+                .put("jobs", new JSONObject(own.busySlots()))
+                .put("learned", new JSONArray(own.learned()));
         writeAtomically(stateFile(self), json.toString());
         Map<String, Integer> jobs = new HashMap<>();
         double[] learned = {};
--- a/src/main/java/saffronferry/lifecycle/ProcessUsage.java
+++ b/src/main/java/saffronferry/lifecycle/ProcessUsage.java
@@ -36,7 +36,8 @@
     /** Parses the contents of the files {@code stat} and {@code status} of proc(5). */
     static Sample read(String stat, String status) throws IOException {
         try {
-            // The second field is the program name, which may contain blanks and brackets: parse after the last bracket.
+            // The second field is the program name, which may contain blanks and brackets: parse after the last
+            // bracket.
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             long ticks = Long.parseLong(fields[11]) + Long.parseLong(fields[12]);
             String kib = status.lines()
--- a/src/main/java/saffronferry/lifecycle/SiblingMonitor.java
+++ b/src/main/java/saffronferry/lifecycle/SiblingMonitor.java
@@ -80,8 +80,7 @@
         HandoverState published = last.count() > 0 ? ownState.get() : HandoverState.NONE;
         vertx.executeBlocking(() -> {
                     ProcessRegistry.Siblings siblings = registry.exchangeState(published);
-                    return new PollResult(
-                            siblings, readChangedBans(), siblings.count() > 0 && registry.isReplaced());
+                    return new PollResult(siblings, readChangedBans(), siblings.count() > 0 && registry.isReplaced());
                 })
                 .onComplete(polled -> {
                     schedulePoll();
--- a/src/main/java/saffronferry/rig/DispatcherProcess.java
+++ b/src/main/java/saffronferry/rig/DispatcherProcess.java
@@ -54,7 +54,8 @@
     }
 
     /** {@code shellCommand}: a deployment's command that ends in one process, as in deploy/balancer.toml. */
-    DispatcherProcess(int number, String host, int port, int peerPort, int consolePort, Path folder, String shellCommand) {
+    DispatcherProcess(
+            int number, String host, int port, int peerPort, int consolePort, Path folder, String shellCommand) {
         this.shellCommand = shellCommand;
         this.number = number;
         this.host = host;
--- a/src/main/java/saffronferry/rig/FaultInjector.java
+++ b/src/main/java/saffronferry/rig/FaultInjector.java
@@ -1,6 +1,5 @@
 package saffronferry.rig;
 
-import saffronferry.lab.scenario.Scenario.Fault;
 import io.vertx.core.Vertx;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -9,6 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.lab.scenario.Scenario.Fault;
 
 /** Injects the faults of a scenario; faults of peer links are applied by {@link DatagramRelay}. */
 final class FaultInjector {
--- a/src/main/java/saffronferry/rig/FaultRig.java
+++ b/src/main/java/saffronferry/rig/FaultRig.java
@@ -1,6 +1,5 @@
 package saffronferry.rig;
 
-import saffronferry.lab.scenario.Scenario.WorkerKind;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -30,6 +29,7 @@
 import org.json.JSONObject;
 import saffronferry.lab.scenario.PeerLinks;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /**
  * Runs one scenario with real processes, in real time, on loopback addresses that it chooses itself. When
@@ -94,11 +94,19 @@
                     usageOptions == null
                             ? new DispatcherProcess(i, host, freePort(host), freePort(host), dispatcherFolder)
                             : new DispatcherProcess(
-                                    i, host, freePort(host), freePort(host), freePort(host), dispatcherFolder, usageOptions.startCommand()));
+                                    i,
+                                    host,
+                                    freePort(host),
+                                    freePort(host),
+                                    freePort(host),
+                                    dispatcherFolder,
+                                    usageOptions.startCommand()));
             discoveries.add(new StandInDiscovery(vertx, i, verifier));
         }
         createWorkers();
-        capacity = workers.values().stream().mapToDouble(w -> w.model.warmCapacity()).sum();
+        capacity = workers.values().stream()
+                .mapToDouble(w -> w.model.warmCapacity())
+                .sum();
         loadGenerator = new LoadGenerator(
                 vertx,
                 scenario,
@@ -209,15 +217,16 @@
                     .put("seed", seed)
                     .put(
                             "drawn",
-                            new JSONArray(rig
-                                    .scenario
-                                    .faults()
-                                    .subList(
-                                            scenario.faults().size(),
-                                            rig.scenario.faults().size())
-                                    .stream()
-                                    .map(Object::toString)
-                                    .toList()));
+                            new JSONArray(
+                                    rig
+                                            .scenario
+                                            .faults()
+                                            .subList(
+                                                    scenario.faults().size(),
+                                                    rig.scenario.faults().size())
+                                            .stream()
+                                            .map(Object::toString)
+                                            .toList()));
         } finally {
             rig.close(logFolder);
             Runtime.getRuntime().removeShutdownHook(hook);
@@ -308,7 +317,8 @@
 
     /** Whether the dispatcher's readiness endpoint answers 200. */
     Future<Boolean> isServing(DispatcherProcess d) {
-        return probeClient.request(HttpMethod.GET, d.port, d.host, "/up")
+        return probeClient
+                .request(HttpMethod.GET, d.port, d.host, "/up")
                 .compose(q -> q.send())
                 .map(answer -> answer.statusCode() == 200)
                 .otherwise(false);
--- a/src/main/java/saffronferry/rig/FleetResourceUsage.java
+++ b/src/main/java/saffronferry/rig/FleetResourceUsage.java
@@ -86,8 +86,8 @@
 
     private static Future<Snapshot> takeSnapshot(DispatcherProcess d, Buffer text) {
         try {
-            return Future.succeededFuture(
-                    new Snapshot(System.nanoTime(), ProcessUsage.of(d.process().pid()), ControlMetrics.parse(text.toString())));
+            return Future.succeededFuture(new Snapshot(
+                    System.nanoTime(), ProcessUsage.of(d.process().pid()), ControlMetrics.parse(text.toString())));
         } catch (IOException e) {
             return Future.failedFuture(e);
         }
--- a/src/main/java/saffronferry/rig/IdleDispatcher.java
+++ b/src/main/java/saffronferry/rig/IdleDispatcher.java
@@ -66,7 +66,13 @@
         this.options = options;
         random = new SplittableRandom(seed);
         dispatcher = new DispatcherProcess(
-                0, host, FaultRig.freePort(host), FaultRig.freePort(host), FaultRig.freePort(host), folder, options.startCommand());
+                0,
+                host,
+                FaultRig.freePort(host),
+                FaultRig.freePort(host),
+                FaultRig.freePort(host),
+                folder,
+                options.startCommand());
         discovery = new StandInDiscovery(vertx, 0, (d, update) -> {});
         worker = new StandInWorker(
                 vertx,
@@ -177,7 +183,8 @@
     private record ControlTraffic(long listBytes, long fullListBytes, int changes, long probes) {}
 
     private ControlTraffic controlTraffic() {
-        return new ControlTraffic(discovery.writtenBytes(), discovery.fullList().toString().length(), changes, worker.probeCount());
+        return new ControlTraffic(
+                discovery.writtenBytes(), discovery.fullList().toString().length(), changes, worker.probeCount());
     }
 
     /** The dispatcher's own control metrics, read from its console. */
--- a/src/main/java/saffronferry/rig/LoadGenerator.java
+++ b/src/main/java/saffronferry/rig/LoadGenerator.java
@@ -136,9 +136,14 @@
     }
 
     private void send(
-            HttpClientRequest clientRequest, RunVerifier.Request r, DispatcherProcess d, Scenario.RpcClass spec, String tenant) {
+            HttpClientRequest clientRequest,
+            RunVerifier.Request r,
+            DispatcherProcess d,
+            Scenario.RpcClass spec,
+            String tenant) {
         int generation = d.generation();
-        clientRequest.putHeader("X-Txn", r.txn)
+        clientRequest
+                .putHeader("X-Txn", r.txn)
                 .putHeader("X-Lane", spec.name())
                 .putHeader("X-Org", tenant)
                 .putHeader("X-Remaining-Ms", Long.toString(spec.deadline() / 1000));
@@ -153,7 +158,8 @@
             }
         });
         clientRequest.exceptionHandler(e -> connectionBroken(r, d, generation));
-        clientRequest.send(Buffer.buffer("work"))
+        clientRequest
+                .send(Buffer.buffer("work"))
                 .compose(answer -> answer.body().onSuccess(body -> {
                     int status = answer.statusCode();
                     verifier.recordOutcome(
@@ -161,7 +167,9 @@
                             r,
                             status == 200
                                     ? RunVerifier.ClientOutcome.SERVED
-                                    : status == 503 || status == 429 ? RunVerifier.ClientOutcome.REFUSED : RunVerifier.ClientOutcome.FAILED);
+                                    : status == 503 || status == 429
+                                            ? RunVerifier.ClientOutcome.REFUSED
+                                            : RunVerifier.ClientOutcome.FAILED);
                 }))
                 .onFailure(e -> connectionBroken(r, d, generation));
     }
@@ -173,6 +181,8 @@
                 t -> verifier.recordOutcome(
                         clock.getAsLong(),
                         r,
-                        d.alive() && d.generation() == generation ? RunVerifier.ClientOutcome.NO_ANSWER : RunVerifier.ClientOutcome.DIED_WITH_IT));
+                        d.alive() && d.generation() == generation
+                                ? RunVerifier.ClientOutcome.NO_ANSWER
+                                : RunVerifier.ClientOutcome.DIED_WITH_IT));
     }
 }
--- a/src/main/java/saffronferry/rig/ProcessUsage.java
+++ b/src/main/java/saffronferry/rig/ProcessUsage.java
@@ -94,7 +94,8 @@
     /** Voluntary context switches of the live threads since an earlier reading. */
     long wakeUps(ProcessUsage since) {
         return threads.entrySet().stream()
-                .mapToLong(t -> t.getValue().voluntarySwitches - since.threads.getOrDefault(t.getKey(), NO_USAGE).voluntarySwitches)
+                .mapToLong(t -> t.getValue().voluntarySwitches
+                        - since.threads.getOrDefault(t.getKey(), NO_USAGE).voluntarySwitches)
                 .sum();
     }
 
--- a/src/main/java/saffronferry/rig/RunVerifier.java
+++ b/src/main/java/saffronferry/rig/RunVerifier.java
@@ -134,7 +134,8 @@
 
     /** A client is about to send; the dispatcher is responsible from {@link #recordSent} on. */
     Request openRequest(long now, String txn, int rpcClass, double work, int dispatcher, int generation) {
-        Request r = new Request(txn, rpcClass, work, dispatcher, new RuleChecker.Id(dispatcher, generation, requestCount), now);
+        Request r = new Request(
+                txn, rpcClass, work, dispatcher, new RuleChecker.Id(dispatcher, generation, requestCount), now);
         openRequests.put(txn, r);
         requestCount++;
         worthRequested += scenario.classes().get(rpcClass).worth();
@@ -202,7 +203,9 @@
 
     /** A dispatcher was paused or resumed: timing rules do not apply to the requests that it holds, all others do. */
     void dispatcherPausedOrResumed(int dispatcher) {
-        openRequests.values().stream().filter(r -> r.dispatcher == dispatcher).forEach(r -> r.excludedFromTiming = true);
+        openRequests.values().stream()
+                .filter(r -> r.dispatcher == dispatcher)
+                .forEach(r -> r.excludedFromTiming = true);
     }
 
     // ---- discovery ----
@@ -225,7 +228,9 @@
                         default -> WorkerState.GONE;
                     });
             if (entry.getLong("up_since_ms") > 0) {
-                announcedStarts.computeIfAbsent(dispatcher, d -> new HashSet<>()).add(id);
+                announcedStarts
+                        .computeIfAbsent(dispatcher, d -> new HashSet<>())
+                        .add(id);
             }
         }
         if (update.getBoolean("complete")) {
@@ -267,7 +272,8 @@
         double arrivedWork = c.window.stream().mapToDouble(Arrival::work).sum();
         double possibleWork = at.model.capacity(now) * scenario.rules().coldWindow() / 1e6;
         c.maxMultiple = Math.max(c.maxMultiple, arrivedWork / possibleWork);
-        boolean startAnnounced = announcedStarts.getOrDefault(r.dispatcher, Set.of()).contains(at.id);
+        boolean startAnnounced =
+                announcedStarts.getOrDefault(r.dispatcher, Set.of()).contains(at.id);
         if (checker.coldArrivalOverloads(now, at.id, at.model.capacity(now), r.work, r.dispatcher, startAnnounced)) {
             c.crashed = true;
             overloadListener.onOverloadCrash(at);
@@ -299,7 +305,8 @@
      */
     void sampleColdWorkers(long now) {
         boolean waiting = now - lastRefusalAt < WAITING_AFTER_US
-                || openRequests.values().stream().anyMatch(r -> r.activeAttempts == 0 && now - r.unassignedSince > WAITING_AFTER_US);
+                || openRequests.values().stream()
+                        .anyMatch(r -> r.activeAttempts == 0 && now - r.unassignedSince > WAITING_AFTER_US);
         for (StandInWorker w : workers.values()) {
             if (w.startedAt == 0 || w.down() || w.draining() || !w.model.cold(now)) {
                 continue;
@@ -334,7 +341,8 @@
         for (Map.Entry<StandInWorker, ColdWorkerStats> e : coldWorkers.entrySet()) {
             ColdWorkerStats c = e.getValue();
             // less than 0.1 s of waiting requests is too little to judge a worker by
-            double coldCapacity = scenario.kinds().get(0).coldFrom() * e.getKey().model.warmCapacity();
+            double coldCapacity =
+                    scenario.kinds().get(0).coldFrom() * e.getKey().model.warmCapacity();
             boolean judgeable = c.progressWhileWaiting[1] > 1e5 * coldCapacity;
             double usedShare = share(c.progressWhileWaiting[0], c.progressWhileWaiting[1]);
             maxMultiple = Math.max(maxMultiple, c.maxMultiple);
--- a/src/main/java/saffronferry/rig/ScenarioSettings.java
+++ b/src/main/java/saffronferry/rig/ScenarioSettings.java
@@ -46,11 +46,15 @@
                 .forEach(t -> realms.put(new JSONObject()
                         .put("name", t.name())
                         .put("share", t.share() / shares)
-                        .put("allowancePerS", requestsPerSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares))));
+                        .put(
+                                "allowancePerS",
+                                requestsPerSecond * (t.entitled() > 0 ? t.entitled() : t.share() / shares))));
         double cold =
                 s.kinds().stream().mapToDouble(k -> seconds(k.cold())).max().orElse(0);
-        double from =
-                s.kinds().stream().mapToDouble(Scenario.WorkerKind::coldFrom).min().orElse(1);
+        double from = s.kinds().stream()
+                .mapToDouble(Scenario.WorkerKind::coldFrom)
+                .min()
+                .orElse(1);
         return new JSONObject()
                 .put("clients", new JSONObject(Map.of("marksRetry", false)))
                 .put(
--- a/src/main/java/saffronferry/rig/StandInWorker.java
+++ b/src/main/java/saffronferry/rig/StandInWorker.java
@@ -142,7 +142,11 @@
                             reportsEmpty
                                     ? ""
                                     : String.format(
-                                            Locale.ROOT, "tps=%.1f,load_share=%.2f,x0=%d", 1.0, busy, model.freeSlots()));
+                                            Locale.ROOT,
+                                            "tps=%.1f,load_share=%.2f,x0=%d",
+                                            1.0,
+                                            busy,
+                                            model.freeSlots()));
             return;
         }
         request.body().onSuccess(body -> acceptJob(request));
--- a/src/main/java/saffronferry/rig/WorkerModel.java
+++ b/src/main/java/saffronferry/rig/WorkerModel.java
@@ -1,10 +1,10 @@
 package saffronferry.rig;
 
-import saffronferry.lab.scenario.Scenario.WorkerKind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
+import saffronferry.lab.scenario.Scenario.WorkerKind;
 
 /**
  * Capacity model of a stand-in worker: jobs in slots share the cores, further jobs wait in FIFO order or are
@@ -109,8 +109,13 @@
         if (running.isEmpty()) {
             return 0;
         }
-        double thrashFactor = jobCount() > kind.thrashAt() ? 1 / (1 + kind.thrash() * (jobCount() - kind.thrashAt())) : 1;
-        return speed * Math.min(1, kind.cores() / (double) running.size()) * thrashFactor * capacityShare(now) / slowdown;
+        double thrashFactor =
+                jobCount() > kind.thrashAt() ? 1 / (1 + kind.thrash() * (jobCount() - kind.thrashAt())) : 1;
+        return speed
+                * Math.min(1, kind.cores() / (double) running.size())
+                * thrashFactor
+                * capacityShare(now)
+                / slowdown;
     }
 
     /** Advances all running jobs to {@code now} and returns those that have finished. */
@@ -122,7 +127,8 @@
             job.remaining -= workPerJob;
         }
         updatedAt = now;
-        List<Job> finished = running.stream().filter(job -> job.remaining <= 0.5).toList();
+        List<Job> finished =
+                running.stream().filter(job -> job.remaining <= 0.5).toList();
         running.removeAll(finished);
         return finished;
     }
--- a/src/main/java/saffronferry/scale/CostMeter.java
+++ b/src/main/java/saffronferry/scale/CostMeter.java
@@ -1,11 +1,11 @@
 package saffronferry.scale;
 
-import saffronferry.lab.policy.DispatchLogic;
-import saffronferry.lab.world.ClusterSimulation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongConsumer;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.lab.world.ClusterSimulation;
 
 /** Records the cost of each dispatcher of one simulation. */
 final class CostMeter implements ClusterSimulation.LogicDecorator {
@@ -92,7 +92,8 @@
 
     @Override
     public DispatchLogic wrap(DispatchLogic brain, int dispatcher) {
-        dispatchers[dispatcher] = new InstrumentedDispatcher(brain, this, costs.get(dispatcher), dispatcher < LISTS_RETAINED);
+        dispatchers[dispatcher] =
+                new InstrumentedDispatcher(brain, this, costs.get(dispatcher), dispatcher < LISTS_RETAINED);
         return dispatchers[dispatcher];
     }
 
--- a/src/main/java/saffronferry/scale/HeapUsage.java
+++ b/src/main/java/saffronferry/scale/HeapUsage.java
@@ -10,7 +10,9 @@
     /** Used heap in megabytes (10^6 bytes), after full collections until two in a row free nothing more. */
     static double usedMb() {
         double least = Double.MAX_VALUE;
-        for (int collection = 0, roundsWithoutGain = 0; collection < MAX_COLLECTIONS && roundsWithoutGain < 2; collection++) {
+        for (int collection = 0, roundsWithoutGain = 0;
+                collection < MAX_COLLECTIONS && roundsWithoutGain < 2;
+                collection++) {
             System.gc();
             Runtime runtime = Runtime.getRuntime();
             double used = (runtime.totalMemory() - runtime.freeMemory()) / BYTES_PER_MB;
--- a/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
+++ b/src/main/java/saffronferry/scale/InstrumentedDispatcher.java
@@ -88,7 +88,8 @@
                 update.entries().stream().map(ListUpdate.Entry::info).toList();
         meter.recordListParse(cost, meter.clock.elapsedSince(startNanos), now);
         retain(update);
-        return decide(DecisionKind.LIST, now, () -> module.report(now, new BalancerEvent.Resolved(resolved.kind(), entries)));
+        return decide(
+                DecisionKind.LIST, now, () -> module.report(now, new BalancerEvent.Resolved(resolved.kind(), entries)));
     }
 
     private void retain(ListUpdate update) {
--- a/src/main/java/saffronferry/scale/ScaleSimulation.java
+++ b/src/main/java/saffronferry/scale/ScaleSimulation.java
@@ -1,7 +1,5 @@
 package saffronferry.scale;
 
-import saffronferry.lab.world.ClusterSimulation.RunResult;
-import saffronferry.lab.world.ClusterSimulation;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -15,6 +13,8 @@
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Limits;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.lab.world.ClusterSimulation;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 import saffronferry.scale.CostMeter.DecisionKind;
 import saffronferry.scale.CostMeter.DispatcherCost;
 import saffronferry.scale.CostMeter.MessageKind;
@@ -33,7 +33,8 @@
      *     workers
      * @param violations the violated limits and rules, one line each
      */
-    public record Run(Scenario scenario, Map<String, String> set, Map<String, Double> figures, List<String> violations) {
+    public record Run(
+            Scenario scenario, Map<String, String> set, Map<String, Double> figures, List<String> violations) {
         /** The entry of this run in the result file. */
         public JSONObject json() {
             JSONObject json = new JSONObject()
@@ -62,7 +63,8 @@
      * @param progress receives the second of the simulation; negative before the first request
      */
     public static Run run(Scenario scenario, Map<String, String> set, long seed, LongConsumer progress) {
-        CostMeter meter = new CostMeter(scenario, now -> progress.accept((now - ClusterSimulation.LOAD_START_US) / 1_000_000));
+        CostMeter meter =
+                new CostMeter(scenario, now -> progress.accept((now - ClusterSimulation.LOAD_START_US) / 1_000_000));
         RunResult day = ClusterSimulation.run(scenario, Policy.NETWORKED_QUEUES, seed, meter);
         Map<String, Double> figures = figures(scenario, meter, day);
         measureHeap(meter, figures);
@@ -88,7 +90,9 @@
                             / 1e3
                             / Math.max(
                                     1,
-                                    all.stream().mapToLong(a -> a.decisions[index]).sum()));
+                                    all.stream()
+                                            .mapToLong(a -> a.decisions[index])
+                                            .sum()));
         }
         figures.put(
                 "list_parse_us",
@@ -166,7 +170,8 @@
                     double measured = figures.get(name);
                     boolean isMinimum = Limits.isLeast(name);
                     if (isMinimum ? measured < limit : measured > limit) {
-                        violations.add(name + " " + format(measured) + (isMinimum ? " under " : " over ") + format(limit));
+                        violations.add(
+                                name + " " + format(measured) + (isMinimum ? " under " : " over ") + format(limit));
                     }
                 });
         day.violations().stream()
--- a/src/main/java/saffronferry/scale/WorkerListCodec.java
+++ b/src/main/java/saffronferry/scale/WorkerListCodec.java
@@ -41,7 +41,8 @@
             line = encodeUncached(entries, kind != ListKind.CHANGES);
             encodedLines.put(entries, line);
             cachedBytes += line.length;
-            for (Iterator<byte[]> oldest = encodedLines.values().iterator(); cachedBytes > MAX_CACHED_BYTES && encodedLines.size() > 1; ) {
+            for (Iterator<byte[]> oldest = encodedLines.values().iterator();
+                    cachedBytes > MAX_CACHED_BYTES && encodedLines.size() > 1; ) {
                 cachedBytes -= oldest.next().length;
                 oldest.remove();
             }
--- a/src/main/java/saffronferry/scale/fit/FigureSource.java
+++ b/src/main/java/saffronferry/scale/fit/FigureSource.java
@@ -26,7 +26,13 @@
     private final Map<String, String> conditions;
 
     private FigureSource(
-            String kind, String file, String figure, String sizeKey, double size, GrowthModel model, Map<String, String> conditions) {
+            String kind,
+            String file,
+            String figure,
+            String sizeKey,
+            double size,
+            GrowthModel model,
+            Map<String, String> conditions) {
         this.kind = kind;
         this.file = file;
         this.figure = figure;
@@ -54,7 +60,13 @@
         }
         double size = fitted.group(5) == null ? 0 : Double.parseDouble(fitted.group(5));
         return new FigureSource(
-                fitted.group(1), fitted.group(2), fitted.group(3), fitted.group(4), size, model, where(fitted.group(7)));
+                fitted.group(1),
+                fitted.group(2),
+                fitted.group(3),
+                fitted.group(4),
+                size,
+                model,
+                where(fitted.group(7)));
     }
 
     /** Parses conditions written as KEY=VALUE, KEY=VALUE; null is no conditions. */
@@ -66,7 +78,8 @@
                 throw new IllegalArgumentException("expected KEY=VALUE, got " + condition);
             }
             conditions.put(
-                    condition.substring(0, equals).trim(), condition.substring(equals + 1).trim());
+                    condition.substring(0, equals).trim(),
+                    condition.substring(equals + 1).trim());
         }
         return conditions;
     }
--- a/src/main/java/saffronferry/scale/fit/ModelComparison.java
+++ b/src/main/java/saffronferry/scale/fit/ModelComparison.java
@@ -17,9 +17,11 @@
      * @throws IllegalArgumentException with fewer than three sizes
      */
     public static ModelComparison of(List<DataPoint> points) {
-        List<Fit> fits =
-                Arrays.stream(GrowthModel.values()).map(model -> Fit.of(model, points)).toList();
-        double smallestError = fits.stream().mapToDouble(Fit::leaveSizeOutError).min().orElseThrow();
+        List<Fit> fits = Arrays.stream(GrowthModel.values())
+                .map(model -> Fit.of(model, points))
+                .toList();
+        double smallestError =
+                fits.stream().mapToDouble(Fit::leaveSizeOutError).min().orElseThrow();
         double largestValue =
                 points.stream().mapToDouble(p -> Math.abs(p.value())).max().orElseThrow();
         double acceptedError = Math.max(smallestError * SIMPLER_MODEL_TOLERANCE, largestValue * ROUNDING_TOLERANCE);
--- a/src/main/java/saffronferry/state/ResolverResult.java
+++ b/src/main/java/saffronferry/state/ResolverResult.java
@@ -82,7 +82,9 @@
             if (worker.state() == WorkerState.IN_SERVICE
                     && previous.contains(worker.address()) != next.contains(worker.address())) {
                 changed.add(
-                        next.contains(worker.address()) ? withBanApplied(worker) : copyWith(worker, worker.state(), now));
+                        next.contains(worker.address())
+                                ? withBanApplied(worker)
+                                : copyWith(worker, worker.state(), now));
             }
         }
         return changed;
--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -305,8 +305,7 @@
             throw new IllegalStateException("attempt for an RPC that is not open");
         }
         long now = clock.now();
-        CallAttempt attempt =
-                new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, step.subchannel(), this);
+        CallAttempt attempt = new CallAttempt(rpc.id, rpc.rpcClass, rpc.attempts.size(), now, step.subchannel(), this);
         rpc.attempts.add(attempt);
         rpc.openAttempts++;
         String address = resolverResult.address(step.subchannel());
--- a/src/main/java/saffronferry/state/SharingMetrics.java
+++ b/src/main/java/saffronferry/state/SharingMetrics.java
@@ -22,7 +22,10 @@
                         sharing.fallback().ordinal()),
                 gauge("app_cold", "Cold workers of its zone.", sharing.coldWorkers()),
                 gauge("app_cold_guarded", "Of these, those that it guards.", sharing.guardedWorkers()),
-                gauge("app_cold_part", "Its part of what all may send to those, 0 to 1, on the mean.", sharing.meanShare()),
+                gauge(
+                        "app_cold_part",
+                        "Its part of what all may send to those, 0 to 1, on the mean.",
+                        sharing.meanShare()),
                 counter("app_cold_lent_seconds", "Slot time lent of parts of cold workers.", sharing.lentSlotTime()),
                 counter("app_cold_back_seconds", "Of that, what came back unused.", sharing.returnedSlotTime()),
                 counter("app_cold_borrowed_seconds", "Slot time borrowed.", sharing.borrowedSlotTime()));
--- a/src/main/java/saffronferry/wire/ChannelServer.java
+++ b/src/main/java/saffronferry/wire/ChannelServer.java
@@ -109,7 +109,8 @@
         requestReceived = true;
         HttpConnection connection = request.connection();
         request.exceptionHandler(e -> {});
-        if (!clientConnections.requestStarted(connection, () -> reject(request, new RejectedRequestException(408, "too slow")))) {
+        if (!clientConnections.requestStarted(
+                connection, () -> reject(request, new RejectedRequestException(408, "too slow")))) {
             return;
         }
         request.response().headersEndHandler(v -> {
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -63,7 +63,8 @@
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.transport = transport;
         this.handler = handler;
-        admission = new BoundedTransport.ListenerAdmission(new AcceptGate(descriptors, Purpose.CONSOLE, DescriptorBudget.LOW_CONSOLE));
+        admission = new BoundedTransport.ListenerAdmission(
+                new AcceptGate(descriptors, Purpose.CONSOLE, DescriptorBudget.LOW_CONSOLE));
         admission.pending().onSilent(this::makeRoomIfTight);
     }
 
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -74,7 +74,8 @@
         peerListen = options.peerListen();
         listPushed = options.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
-        AttemptCapacity room = new AttemptCapacity(descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
+        AttemptCapacity room = new AttemptCapacity(
+                descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
         descriptors.addReleaseListener(() -> room.update(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
                 vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
@@ -87,7 +88,8 @@
                 descriptors,
                 log);
         peerSocket = new PeerSocket(vertx, options.peers(), this::onDatagram, transport.controlSpend(), log);
-        channelServer = new ChannelServer(vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, figures, log);
+        channelServer = new ChannelServer(
+                vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, figures, log);
     }
 
     /** Opens the peer socket, which the first decisions already use, and then applies the known list. */
--- a/src/main/java/saffronferry/wire/PipeliningHandler.java
+++ b/src/main/java/saffronferry/wire/PipeliningHandler.java
@@ -109,7 +109,8 @@
         while (!queue.isEmpty() && mayPass(queue.peek())) {
             HttpObject next = queue.poll();
             queuedRequests -= next instanceof HttpRequest ? 1 : 0;
-            queuedBytes -= next instanceof HttpContent content ? content.content().readableBytes() : 0;
+            queuedBytes -=
+                    next instanceof HttpContent content ? content.content().readableBytes() : 0;
             pass(ctx, next);
         }
         // otherwise the library would keep batching its writes without a flush
--- a/src/main/java/saffronferry/wire/RpcParser.java
+++ b/src/main/java/saffronferry/wire/RpcParser.java
@@ -22,7 +22,8 @@
 
     RpcParser(List<JobClass> classes, List<String> tenants) {
         this.classes = classes.stream().map(JobClass::name).toList();
-        keyRequired = classes.stream().map(c -> c.idempotency() == Idempotency.KEYED).toList();
+        keyRequired =
+                classes.stream().map(c -> c.idempotency() == Idempotency.KEYED).toList();
         maxRemaining = classes.stream().map(RpcInfo::maxRemaining).toList();
         this.tenants = tenants;
     }
@@ -77,7 +78,8 @@
     }
 
     /** Rejects a header that is given twice: a worker might use the other value. */
-    private static String singleValue(Function<String, List<String>> headers, String name) throws RejectedRequestException {
+    private static String singleValue(Function<String, List<String>> headers, String name)
+            throws RejectedRequestException {
         List<String> values = headers.apply(name);
         if (values.size() > 1) {
             throw new RejectedRequestException(400, name + " is given more than once");
--- a/src/test/java/saffronferry/ColdBudgetTest.java
+++ b/src/test/java/saffronferry/ColdBudgetTest.java
@@ -46,7 +46,10 @@
                 String reporting = "warm" + t / (5 * MS) % warm.length;
                 harness.report(reporting, Math.max(0, SLOTS - running(harnesses, done, reporting)));
                 harness.request(id++);
-                for (; done[d] < harness.sends.size() && harness.sends.get(done[d]).at() + JOB <= harness.now; done[d]++) {
+                for (;
+                        done[d] < harness.sends.size()
+                                && harness.sends.get(done[d]).at() + JOB <= harness.now;
+                        done[d]++) {
                     DispatcherHarness.Send s = harness.sends.get(done[d]);
                     harness.endAttempt(s.id(), s.attempt(), Outcome.OK);
                 }
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -129,7 +129,8 @@
     /** A worker that fails its jobs at once always has free slots, and would attract all jobs. */
     @Test
     void aWorkerThatFailsJobsGetsNeitherTheirRetriesNorFurtherJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.report("a", 5);
         harness.request(1);
         String failing = harness.lastWorkerOf(1);
@@ -150,7 +151,8 @@
 
     @Test
     void aDrainingWorkerGetsNoJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.change(DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
@@ -161,7 +163,8 @@
 
     @Test
     void aWorkerMissingFromAWholeListGetsNoJobs() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.list(DispatcherHarness.worker("b"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
@@ -204,7 +207,8 @@
     void aRequestThatNoWorkerMayTakeEndsAtOnce() {
         options.classes = List.of(DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.CELL));
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b", 1, WorkerState.IN_SERVICE, 0));
         harness.request(1);
         harness.change(DispatcherHarness.worker("a", 0, WorkerState.GONE, 0));
         harness.endAttempt(1, 0, Outcome.RESET);
@@ -215,7 +219,8 @@
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNotRepeated() {
         options.classes = List.of(DispatcherHarness.jobClass(Idempotency.UNSAFE, DedupScope.ALL));
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.request(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
         assertEquals("failed", harness.finals.get(1L));
@@ -240,7 +245,8 @@
 
     @Test
     void aSilentWorkerIsSuspectedAndItsJobsAreHedged() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         for (int round = 0; round < 200; round++) {
             harness.request(1000 + round);
             harness.advance(50 * MS);
@@ -274,14 +280,17 @@
                 harness.endAttempt(1, next.attempt(), Outcome.FULL);
             }
         }
-        assertTrue(harness.sends.size() <= 7, "a worker that answers full was tried " + harness.sends.size() + " times in 4 s");
+        assertTrue(
+                harness.sends.size() <= 7,
+                "a worker that answers full was tried " + harness.sends.size() + " times in 4 s");
         assertTrue(harness.sends.size() >= 2);
     }
 
     @Test
     void workersOfAZoneWithoutDispatchersAreAdopted() {
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (long id = 1; id <= 4; id++) {
             harness.request(id);
         }
@@ -320,7 +329,12 @@
     @Test
     void aSlotOfAnotherOwnerIsUsedOnlyWhenOfferedAndTheOwnerIsTold() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(
+                        DispatcherHarness.worker("a"),
+                        DispatcherHarness.worker("b"),
+                        DispatcherHarness.worker("c"),
+                        DispatcherHarness.worker("d"));
         PeerMessage hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
         harness.dispatcher.peerMessage(harness.now, 1, hello.encode());
         harness.advance(60 * MS);
@@ -338,7 +352,9 @@
         harness.sentMessages.clear();
         harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         assertEquals(1, harness.sendCount(foreign));
-        assertTrue(harness.sentMessages.stream().map(b -> PeerMessage.decode(b, 0)).anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
+        assertTrue(harness.sentMessages.stream()
+                .map(b -> PeerMessage.decode(b, 0))
+                .anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
     }
 
     /** A dispatcher that does not own a worker must time its warm-up too, or it never uses a slot offered there again. */
@@ -347,7 +363,8 @@
         options.peers = 2;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
-        harness.list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, harness.now));
+        harness.list(
+                DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, harness.now));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.addSlots(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // often enough for the peer not to count as silent
@@ -364,7 +381,8 @@
     void spillsOnlyToASlotThatANeighbourOffers() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.addSlots(new DispatcherState.Worker("far", 0).hash, 3);
         harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
@@ -386,8 +404,10 @@
     void heldJobsAreSpilledWhenANeighbourOffersSlots() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).encode());
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        harness.dispatcher.peerMessage(
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).encode());
         harness.advance(S);
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
@@ -406,8 +426,14 @@
     void aSlotIsFreeAgainThoughTheMessageOfItsJobsEndIsLost() {
         options.peers = 2;
         for (boolean reportedAgain : new boolean[] {true, false}) {
-            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-            harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
+            DispatcherHarness harness = new DispatcherHarness(options.settings())
+                    .list(
+                            DispatcherHarness.worker("a"),
+                            DispatcherHarness.worker("b"),
+                            DispatcherHarness.worker("c"),
+                            DispatcherHarness.worker("d"));
+            harness.dispatcher.peerMessage(
+                    harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
             harness.advance(60 * MS);
             for (String own : List.of("a", "b", "c", "d")) {
                 PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
@@ -417,11 +443,15 @@
             harness.request(1);
             assertEquals(0, harness.sends.size(), "all slots are in use by the peer's jobs");
             if (reportedAgain) {
-                harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).encode());
+                harness.dispatcher.peerMessage(
+                        harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).encode());
             } else {
                 harness.advance(1_900 * MS);
             }
-            assertEquals(1, harness.sends.size(), reportedAgain ? "the peer reports no jobs" : "the peer reports nothing more");
+            assertEquals(
+                    1,
+                    harness.sends.size(),
+                    reportedAgain ? "the peer reports no jobs" : "the peer reports nothing more");
         }
     }
 
@@ -430,7 +460,8 @@
     void jobsOnBorrowedSlotsAreReportedAgainUntilNoneIsReported() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
         offer.addSlots(new DispatcherState.Worker("far", 0).hash, 4);
         harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
@@ -456,7 +487,9 @@
         options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Idempotency.SAFE, DedupScope.ALL, 0, -1));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.request(1, 0, -1, 30 * S, false);
-        harness.change(DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0), DispatcherHarness.worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
+        harness.change(
+                DispatcherHarness.worker("a", 0, WorkerState.DRAINING, 0),
+                DispatcherHarness.worker("cold", 0, WorkerState.IN_SERVICE, harness.now));
         harness.endAttempt(1, 0, Outcome.RESET);
         harness.advance(S);
         assertEquals(0, harness.sendCount("cold"));
@@ -482,7 +515,8 @@
     @Test
     void aNewOwnerIsToldOfTheJobsOnItsWorkerAndOfTheirEnds() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         for (long id = 1; id <= 4; id++) {
             harness.request(id); // alone it owns both workers
         }
@@ -507,7 +541,12 @@
         // a deadline so long that no job counts as ended by its age
         options.classes =
                 List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Idempotency.KEYED, DedupScope.ALL, 7 * S, -1));
-        WorkerInfo[] all = {DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d")};
+        WorkerInfo[] all = {
+            DispatcherHarness.worker("a"),
+            DispatcherHarness.worker("b"),
+            DispatcherHarness.worker("c"),
+            DispatcherHarness.worker("d")
+        };
         int[] hashes = Arrays.stream(all)
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
@@ -547,9 +586,11 @@
     void anOfferIsUsedThoughMostNeighboursOfferNothing() {
         options.peers = 41;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
-            harness.dispatcher.peerMessage(harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).encode());
+            harness.dispatcher.peerMessage(
+                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).encode());
         }
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
@@ -565,8 +606,14 @@
     @Test
     void aMessageWithPBelowOneIsAnsweredWithAnOfferAtOnce() {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(
+                        DispatcherHarness.worker("a"),
+                        DispatcherHarness.worker("b"),
+                        DispatcherHarness.worker("c"),
+                        DispatcherHarness.worker("d"));
+        harness.dispatcher.peerMessage(
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
         harness.advance(60 * MS);
         harness.sentMessages.clear();
         PeerMessage asking = new PeerMessage(PeerMessage.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * MS);
@@ -637,7 +684,8 @@
                 })) {
             harness.dispatcher.peerMessage(harness.now, 1, bytes);
         }
-        harness.dispatcher.peerMessage(harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).encode());
+        harness.dispatcher.peerMessage(
+                harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).encode());
         harness.request(1);
         assertFalse(harness.sends.isEmpty());
     }
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -38,7 +38,8 @@
         return field(of, name).get(of);
     }
 
-    private static DispatcherState.Worker worker(DispatcherHarness harness, String address) throws ReflectiveOperationException {
+    private static DispatcherState.Worker worker(DispatcherHarness harness, String address)
+            throws ReflectiveOperationException {
         return ((WorkerIndex) get(harness.dispatcher, "workerIndex")).byAddress.get(address);
     }
 
@@ -51,7 +52,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"healthCheckPosition", "probePosition"})
     void aPositionThatWrapsIsNoNegativeIndex(String position) throws Exception {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
         field(harness.dispatcher, position).setInt(harness.dispatcher, Integer.MAX_VALUE - 1);
         traffic(harness, 20, 10 * S);
         assertEquals(200, harness.sends.size());
@@ -66,7 +68,9 @@
         for (long id = 1; id <= 70; id++) {
             harness.request(id);
             assertEquals(
-                    id, harness.sends.size(), "backs off until " + worker(harness, "a").backoffUntil + " at " + harness.now);
+                    id,
+                    harness.sends.size(),
+                    "backs off until " + worker(harness, "a").backoffUntil + " at " + harness.now);
             harness.endAttempt(id, 0, Outcome.FULL);
             long backoff = worker(harness, "a").backoffUntil - harness.now;
             assertTrue(backoff >= 3_200 * MS && backoff <= 4 * S, "backs off for " + backoff);
@@ -122,19 +126,10 @@
     void blockingAClassBeyondTheSixtyFourthBlocksNoOther() {
         options.classes = IntStream.range(0, 66)
                 .mapToObj(c -> new JobClass(
-                        "c" + c,
-                        300 * MS,
-                        2,
-                        5 * S,
-                        1,
-                        0.2,
-                        Idempotency.SAFE,
-                        DedupScope.ALL,
-                        7 * S,
-                        c == 64 ? 1 : 0))
+                        "c" + c, 300 * MS, 2, 5 * S, 1, 0.2, Idempotency.SAFE, DedupScope.ALL, 7 * S, c == 64 ? 1 : 0))
                 .toList();
-        DispatcherHarness harness =
-                new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), new WorkerInfo("b", WorkerState.IN_SERVICE, 1, 0, 0, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), new WorkerInfo("b", WorkerState.IN_SERVICE, 1, 0, 0, 0));
         harness.request(1, 64, -1, 5 * S, false);
         harness.endAttempt(1, 0, Outcome.FULL); // b backs off for a while: no slot is found for class 64
         harness.request(2, 64, -1, 5 * S, false);
@@ -156,7 +151,10 @@
                 double w = Dispatcher.spillWeight(p, r);
                 assertTrue(w >= 0 && w <= 1, p + ", " + r + ": " + w);
                 PeerMessage m = PeerMessage.decode(new PeerMessage(PeerMessage.Type.OFFERS, 0, p, r, 0, 0).encode(), 0);
-                assertTrue(Math.abs(m.acceptance - p) <= 1 / 255.0 && Math.abs(m.combinedAcceptance - r) <= 1 / 510.0 + 1e-9, p + ", " + r);
+                assertTrue(
+                        Math.abs(m.acceptance - p) <= 1 / 255.0
+                                && Math.abs(m.combinedAcceptance - r) <= 1 / 510.0 + 1e-9,
+                        p + ", " + r);
             }
         }
         assertEquals(1, Dispatcher.acceptanceProbability(0, 1));
@@ -199,7 +197,10 @@
             double traffic = (double) get(harness.dispatcher, "fleetTrafficShare");
             assertTrue(
                     share >= 0 && share <= 1 && traffic >= 0 && traffic <= 1, peerRate + ": " + share + ", " + traffic);
-            assertEquals(peerRate > 0.1 ? 0 : 0.5, share, "equal shares without traffic, none beside a peer that has traffic");
+            assertEquals(
+                    peerRate > 0.1 ? 0 : 0.5,
+                    share,
+                    "equal shares without traffic, none beside a peer that has traffic");
             harness.request(1, 0, 0, 5 * S, false);
             assertEquals(1, harness.sends.size());
         }
@@ -209,7 +210,8 @@
     @Test
     void theFirstRequestsAfterAStartAreNotOverTheirShare() throws Exception {
         options.peers = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
         for (int i = 0; i < 4; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, hello(1, 20));
             traffic(harness, 20, 200 * MS);
@@ -225,7 +227,11 @@
             for (int zones = 1; zones <= 3; zones++) {
                 options.peers = peers;
                 options.zones = zones;
-                DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"));
+                DispatcherHarness harness = new DispatcherHarness(options.settings())
+                        .list(
+                                DispatcherHarness.worker("a"),
+                                DispatcherHarness.worker("b"),
+                                DispatcherHarness.worker("c"));
                 harness.advance(5 * S);
                 harness.dispatcher.peerMessage(harness.now, peers - 1, hello(0, 0));
                 harness.advance(20 * S);
@@ -241,7 +247,8 @@
     @ValueSource(doubles = {Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, 1e18, -1e18})
     void anAbsurdReportChangesNoLearnedSlots(double freeSlots) throws Exception {
         for (double held : new double[] {Double.NaN, 2}) {
-            DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+            DispatcherHarness harness = new DispatcherHarness(options.settings())
+                    .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
             harness.report("a", 3);
             harness.dispatcher.probeEnded(harness.now, "b", Outcome.OK, new Report(held, 0, freeSlots));
             for (long id = 1; id <= 40; id++) {
@@ -258,8 +265,9 @@
     @Test
     void aPeerThatFailsAfterALongStopIsForgottenSoon() {
         options.peers = 2;
-        WorkerInfo[] all =
-                IntStream.range(0, 8).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new);
+        WorkerInfo[] all = IntStream.range(0, 8)
+                .mapToObj(i -> DispatcherHarness.worker("w" + i))
+                .toArray(WorkerInfo[]::new);
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
         harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         harness.advance(3 * S);
@@ -275,8 +283,9 @@
 
     private DispatcherHarness withBorrowedSlots(int peerMessages) throws Exception {
         options.peers = 2;
-        WorkerInfo[] all =
-                IntStream.range(0, 8).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new);
+        WorkerInfo[] all = IntStream.range(0, 8)
+                .mapToObj(i -> DispatcherHarness.worker("w" + i))
+                .toArray(WorkerInfo[]::new);
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
         harness.dispatcher.peerMessage(harness.now, 1, hello(1, 5));
         harness.advance(100 * MS);
@@ -349,7 +358,8 @@
     void aZoneThatLosesItsDispatchersIsAdoptedAfterAWhile() {
         options.peers = 2;
         options.zones = 2;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 5, 50 * MS).encode();
         for (int i = 0; i < 6; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, hello);
@@ -378,7 +388,8 @@
     /** A client may ask for 255 slots for one job; held, such a job would keep P low. */
     @Test
     void aJobThatFitsNoWorkerIsRefusedAtOnceAndDoesNotLowerP() throws Exception {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.report("a", 4);
         harness.dispatcher.request(harness.now, new Contract.Request(1, 0, -1, harness.now + 5 * S, 255, false));
         harness.dispatcher.request(harness.now, new Contract.Request(2, 0, -1, harness.now + 5 * S, 3, false));
@@ -394,7 +405,9 @@
         options.maxAttempts = 4;
         options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(IntStream.range(0, 20).mapToObj(i -> DispatcherHarness.worker("w" + i)).toArray(WorkerInfo[]::new));
+                .list(IntStream.range(0, 20)
+                        .mapToObj(i -> DispatcherHarness.worker("w" + i))
+                        .toArray(WorkerInfo[]::new));
         int seen = 0;
         long asked = 20 * 200;
         for (long id = 1; id <= asked; id++) {
@@ -413,7 +426,8 @@
     /** A large worker breaks with 100 jobs on it; their repeats, held at once and sent later, are bounded too. */
     @Test
     void repeatsThatAreHeldAtOnceAreBounded() {
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.report("a", 100);
         harness.report("b", 100);
         for (long id = 1; id <= 200; id++) {
--- a/src/test/java/saffronferry/HandoverStateTest.java
+++ b/src/test/java/saffronferry/HandoverStateTest.java
@@ -34,7 +34,9 @@
     }
 
     private static int sent(List<BalancerAction> steps) {
-        return (int) steps.stream().filter(BalancerAction.StartAttempt.class::isInstance).count();
+        return (int) steps.stream()
+                .filter(BalancerAction.StartAttempt.class::isInstance)
+                .count();
     }
 
     /** Submits a number of jobs at once and returns how many of them are sent. */
@@ -62,14 +64,17 @@
         Balancer next = balancer();
         next.report(
                 2 * S,
-                new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), balancerWithEstimates().handoverState().learned())));
+                new BalancerEvent.OtherProcessState(new HandoverState(
+                        Map.of(), balancerWithEstimates().handoverState().learned())));
         assertEquals(6, fill(next, 2 * S, 9));
     }
 
     @Test
     void slotsThatTheOtherProcessUsesCountAsTakenUntilItsNextState() throws Exception {
         Balancer b = balancerWithEstimates();
-        b.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
+        b.report(
+                2 * S,
+                new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 4, "unknown", 3), new double[0])));
         assertEquals(2, fill(b, 2 * S, 6));
         assertEquals(Map.of("w", 2), b.handoverState().busySlots());
         BalancerEvent three = new BalancerEvent.OtherProcessState(new HandoverState(Map.of("w", 3), new double[0]));
@@ -107,7 +112,8 @@
         Balancer withOwnEstimates = balancerWithEstimates();
         double[] own = withOwnEstimates.handoverState().learned();
         withOwnEstimates.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), before)));
-        assertArrayEquals(own, withOwnEstimates.handoverState().learned(), "a process with estimates of its own keeps them");
+        assertArrayEquals(
+                own, withOwnEstimates.handoverState().learned(), "a process with estimates of its own keeps them");
         assertTrue(own[0] > 5);
     }
 
@@ -138,6 +144,8 @@
         Balancer one = balancerWithEstimates();
         one.report(2 * S, new BalancerEvent.OtherProcessState(new HandoverState(Map.of(), new double[] {1})));
         int withOtherProcess = sentToColdWorker(one);
-        assertTrue(withOtherProcess > 0 && withOtherProcess <= alone / 2 + 1, withOtherProcess + " with another process, " + alone + " alone");
+        assertTrue(
+                withOtherProcess > 0 && withOtherProcess <= alone / 2 + 1,
+                withOtherProcess + " with another process, " + alone + " alone");
     }
 }
--- a/src/test/java/saffronferry/LearnedEstimatesTest.java
+++ b/src/test/java/saffronferry/LearnedEstimatesTest.java
@@ -10,7 +10,8 @@
 
 /** Estimates for workers that several dispatchers use. */
 class LearnedEstimatesTest {
-    private final LearnedEstimates estimates = new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL)), 500_000);
+    private final LearnedEstimates estimates =
+            new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL)), 500_000);
 
     @Test
     void availableAndTotalSlotsAreLearnedSeparately() {
@@ -19,7 +20,9 @@
             estimates.recordFreeSlots(0, i % 4 == 0 ? 5 : 0); // one report in four is from an idle worker
         }
         assertEquals(1.2, estimates.availableSlots(0), 0.01);
-        assertTrue(estimates.totalSlots(0) > 4.5 && estimates.totalSlots(0) <= 5, "total slots " + estimates.totalSlots(0));
+        assertTrue(
+                estimates.totalSlots(0) > 4.5 && estimates.totalSlots(0) <= 5,
+                "total slots " + estimates.totalSlots(0));
         estimates.recordFreeSlots(0, 1e9);
         estimates.recordFreeSlots(0, Double.NaN);
         assertTrue(estimates.totalSlots(0) <= 5, "an absurd report is ignored");
@@ -33,6 +36,8 @@
         }
         Contract.Request job = new Contract.Request(1, 0, 0, 0, 1, false);
         assertEquals(2, estimates.expectedSlotTime(job, 1) / estimates.expectedSlotTime(job, 0), 0.1);
-        assertTrue(estimates.expectedSlotTime(job, 0) < 500_000, "expected slot time " + estimates.expectedSlotTime(job, 0));
+        assertTrue(
+                estimates.expectedSlotTime(job, 0) < 500_000,
+                "expected slot time " + estimates.expectedSlotTime(job, 0));
     }
 }
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -35,7 +35,8 @@
         options.onDemand = true;
         options.peers = peers;
         options.seed = seed;
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.advance(10 * S);
         assertEquals(1, harness.subscriptions);
         harness.change(); // a line without changes
@@ -102,12 +103,16 @@
                 harness.advance(DiscoveryBackoff.WATCH_SILENCE_TIMEOUT_US);
                 harness.dispatcher.workerListFailed(harness.now, WatchEnd.SILENT);
                 long first = nextCall(harness, nextId);
-                assertTrue(first - last + MAX_CALL_WAIT_US <= ANNOUNCED_US + STOP_US - MARGIN_US, "answered after " + (first - last + MAX_CALL_WAIT_US));
+                assertTrue(
+                        first - last + MAX_CALL_WAIT_US <= ANNOUNCED_US + STOP_US - MARGIN_US,
+                        "answered after " + (first - last + MAX_CALL_WAIT_US));
                 harness.advance(MAX_CALL_WAIT_US);
                 harness.dispatcher.workerListFailed(harness.now, WatchEnd.LATE);
                 long second = nextCall(harness, nextId);
                 long announced = Math.max(last + ANNOUNCED_US, first + MAX_CALL_WAIT_US + AFTER_WAIT_US);
-                assertTrue(second <= announced + STOP_US - MARGIN_US, (second - announced) / 1e6 + " s after it counts as announced");
+                assertTrue(
+                        second <= announced + STOP_US - MARGIN_US,
+                        (second - announced) / 1e6 + " s after it counts as announced");
             }
         }
     }
--- a/src/test/java/saffronferry/ListCostTest.java
+++ b/src/test/java/saffronferry/ListCostTest.java
@@ -66,7 +66,6 @@
                 "workerIndex.workersByZone",
                 "workerIndex.ownedWorkers",
                 "workerIndex.openWorkers[");
-        assertEquals(
-                List.of(), uncounted.stream().filter(dispatcher::contains).toList());
+        assertEquals(List.of(), uncounted.stream().filter(dispatcher::contains).toList());
     }
 }
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -66,7 +66,11 @@
         dispatcher.workerList(now, ListKind.WARM_COPY, list);
         receivePeerMessages();
         for (int i = 0; i < 400; i++) { // until ownership has settled and slots are learned
-            dispatcher.probeEnded(now, list.get(i % workers).address(), Outcome.OK, new Report(SLOTS_PER_WORKER, 0, SLOTS_PER_WORKER));
+            dispatcher.probeEnded(
+                    now,
+                    list.get(i % workers).address(),
+                    Outcome.OK,
+                    new Report(SLOTS_PER_WORKER, 0, SLOTS_PER_WORKER));
             tick();
         }
     }
@@ -130,7 +134,12 @@
         int index = random.nextInt(list.size());
         WorkerInfo worker = list.get(index);
         WorkerInfo changed = new WorkerInfo(
-                worker.address(), backInService ? WorkerState.IN_SERVICE : WorkerState.DRAINING, worker.kind(), worker.zone(), 0, worker.cell());
+                worker.address(),
+                backInService ? WorkerState.IN_SERVICE : WorkerState.DRAINING,
+                worker.kind(),
+                worker.zone(),
+                0,
+                worker.cell());
         return change(List.of(changed));
     }
 
@@ -143,8 +152,8 @@
                 WorkerState.IN_SERVICE);
         nextWorkerNumber += settings.zoneCount();
         list.set(index, replacement);
-        long cost = change(
-                List.of(replacement, new WorkerInfo(old.address(), WorkerState.GONE, old.kind(), old.zone(), 0, old.cell())));
+        long cost = change(List.of(
+                replacement, new WorkerInfo(old.address(), WorkerState.GONE, old.kind(), old.zone(), 0, old.cell())));
         for (int i = 0; i < ticks; i++) {
             cost += tick();
         }
--- a/src/test/java/saffronferry/ModuleTrace.java
+++ b/src/test/java/saffronferry/ModuleTrace.java
@@ -78,7 +78,12 @@
     private WorkerInfo addWorker() {
         int zone = workersCreated % 9 == 8 ? -1 : random.nextInt(zones);
         WorkerInfo w = new WorkerInfo(
-                "w" + workersCreated++, WorkerState.IN_SERVICE, random.nextInt(4) - 1 & 1, zone, 0, 10 * zone + random.nextInt(3));
+                "w" + workersCreated++,
+                WorkerState.IN_SERVICE,
+                random.nextInt(4) - 1 & 1,
+                zone,
+                0,
+                10 * zone + random.nextInt(3));
         listed.add(w);
         return w;
     }
@@ -160,7 +165,8 @@
             DispatcherHarness.Send s = harness.sends.get(handledSends[d]);
             running.get(d).put(s, now + 50 * MS + random.nextLong(random.nextInt(9) == 0 ? 3 * S : 400 * MS));
         }
-        for (Map.Entry<DispatcherHarness.Send, Long> e : List.copyOf(running.get(d).entrySet())) {
+        for (Map.Entry<DispatcherHarness.Send, Long> e :
+                List.copyOf(running.get(d).entrySet())) {
             DispatcherHarness.Send s = e.getKey();
             long until = asked.get(d).get(s.id()).validUntil();
             if (now >= e.getValue() || now >= until) {
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -1,6 +1,5 @@
 package saffronferry;
 
-import saffronferry.lab.world.ClusterSimulation;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,6 +13,7 @@
 import saffronferry.Contract.Idempotency;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.ScenarioReader;
+import saffronferry.lab.world.ClusterSimulation;
 
 /**
  * The open findings of docs/review-findings.md. Each test asserts the right behaviour and is expected to fail; once the
@@ -45,8 +45,14 @@
         options.peers = 2;
         options.tellsStart = true;
         options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
-        DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"), DispatcherHarness.worker("c"), DispatcherHarness.worker("d"));
-        harness.dispatcher.peerMessage(harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
+        DispatcherHarness harness = new DispatcherHarness(options.settings())
+                .list(
+                        DispatcherHarness.worker("a"),
+                        DispatcherHarness.worker("b"),
+                        DispatcherHarness.worker("c"),
+                        DispatcherHarness.worker("d"));
+        harness.dispatcher.peerMessage(
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
@@ -68,7 +74,8 @@
                     .filter(s -> !s.worker().equals(foreign) && !harness.finals.containsKey(s.id()))
                     .forEach(s -> harness.endAttempt(s.id(), s.attempt(), Contract.Outcome.OK));
         }
-        long attempts = harness.sends.stream().filter(s -> s.id() == borrowed.id()).count();
+        long attempts =
+                harness.sends.stream().filter(s -> s.id() == borrowed.id()).count();
         expectedToFail(() -> assertTrue(attempts > 1, "no second attempt"));
     }
 }
--- a/src/test/java/saffronferry/PeerMessageTest.java
+++ b/src/test/java/saffronferry/PeerMessageTest.java
@@ -33,7 +33,9 @@
             for (int peers : new int[] {1, 9, 100, 800}) {
                 byte[] bytes = transferOffer(NOW - late, peers).encode();
                 PeerMessage m = PeerMessage.decode(bytes, NOW);
-                assertTrue(bytes.length <= PeerMessage.MAX_BYTES && Math.abs(m.timestamp - (NOW - late)) < 4_100, "late " + late);
+                assertTrue(
+                        bytes.length <= PeerMessage.MAX_BYTES && Math.abs(m.timestamp - (NOW - late)) < 4_100,
+                        "late " + late);
                 assertEquals(peers, m.grantees.cardinality());
                 assertTrue(m.knowsColdWorker && m.entryCount == 1 && m.isTransfer(0));
                 assertEquals(18, m.amount(0));
@@ -86,7 +88,8 @@
             DispatcherState.Peer peer = new DispatcherState.Peer(1);
             peer.borrowedBudget.markUsed(c.lastTransferAt);
             PeerMessage m = PeerMessage.decode(transferOffer(c.at, 2).encode(), NOW);
-            peer.recordOffers(new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
+            peer.recordOffers(
+                    new DispatcherState.Worker[] {new DispatcherState.Worker("cold", 0)}, m, NOW, c.bornAt, 400_000);
             assertEquals(c.counts, peer.offerCovers(0, 1, 600_000), c.name);
             if (c.counts) {
                 peer.consumeOffer(0, 1, 600_000);
@@ -103,11 +106,14 @@
         PeerMessage offer = transferOffer(NOW, 2);
         DispatcherState.Worker[] unknownWorker = {null};
         lender.recordOffers(unknownWorker, PeerMessage.decode(offer.encode(), NOW), NOW, 0, 400_000);
-        assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000) && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
+        assertTrue(!lender.hasUnusedLoan(true, NOW + 399_000, 400_000)
+                && lender.hasUnusedLoan(true, NOW + 400_000, 400_000));
         assertTrue(lender.hasUnusedLoan(false, NOW, 400_000), "no job waits");
         byte[] bytes = lender.returnUnusedBudget(new PeerMessage(PeerMessage.Type.RETURNS, 0, 1, 1, 1, 50 * MS))
                 .encode();
-        assertTrue(!lender.hasUnusedLoan(false, NOW, 400_000) && !lender.offerCovers(0, 1, 1), "no longer usable once it is returned");
+        assertTrue(
+                !lender.hasUnusedLoan(false, NOW, 400_000) && !lender.offerCovers(0, 1, 1),
+                "no longer usable once it is returned");
         for (int cut = 0; cut < bytes.length; cut++) {
             PeerMessage.decode(Arrays.copyOf(bytes, cut), NOW);
         }
@@ -125,8 +131,16 @@
                 transfers.recordTransfer(w.hash, c.lentAt, c.lent * PeerMessage.TRANSFER_UNIT_US);
             }
             PeerMessage m = PeerMessage.decode(bytes, c.backAt);
-            assertEquals(c.back, transfers.acceptReturn(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name);
-            assertEquals(0, transfers.acceptReturn(m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt), c.name + ", duplicated");
+            assertEquals(
+                    c.back,
+                    transfers.acceptReturn(
+                            m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt),
+                    c.name);
+            assertEquals(
+                    0,
+                    transfers.acceptReturn(
+                            m.workerHashes[0], m.timestamp, m.amount(0) * PeerMessage.TRANSFER_UNIT_US, c.backAt),
+                    c.name + ", duplicated");
         }
         assertTrue(w.coldBudget.covers(600_000, NOW, 1, 8, 0.5));
         w.coldBudget.spend(900_000);
@@ -134,7 +148,9 @@
         w.coldBudget.covers(600_000, NOW + 2_000_000, 1, 8, 0.5); // refilled meanwhile
         w.coldBudget.refund(900_000);
         w.coldBudget.spend(1_700_000);
-        assertTrue(!w.coldBudget.covers(1, NOW + 2_000_000, 1, 8, 0.5), "a refund is limited to what would have been kept");
+        assertTrue(
+                !w.coldBudget.covers(1, NOW + 2_000_000, 1, 8, 0.5),
+                "a refund is limited to what would have been kept");
     }
 
     /** Transferred budget is charged before the datagram is sent. */
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -103,7 +103,8 @@
             int event = random.nextInt(100);
             if (event < 45) {
                 long within = random.nextInt(8) == 0 ? 1 + random.nextLong(100_000) : 5_000_000;
-                Request q = new Request(nextId++, random.nextInt(3), -1, harness.now + within, 1, random.nextInt(5) == 0);
+                Request q =
+                        new Request(nextId++, random.nextInt(3), -1, harness.now + within, 1, random.nextInt(5) == 0);
                 asked.put(q.id(), q);
                 harness.dispatcher.request(harness.now, q);
             } else if (event < 85 && !inFlight.isEmpty()) {
@@ -114,7 +115,8 @@
                 WorkerInfo w = put("w" + random.nextInt(14), WorkerState.values()[random.nextInt(3)], 0);
                 harness.change(w);
             } else if (event < 90) {
-                harness.change(put("w" + random.nextInt(14), WorkerState.IN_SERVICE, harness.now - random.nextLong(500_000)));
+                harness.change(
+                        put("w" + random.nextInt(14), WorkerState.IN_SERVICE, harness.now - random.nextLong(500_000)));
             } else if (event < 93) {
                 PeerMessage m = new PeerMessage(
                         PeerMessage.Type.values()[random.nextInt(2)],
@@ -150,7 +152,8 @@
                 harness.finals.put(t.send.id(), "served");
                 over = true;
             }
-            harness.dispatcher.attemptEnded(harness.now, t.send.id(), t.send.attempt(), outcome, harness.now - t.send.at(), over, null);
+            harness.dispatcher.attemptEnded(
+                    harness.now, t.send.id(), t.send.attempt(), outcome, harness.now - t.send.at(), over, null);
         }
 
         /** Ends attempts at the client's deadline, by which each request must have its answer. */
@@ -162,7 +165,8 @@
                 }
             }
             for (Request q : asked.values()) {
-                assertTrue(harness.now < q.validUntil() || harness.finals.containsKey(q.id()), "late answer to " + q.id());
+                assertTrue(
+                        harness.now < q.validUntil() || harness.finals.containsKey(q.id()), "late answer to " + q.id());
             }
         }
 
@@ -182,7 +186,8 @@
                     }
                     assertTrue(spec.idempotency() != Idempotency.UNSAFE, "an unsafe request was sent again");
                     if (spec.idempotency() == Idempotency.KEYED) {
-                        assertTrue(DispatcherState.sameGroup(spec.dedupScope(), new PlacedWorker(t.worker).worker, new PlacedWorker(w).worker));
+                        assertTrue(DispatcherState.sameGroup(
+                                spec.dedupScope(), new PlacedWorker(t.worker).worker, new PlacedWorker(w).worker));
                         assertTrue(s.at() < t.send.at() + spec.keyTtl());
                     }
                 }
--- a/src/test/java/saffronferry/TenantTokenBucketsTest.java
+++ b/src/test/java/saffronferry/TenantTokenBucketsTest.java
@@ -39,13 +39,16 @@
     void theModuleAppliesUpdatedAllowances() {
         Balancer balancer = new Balancer(new DispatcherHarness.Options().settings());
         long now = 10 * S;
-        balancer.report(now, new BalancerEvent.Resolved(Contract.ListKind.WHOLE, List.of(DispatcherHarness.worker("a"))));
-        balancer.report(now, new BalancerEvent.AllowancesChanged(List.of(new Tenant("big", 1), new Tenant("small", 100))));
+        balancer.report(
+                now, new BalancerEvent.Resolved(Contract.ListKind.WHOLE, List.of(DispatcherHarness.worker("a"))));
+        balancer.report(
+                now, new BalancerEvent.AllowancesChanged(List.of(new Tenant("big", 1), new Tenant("small", 100))));
         for (long id = 1; id <= 5; id++) {
             balancer.pick(now, new Contract.Request(id, 0, 0, now + 5 * S, 1, false));
         }
         balancer.pick(now, new Contract.Request(6, 0, 1, now + 5 * S, 1, false));
-        List<BalancerAction> steps = balancer.report(now, new BalancerEvent.AttemptEnded(1, 0, Contract.Outcome.OK, 0, true, null));
+        List<BalancerAction> steps =
+                balancer.report(now, new BalancerEvent.AttemptEnded(1, 0, Contract.Outcome.OK, 0, true, null));
         assertTrue(steps.contains(new BalancerAction.StartAttempt(6, "a")), steps.toString());
     }
 }
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -60,7 +60,9 @@
         options.peers = 4;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
-        harness.list(DispatcherHarness.worker("old"), DispatcherHarness.worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
+        harness.list(
+                DispatcherHarness.worker("old"),
+                DispatcherHarness.worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
         assertEquals(SharingStatus.Fallback.ALONE, harness.dispatcher.sharing().fallback());
         assertEquals(0.25, harness.dispatcher.sharing().meanShare());
         for (int peer : new int[] {1, 2}) {
@@ -69,12 +71,16 @@
         }
         SharingStatus sharing = harness.dispatcher.sharing();
         assertEquals(SharingStatus.Fallback.PARTS, sharing.fallback());
-        assertEquals("4 3 2 1", sharing.dispatchers() + " " + sharing.heard() + " " + sharing.delegates() + " " + sharing.coldWorkers());
-        assertTrue(sharing.guardedWorkers() == 0 || sharing.meanShare() == 1 / 3.0, "one is in another zone: " + sharing);
+        assertEquals(
+                "4 3 2 1",
+                sharing.dispatchers() + " " + sharing.heard() + " " + sharing.delegates() + " "
+                        + sharing.coldWorkers());
+        assertTrue(
+                sharing.guardedWorkers() == 0 || sharing.meanShare() == 1 / 3.0, "one is in another zone: " + sharing);
     }
 
-    private static final LearnedEstimates ESTIMATES =
-            new LearnedEstimates(2, List.of(DispatcherHarness.jobClass(Contract.Idempotency.SAFE, Contract.DedupScope.ALL)), 1);
+    private static final LearnedEstimates ESTIMATES = new LearnedEstimates(
+            2, List.of(DispatcherHarness.jobClass(Contract.Idempotency.SAFE, Contract.DedupScope.ALL)), 1);
 
     /** Ownership of a single dispatcher, with zones that keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
@@ -180,7 +186,8 @@
                     .filter(y -> y == 0 || random.nextInt(200) > 20)
                     .toArray();
             BitSet servedZones = BitSet.valueOf(new long[] {random.nextInt(50) == 0 ? 2 : 3});
-            boolean ownershipChanged = (round / 50 & 1) == 0 && ownership.update(zoneMembers, zoneMembers, servedZones) || round == 0;
+            boolean ownershipChanged =
+                    (round / 50 & 1) == 0 && ownership.update(zoneMembers, zoneMembers, servedZones) || round == 0;
             index.reassign(ownership, ownershipChanged, ESTIMATES).forEach(w -> index.updateIndexes(w, w.ownedLocally));
             DispatcherState.Worker w = all.get(random.nextInt(all.size()));
             w.suspect = !w.suspect;
@@ -199,21 +206,25 @@
         }
     }
 
-    private static void compareWithLoop(WorkerIndex index, WorkerOwnership ownership, List<DispatcherState.Worker> all) {
+    private static void compareWithLoop(
+            WorkerIndex index, WorkerOwnership ownership, List<DispatcherState.Worker> all) {
         List<DispatcherState.Worker> sorted = all.stream()
                 .filter(w -> w.state != Contract.WorkerState.GONE)
-                .sorted(Comparator.comparing((DispatcherState.Worker w) -> w.hash).thenComparing(w -> w.address))
+                .sorted(Comparator.comparing((DispatcherState.Worker w) -> w.hash)
+                        .thenComparing(w -> w.address))
                 .toList();
         for (int z = 0; z < 2; z++) {
             int zone = z;
-            assertEquals(sorted.stream().filter(w -> ownership.zoneOf(w) == zone).toList(), List.of(index.workersByZone[z]));
+            assertEquals(
+                    sorted.stream().filter(w -> ownership.zoneOf(w) == zone).toList(), List.of(index.workersByZone[z]));
         }
         List<DispatcherState.Worker> inZone = List.of(index.workersByZone[1]);
         int[] owners = ownership.assignWarmOwners(index.workersByZone[1]);
         for (int i = 0; i < owners.length; i++) {
             assertEquals(owners[i], inZone.get(i).warmOwner);
         }
-        List<DispatcherState.Worker> owned = inZone.stream().filter(ownership::isOwnedLocally).toList();
+        List<DispatcherState.Worker> owned =
+                inZone.stream().filter(ownership::isOwnedLocally).toList();
         assertEquals(owned, List.of(index.ownedWorkers));
         assertEquals(
                 owned,
--- a/src/test/java/saffronferry/adapter/SimulatorProtocolTest.java
+++ b/src/test/java/saffronferry/adapter/SimulatorProtocolTest.java
@@ -23,7 +23,8 @@
 
     private static String run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimulatorProtocol(new LineReader(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8))), out).run();
+        new SimulatorProtocol(new LineReader(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8))), out)
+                .run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/saffronferry/agree/GossipTest.java
+++ b/src/test/java/saffronferry/agree/GossipTest.java
@@ -65,7 +65,9 @@
         SimulatedFleet fleet = fleet(40, 0.2);
         fleet.applyChanges(0, SimulatedFleet.changesForTenants(1100, "5"));
         long took = fleet.runUntilConverged(120 * SECOND);
-        assertTrue(took >= 0 && fleet.maxBytesInOneSecond <= MAX_BYTES_PER_SECOND, took + " us, " + fleet.maxBytesInOneSecond + " bytes");
+        assertTrue(
+                took >= 0 && fleet.maxBytesInOneSecond <= MAX_BYTES_PER_SECOND,
+                took + " us, " + fleet.maxBytesInOneSecond + " bytes");
         assertEquals(1100, fleet.nodes[7].status(fleet.now).heldChanges());
     }
 
@@ -175,7 +177,8 @@
         fleet.run(5 * SECOND);
         fleet.partition[9] = 1;
         fleet.run(12 * SECOND);
-        assertEquals(GossipStatus.State.ISOLATED, fleet.nodes[9].status(fleet.now).state());
+        assertEquals(
+                GossipStatus.State.ISOLATED, fleet.nodes[9].status(fleet.now).state());
         assertEquals("10", fleet.settings.get(9).get(SimulatedFleet.key(1)));
         fleet.partition[9] = 0;
         fleet.run(5 * SECOND);
@@ -212,7 +215,10 @@
         fleet.deliver(0, 5, malformed.toBytes(new DatagramAuthenticator(SimulatedFleet.SECRET)));
         assertEquals(digest, fleet.nodes[5].status(fleet.now).digest());
         fleet.deliver(0, 5, forged.toBytes(new DatagramAuthenticator(SimulatedFleet.SECRET)));
-        assertEquals("999", fleet.settings.get(5).get(SimulatedFleet.key(1)), "the same datagram with a valid tag is applied");
+        assertEquals(
+                "999",
+                fleet.settings.get(5).get(SimulatedFleet.key(1)),
+                "the same datagram with a valid tag is applied");
     }
 
     @Test
--- a/src/test/java/saffronferry/agree/LwwMapTest.java
+++ b/src/test/java/saffronferry/agree/LwwMapTest.java
@@ -32,8 +32,8 @@
                         Arbitraries.longs().between(1, 6),
                         Arbitraries.integers().between(0, 2),
                         Arbitraries.integers().between(0, 1))
-                .as((name, value, timestampUs, origin, incarnation) ->
-                        new SettingChange(new SettingKey(DynamicSetting.ALLOWANCE, name), value, timestampUs, origin, incarnation));
+                .as((name, value, timestampUs, origin, incarnation) -> new SettingChange(
+                        new SettingKey(DynamicSetting.ALLOWANCE, name), value, timestampUs, origin, incarnation));
     }
 
     private static LwwMap map(Iterable<SettingChange> changes) {
@@ -85,7 +85,8 @@
 
     @Property(seed = SEED, tries = 500)
     void theHighestTimestampThenTheHighestOriginWinsInAnyOrder(
-            @ForAll @Size(min = 1, max = 12) List<@net.jqwik.api.From("changes") SettingChange> all, @ForAll long order) {
+            @ForAll @Size(min = 1, max = 12) List<@net.jqwik.api.From("changes") SettingChange> all,
+            @ForAll long order) {
         List<SettingChange> shuffled = new ArrayList<>(all);
         Collections.shuffle(shuffled, new Random(order));
         LwwMap map = map(shuffled);
@@ -117,7 +118,8 @@
     }
 
     @Property(seed = SEED, tries = 300)
-    void datagramsAreReadAsWritten(@ForAll @Size(min = 1, max = 8) List<@net.jqwik.api.From("changes") SettingChange> all) {
+    void datagramsAreReadAsWritten(
+            @ForAll @Size(min = 1, max = 8) List<@net.jqwik.api.From("changes") SettingChange> all) {
         GossipDatagram datagram = GossipDatagram.of(GossipDatagram.Kind.CHANGES, 3, NOW);
         List<SettingChange> fitted = all.stream().filter(datagram::addChange).toList();
         DatagramAuthenticator authenticator = new DatagramAuthenticator(SimulatedFleet.SECRET);
--- a/src/test/java/saffronferry/agree/SimulatedFleet.java
+++ b/src/test/java/saffronferry/agree/SimulatedFleet.java
@@ -47,6 +47,7 @@
 
     /** How far each node's clock is ahead of the simulation's. */
     final long[] clockLeadUs;
+
     final long[] bytes;
     final long[] datagrams;
 
@@ -172,7 +173,9 @@
         for (int copies = random.nextDouble() < duplication ? 2 : 1; copies > 0; copies--) {
             if (random.nextDouble() >= loss) {
                 byte[] delivered = corrupt.apply(datagram.clone());
-                at(now + MIN_DELAY_US + random.nextLong(MAX_DELAY_US - MIN_DELAY_US), () -> deliver(from, to, delivered));
+                at(
+                        now + MIN_DELAY_US + random.nextLong(MAX_DELAY_US - MIN_DELAY_US),
+                        () -> deliver(from, to, delivered));
             }
         }
     }
--- a/src/test/java/saffronferry/agree/SpreadMain.java
+++ b/src/test/java/saffronferry/agree/SpreadMain.java
@@ -67,7 +67,8 @@
         fleet.run(120 * SECOND);
         boolean converged = fleet.converged();
         double bytesPerSecond = fleet.bytesPerSecond(() -> fleet.run(60 * SECOND));
-        return String.format(Locale.ROOT, "quiet with 100 held (agreed: %b) %.0f bytes/s a dispatcher", converged, bytesPerSecond);
+        return String.format(
+                Locale.ROOT, "quiet with 100 held (agreed: %b) %.0f bytes/s a dispatcher", converged, bytesPerSecond);
     }
 
     /** Changes 1,100 tenants at once. */
@@ -80,7 +81,10 @@
         });
         StringBuilder kinds = new StringBuilder();
         for (GossipDatagram.Kind k : GossipDatagram.Kind.values()) {
-            kinds.append(' ').append(k).append(' ').append((fleet.bytesByKind[k.ordinal()] - before[k.ordinal()]) / fleet.size);
+            kinds.append(' ')
+                    .append(k)
+                    .append(' ')
+                    .append((fleet.bytesByKind[k.ordinal()] - before[k.ordinal()]) / fleet.size);
         }
         int[] held = Arrays.stream(fleet.nodes)
                 .mapToInt(n -> n.status(fleet.now).heldChanges())
@@ -116,7 +120,9 @@
     private static String batch(SimulatedFleet fleet) {
         fleet.applyChanges(0, SimulatedFleet.changesForTenants(100, "5"));
         return String.format(
-                Locale.ROOT, "100 at once in force everywhere after %.1f s", fleet.runUntilConverged(300 * SECOND) / 1e6);
+                Locale.ROOT,
+                "100 at once in force everywhere after %.1f s",
+                fleet.runUntilConverged(300 * SECOND) / 1e6);
     }
 
     /** Partitions the fleet into halves, changes settings in both, and measures convergence after the repair. */
@@ -124,7 +130,8 @@
         Arrays.fill(fleet.partition, 0, fleet.size / 2, 1);
         int changes = seconds * 2 / 3;
         for (int i = 0; i < changes; i++) {
-            fleet.applyChanges(i % 2 == 0 ? 0 : fleet.size - 1, java.util.Map.of(SimulatedFleet.key(i / 3), Integer.toString(i)));
+            fleet.applyChanges(
+                    i % 2 == 0 ? 0 : fleet.size - 1, java.util.Map.of(SimulatedFleet.key(i / 3), Integer.toString(i)));
             fleet.run(1_500_000);
         }
         Arrays.fill(fleet.partition, 0);
--- a/src/test/java/saffronferry/fleet/ColdSharesTest.java
+++ b/src/test/java/saffronferry/fleet/ColdSharesTest.java
@@ -47,7 +47,8 @@
                             .toArray());
                     BitSet heardPeers = new BitSet();
                     for (int j = 0; j < n; j++) {
-                        heardPeers.set(j, j == i || (!zones || (j - i) % 2 == 0) && now - heard[i][j] < ColdShares.LEASE_US);
+                        heardPeers.set(
+                                j, j == i || (!zones || (j - i) % 2 == 0) && now - heard[i][j] < ColdShares.LEASE_US);
                     }
                     BitSet grantees = shares[i].grant(heardPeers, now);
                     for (int j = 0; j < n; j++) {
@@ -90,7 +91,14 @@
 
     @Test
     void sharesNeverAddUpToMoreThanTheWholeAndAreUsedWhenMessagesArrive() {
-        record Case(String name, int n, boolean zones, double loss, int firstUnreachable, int stopped, double minMeanShare) {}
+        record Case(
+                String name,
+                int n,
+                boolean zones,
+                double loss,
+                int firstUnreachable,
+                int stopped,
+                double minMeanShare) {}
 
         List<Case> cases = List.of(
                 new Case("all messages arrive", 8, false, 0, 8, -1, 1),
@@ -172,7 +180,9 @@
                 maxInWindow = Math.max(maxInWindow, sum);
             }
             assertTrue(maxInWindow <= rate * (window + 400_000) + 2 * job, c.name + ": " + maxInWindow);
-            assertTrue(c.asksEach < 40 || totalSpent > (0.65 + 0.3 / c.n) * rate * spent.length * step, c.name + ": " + totalSpent);
+            assertTrue(
+                    c.asksEach < 40 || totalSpent > (0.65 + 0.3 / c.n) * rate * spent.length * step,
+                    c.name + ": " + totalSpent);
         }
     }
 }
--- a/src/test/java/saffronferry/fleet/DiscoveryBackoffTest.java
+++ b/src/test/java/saffronferry/fleet/DiscoveryBackoffTest.java
@@ -45,7 +45,8 @@
             calls[call.caller]++;
             freeAt = Math.max(freeAt, call.at) + Math.round(1e6 / perSecond);
             if (freeAt - call.at > PATIENCE) {
-                queue.add(new Due(call.at + PATIENCE + backoffs[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
+                queue.add(new Due(
+                        call.at + PATIENCE + backoffs[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
             } else {
                 backoffs[call.caller].listReceived();
                 last = Math.max(last, freeAt);
@@ -93,10 +94,13 @@
                 assertTrue(backoff.firstDelay(random) <= 4_000_000, "after a start");
                 backoff.retryDelay(random, WatchEnd.LATE);
                 for (int i = 0; i < 20; i++) {
-                    assertTrue(backoff.retryDelay(random, WatchEnd.DOWN) <= 5_000_000, "during an outage of any length");
+                    assertTrue(
+                            backoff.retryDelay(random, WatchEnd.DOWN) <= 5_000_000, "during an outage of any length");
                 }
                 backoff.listReceived();
-                assertTrue(backoff.retryDelay(random, WatchEnd.ENDED) <= 4_600_000, "after a watch that had delivered the list");
+                assertTrue(
+                        backoff.retryDelay(random, WatchEnd.ENDED) <= 4_600_000,
+                        "after a watch that had delivered the list");
                 backoff.listReceived();
                 long silent = backoff.retryDelay(random, WatchEnd.SILENT);
                 assertTrue(silent <= 2_000_000, "after 3 s of silence");
@@ -133,7 +137,8 @@
                 }
                 freeAt = Math.max(freeAt, call.at) + Math.round(1e6 / perSecond);
                 if (freeAt - call.at > PATIENCE) {
-                    queue.add(new Due(call.at + PATIENCE + backoffs[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
+                    queue.add(new Due(
+                            call.at + PATIENCE + backoffs[call.caller].retryDelay(random, WatchEnd.LATE), call.caller));
                 } else {
                     last = Math.max(last, freeAt);
                 }
--- a/src/test/java/saffronferry/fleet/RendezvousOwnersTest.java
+++ b/src/test/java/saffronferry/fleet/RendezvousOwnersTest.java
@@ -41,7 +41,10 @@
             int[] members = IntStream.range(0, m).toArray();
             int[] owners = RendezvousOwners.assign(workers, members);
             int[] backwards = IntStream.range(0, m).map(i -> m - 1 - i).toArray();
-            assertArrayEquals(owners, RendezvousOwners.assign(workers, backwards), "the result depends on the order of the members");
+            assertArrayEquals(
+                    owners,
+                    RendezvousOwners.assign(workers, backwards),
+                    "the result depends on the order of the members");
             for (int member : members) {
                 long owned = Arrays.stream(owners).filter(o -> o == member).count();
                 assertTrue(owned == n / m || owned == (n + m - 1) / m, owned + " of " + n + " owned by one of " + m);
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -1,7 +1,5 @@
 package saffronferry.lab;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,6 +15,8 @@
 import java.util.stream.Stream;
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
@@ -69,8 +69,12 @@
                 Scenario s = ScenarioReader.read(file);
                 for (Policy p : Policy.values()) {
                     RunResult result = ClusterSimulation.run(s, p, 3);
-                    assertTrue(p != Policy.NETWORKED_QUEUES || result.violations().isEmpty(), file + ": " + result.violations());
-                    assertTrue(result.goal() > 0.2 && result.goal() <= 1, file + " with " + p.label() + ": " + result.goal());
+                    assertTrue(
+                            p != Policy.NETWORKED_QUEUES || result.violations().isEmpty(),
+                            file + ": " + result.violations());
+                    assertTrue(
+                            result.goal() > 0.2 && result.goal() <= 1,
+                            file + " with " + p.label() + ": " + result.goal());
                 }
             }
         }
@@ -83,8 +87,9 @@
             Scenario s = example(name);
             int maxAttempts = (1 + s.clients().retries()) * s.rules().maxAttempts();
             for (long seed = 1; seed <= 4; seed++) {
-                JSONObject path =
-                        ClusterSimulation.run(s, Policy.NETWORKED_QUEUES, seed).json().getJSONObject("path");
+                JSONObject path = ClusterSimulation.run(s, Policy.NETWORKED_QUEUES, seed)
+                        .json()
+                        .getJSONObject("path");
                 for (String c : path.keySet()) {
                     JSONObject counts = path.getJSONObject(c);
                     assertTrue(counts.getLong("requests") > 50 && counts.getLong("attempts") > 50, name + counts);
@@ -143,8 +148,10 @@
         }
     }
 
-    private static List<Violation> violations(String scenario, UnaryOperator<DispatchLogic> decorator) throws Exception {
-        return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, decorator).violations();
+    private static List<Violation> violations(String scenario, UnaryOperator<DispatchLogic> decorator)
+            throws Exception {
+        return ClusterSimulation.run(example(scenario), Policy.NETWORKED_QUEUES, 1, decorator)
+                .violations();
     }
 
     private static void assertDetected(List<Violation> violations, String rule, String historyContains) {
@@ -177,7 +184,9 @@
                     @Override
                     List<BalancerAction> alter(long now, List<BalancerAction> steps) {
                         List<BalancerAction> all = new ArrayList<>(steps);
-                        steps.stream().filter(BalancerAction.Refuse.class::isInstance).forEach(all::add);
+                        steps.stream()
+                                .filter(BalancerAction.Refuse.class::isInstance)
+                                .forEach(all::add);
                         return all;
                     }
                 }),
--- a/src/test/java/saffronferry/lab/check/DispatcherHarness.java
+++ b/src/test/java/saffronferry/lab/check/DispatcherHarness.java
@@ -81,13 +81,20 @@
     void replay(History history) {
         for (History.Line l : history.lines) {
             switch (l.event()) {
-                case "list" -> at(l.at(), () -> dispatcher(l.whole(0)).receiveList(l.workers(scenario), "whole".equals(l.text(1))));
+                case "list" ->
+                    at(
+                            l.at(),
+                            () -> dispatcher(l.whole(0)).receiveList(l.workers(scenario), "whole".equals(l.text(1))));
                 case "request" ->
-                    at(l.at(), () -> dispatcher(l.whole(0)).receiveRequest(l.text(1), l.text(2), l.micros(3), l.micros(4) / 1e6));
+                    at(
+                            l.at(),
+                            () -> dispatcher(l.whole(0))
+                                    .receiveRequest(l.text(1), l.text(2), l.micros(3), l.micros(4) / 1e6));
                 case "worker" ->
                     at(
                             l.at(),
-                            () -> dispatcher(l.whole(0)).finishAttempt(l.text(1), l.whole(2), l.oneOf(Outcome.class, l.text(3))));
+                            () -> dispatcher(l.whole(0))
+                                    .finishAttempt(l.text(1), l.whole(2), l.oneOf(Outcome.class, l.text(3))));
                 case "ban" -> at(l.at(), () -> dispatcher(l.whole(0)).ban(l.text(1), true));
                 case "back" -> at(l.at(), () -> dispatcher(l.whole(0)).ban(l.text(1), false));
                 case "gone" -> at(l.at(), () -> dispatcher(l.whole(0)).cancelRequest(l.text(1)));
@@ -206,7 +213,9 @@
                 ? Outcome.FULL
                 : percentile < 12 ? Outcome.ERROR : percentile < 15 ? Outcome.RESET : Outcome.OK;
         if (percentile < 97) { // the other attempts never end
-            at(now + 500 + (outcome == Outcome.FULL ? 0 : (long) (jobs * 1e6)), () -> dispatcher.finishAttempt(rpc, number, outcome));
+            at(
+                    now + 500 + (outcome == Outcome.FULL ? 0 : (long) (jobs * 1e6)),
+                    () -> dispatcher.finishAttempt(rpc, number, outcome));
         }
     }
 
@@ -370,8 +379,8 @@
         public void probeLoad(String worker, String address) {
             at(
                     now + 1_000,
-                    () -> ledger.report(
-                            new BalancerEvent.Probed(worker, Outcome.OK, new Report(Double.NaN, 0, 1 + random.nextInt(4)))));
+                    () -> ledger.report(new BalancerEvent.Probed(
+                            worker, Outcome.OK, new Report(Double.NaN, 0, 1 + random.nextInt(4)))));
         }
 
         @Override
--- a/src/test/java/saffronferry/lab/check/History.java
+++ b/src/test/java/saffronferry/lab/check/History.java
@@ -222,7 +222,8 @@
 
     private void reaches(Line l) {
         WorkerInfo worker = workers.get(l.text(2));
-        checker.attemptStarted(l.at, id(l), l.text(2), worker == null ? -1 : worker.zone(), worker == null ? -1 : worker.cell());
+        checker.attemptStarted(
+                l.at, id(l), l.text(2), worker == null ? -1 : worker.zone(), worker == null ? -1 : worker.cell());
         Open o = open.get(id(l));
         double capacity = capacities.getOrDefault(l.text(2), 0.0);
         if (o != null && capacity > 0) {
--- a/src/test/java/saffronferry/lifecycle/BadClientsTest.java
+++ b/src/test/java/saffronferry/lifecycle/BadClientsTest.java
@@ -153,6 +153,9 @@
         assertEquals(409, get(sendRequest("same", "directory-page", 3000)).statusCode());
         assertEquals(200, get(first).statusCode());
         assertEquals(1, forwarded().size());
-        assertEquals("free again", 200, get(sendRequest("same", "directory-page", 3000)).statusCode());
+        assertEquals(
+                "free again",
+                200,
+                get(sendRequest("same", "directory-page", 3000)).statusCode());
     }
 }
--- a/src/test/java/saffronferry/lifecycle/ConfigTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConfigTest.java
@@ -67,7 +67,8 @@
                     ? new org.json.JSONTokener(s).nextValue()
                     : c[1];
             json.put((String) c[0], value);
-            Exception e = assertThrows(c[0] + "=" + c[1], IllegalArgumentException.class, () -> new Config(json, FOLDER));
+            Exception e =
+                    assertThrows(c[0] + "=" + c[1], IllegalArgumentException.class, () -> new Config(json, FOLDER));
             assertTrue(e.getMessage(), e.getMessage().startsWith("configuration key " + c[0]));
         }
         JSONObject json = example();
