--- a/src/test/java/saffronferry/lifecycle/ConnectionEndTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionEndTest.java
@@ -92,7 +92,9 @@
         int served = answers.split("HTTP/1.1 200 OK", -1).length - 1;
         assertTrue(served + " served: " + answers, served > 1 && served < 100);
         for (int i = 0; i < workerA.requests.size(); i++) {
-            assertTrue(workerA.requests.get(i), workerA.requests.get(i).toLowerCase().contains("x-txn: turn-" + i + "\r\n"));
+            assertTrue(
+                    workerA.requests.get(i),
+                    workerA.requests.get(i).toLowerCase().contains("x-txn: turn-" + i + "\r\n"));
         }
         assertEquals(served, workerA.requests.size());
     }
@@ -116,7 +118,8 @@
                     return true; // without a last chunk or a close
                 },
                 (request, out) -> {
-                    ScriptedServer.write(out, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 70000\r\n\r\nhalf");
+                    ScriptedServer.write(
+                            out, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 70000\r\n\r\nhalf");
                     return true;
                 },
                 (request, out) -> {
@@ -132,12 +135,14 @@
         start();
         int closed = 0;
         for (ScriptedServer.Script script : endless) {
-            workerA.script = (request, out) -> workerA.requests.size() > 1 ? ScriptedServer.serve(request, out) : script.answer(request, out);
+            workerA.script = (request, out) ->
+                    workerA.requests.size() > 1 ? ScriptedServer.serve(request, out) : script.answer(request, out);
             workerA.requests.clear();
             sendRequest("directory-page", 6000);
             await(() -> workerA.requests.size() >= 1);
             int before = closed;
-            await(() -> workerA.connectionsClosedByPeer.get() > before || workerA.connectionsBrokenByPeer.get() > before);
+            await(() ->
+                    workerA.connectionsClosedByPeer.get() > before || workerA.connectionsBrokenByPeer.get() > before);
             workerA.script = ScriptedServer::serve;
             await(() -> active() == 0);
             closed = Math.max(workerA.connectionsClosedByPeer.get(), workerA.connectionsBrokenByPeer.get());
@@ -174,7 +179,8 @@
         /** Accepts the waiting connections; records what those of the dispatcher send. */
         void open() {
             opened.countDown();
-            List<Integer> fillingPorts = filling.stream().map(Socket::getLocalPort).toList();
+            List<Integer> fillingPorts =
+                    filling.stream().map(Socket::getLocalPort).toList();
             Thread t = new Thread(() -> {
                 try {
                     while (true) {
@@ -345,7 +351,8 @@
                 throw new ScriptedServer.Reset();
             };
             workerB.script = workerA.script;
-            assertEquals(when.name(), 500, get(sendRequest("directory-page", 3000)).statusCode());
+            assertEquals(
+                    when.name(), 500, get(sendRequest("directory-page", 3000)).statusCode());
             assertEquals(when.name(), 1, workerA.requests.size() + workerB.requests.size());
         }
     }
--- a/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConnectionFloodTest.java
@@ -76,7 +76,8 @@
                     SocketChannel s = clients.get(i);
                     String request = "POST /directory-page HTTP/1.1\r\nHost: h\r\nX-Txn: r" + round + "-" + i
                             + "\r\nX-Remaining-Ms: 5000\r\nContent-Length: 0\r\n\r\n";
-                    answers.add(CompletableFuture.supplyAsync(() -> unchecked(() -> ConnectionFlood.status(s, request))));
+                    answers.add(
+                            CompletableFuture.supplyAsync(() -> unchecked(() -> ConnectionFlood.status(s, request))));
                 }
                 for (CompletableFuture<Integer> answer : answers) {
                     served += answer.get(10, TimeUnit.SECONDS) == 200 ? 1 : 0;
--- a/src/test/java/saffronferry/lifecycle/ConsoleTest.java
+++ b/src/test/java/saffronferry/lifecycle/ConsoleTest.java
@@ -159,8 +159,8 @@
     /** The metrics count the bytes that the scripted servers send and receive as discovery, probes and peers. */
     @Test
     public void controlTrafficIsCountedByKind() throws Exception {
-        String list =
-                "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", workerA.address(), 1, "SERVING", 0) + "]}";
+        String list = "{\"revision\":2,\"complete\":true,\"members\":[" + entry("a", workerA.address(), 1, "SERVING", 0)
+                + "]}";
         discovery.script = watchSending(list);
         start();
         awaitMetricAbove("app_control_bytes{kind=\"lists\",way=\"in\"}", list.length());
@@ -185,7 +185,8 @@
         for (String[] bad : new String[][] {{"", ""}, {stat, "Name:\tx\n"}, {"7 (a) S 1", "VmRSS: 2 kB"}}) {
             assertThrows(IOException.class, () -> ProcessUsage.read(bad[0], bad[1]));
         }
-        assertTrue(ProcessUsage.read().resident() > 10_000_000 && ProcessUsage.read().cpu() > 0);
+        assertTrue(ProcessUsage.read().resident() > 10_000_000
+                && ProcessUsage.read().cpu() > 0);
     }
 
     @Test
--- a/src/test/java/saffronferry/lifecycle/DiscoveryWatchTest.java
+++ b/src/test/java/saffronferry/lifecycle/DiscoveryWatchTest.java
@@ -121,7 +121,8 @@
             ScriptedServer.write(s.getOutputStream(), "GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
             idle.add(s);
         }
-        discovery = closeAfterTest(new ScriptedServer(port, watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))));
+        discovery = closeAfterTest(new ScriptedServer(
+                port, watchSending(list(9, false, entry("b", workerB.address(), 2, "DRAINING", 0)))));
         await(() -> discovery.requests.size() >= 1);
         for (Socket s : idle) {
             s.close();
--- a/src/test/java/saffronferry/lifecycle/DispatcherServerTest.java
+++ b/src/test/java/saffronferry/lifecycle/DispatcherServerTest.java
@@ -27,7 +27,9 @@
         HttpResponse<String> answer = get(sendGift(5000));
         assertEquals("200 made", answer.statusCode() + " " + answer.body());
         String forwarded = workerA.requests.get(0).toLowerCase();
-        assertTrue(forwarded, forwarded.startsWith("post /record-gift?obj=7f http/1.1") && forwarded.endsWith("\r\n\r\nbody"));
+        assertTrue(
+                forwarded,
+                forwarded.startsWith("post /record-gift?obj=7f http/1.1") && forwarded.endsWith("\r\n\r\nbody"));
         assertTrue(forwarded, forwarded.contains("x-txn: t1") && forwarded.contains("idempotency-key: k1"));
         assertTrue(forwarded, forwarded.matches("(?s).*x-remaining-ms: [1-5]\\d{0,3}\r\n.*"));
     }
@@ -138,8 +140,8 @@
     /** A discovery watch that fails, ends or falls silent is reopened. */
     @Test
     public void aLostWatchIsReopened() throws Exception {
-        String list =
-                "{\"revision\":7,\"complete\":true,\"members\":[" + entry("b", workerB.address(), 2, "SERVING", 0) + "]}";
+        String list = "{\"revision\":7,\"complete\":true,\"members\":[" + entry("b", workerB.address(), 2, "SERVING", 0)
+                + "]}";
         discovery.script = (request, out) -> {
             int attempt = discovery.requests.size();
             if (attempt == 1) {
@@ -210,7 +212,10 @@
         workerA.script = ScriptedServer::serve;
         workerB.script = workerA.script;
         assertEquals(
-                200, sendRequest("directory-page", 5000).get(700, TimeUnit.MILLISECONDS).statusCode());
+                200,
+                sendRequest("directory-page", 5000)
+                        .get(700, TimeUnit.MILLISECONDS)
+                        .statusCode());
     }
 
     /** A worker may close an idle connection; an RPC written to it meanwhile would fail as one that may have run. */
--- a/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
+++ b/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
@@ -73,7 +73,10 @@
             FileTime now = Files.getLastModifiedTime(folder.getRoot().toPath());
             Files.writeString(file("d.process-" + next.pid()), "");
             Files.setLastModifiedTime(folder.getRoot().toPath(), now);
-            assertEquals("within the resolution of the folder's modification time", List.of(next.pid()), registry.liveSiblings());
+            assertEquals(
+                    "within the resolution of the folder's modification time",
+                    List.of(next.pid()),
+                    registry.liveSiblings());
         } finally {
             next.destroyForcibly().waitFor();
         }
@@ -97,15 +100,19 @@
         Files.writeString(file("d.process-rubbish"), "");
         assertEquals(new ProcessRegistry.Siblings(1, HandoverState.NONE), registry.exchangeState(HandoverState.NONE));
         Files.writeString(file("d.told-" + other.pid()), "{\"jobs\":{\"w\":3,\"x\":-2},\"learned\":[1,2.5]}");
-        HandoverState received =
-                registry.exchangeState(new HandoverState(Map.of("y", 1), new double[] {7})).state();
+        HandoverState received = registry.exchangeState(new HandoverState(Map.of("y", 1), new double[] {7}))
+                .state();
         assertEquals(new HandoverState(Map.of("w", 3, "x", 0), new double[] {1, 2.5}), received);
-        String published = Files.readString(file("d.told-" + ProcessHandle.current().pid()));
+        String published =
+                Files.readString(file("d.told-" + ProcessHandle.current().pid()));
         assertTrue(
                 published, new JSONObject("{\"jobs\":{\"y\":1},\"learned\":[7]}").similar(new JSONObject(published)));
         for (String damaged : List.of("", "{\"jobs\":{\"w\":3", "{\"jobs\":{\"w\":\"many\"},\"learned\":[]}")) {
             Files.writeString(file("d.told-" + other.pid()), damaged);
-            assertEquals(damaged, HandoverState.NONE, registry.exchangeState(HandoverState.NONE).state());
+            assertEquals(
+                    damaged,
+                    HandoverState.NONE,
+                    registry.exchangeState(HandoverState.NONE).state());
         }
         other.destroyForcibly().waitFor();
         assertEquals(0, registry.exchangeState(HandoverState.NONE).count());
--- a/src/test/java/saffronferry/lifecycle/ReloadTest.java
+++ b/src/test/java/saffronferry/lifecycle/ReloadTest.java
@@ -40,8 +40,8 @@
         Files.writeString(file, config.put("discovery", next.address()).toString());
         sendHangup(process);
         await(() -> next.requests.size() == 1);
-        next.script = watchSending(
-                "{\"revision\":1,\"complete\":false,\"members\":[" + entry("a", workerA.address(), 1, "DRAINING", 0) + "]}");
+        next.script = watchSending("{\"revision\":1,\"complete\":false,\"members\":["
+                + entry("a", workerA.address(), 1, "DRAINING", 0) + "]}");
         await(() -> next.requests.size() == 2);
         for (String request : next.requests) {
             assertTrue(request, request.contains("from=0 "));
@@ -65,7 +65,8 @@
         Path pipe = folder.resolve("config.json");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         Process process = launch(pipe, 1024, "saffronferry.cli.Main", "serve");
-        ScriptedServer next = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        ScriptedServer next =
+                closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         String before = config.toString();
         try (java.io.Writer out = Files.newBufferedWriter(pipe)) { // opens once the process has started to read it
             sendHangup(process);
@@ -90,7 +91,8 @@
         Path file = configFile();
         Process process = launchIgnoringHangup(before, file);
         awaitUp();
-        ScriptedServer next = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        ScriptedServer next =
+                closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         Files.writeString(file, config.put("discovery", next.address()).toString());
         sendHangup(process);
         await(() -> next.requests.size() == 1);
--- a/src/test/java/saffronferry/lifecycle/SettingsAgreementTest.java
+++ b/src/test/java/saffronferry/lifecycle/SettingsAgreementTest.java
@@ -117,7 +117,8 @@
         realms(faulty).getJSONObject(0).put("allowancePerS", 80);
         realms(faulty).getJSONObject(1).put("allowancePerS", -1);
         reload(1, faulty);
-        await(() -> logContains("configuration key settings.realms.lisdara-college.allowancePerS: must be a number of 0"));
+        await(() ->
+                logContains("configuration key settings.realms.lisdara-college.allowancePerS: must be a number of 0"));
         assertEquals(digest, metric(1, "digest"));
         // a process that was stopped meanwhile, and still has its old file, catches up
         signal(processes.get(2), "STOP");
--- a/src/test/java/saffronferry/lifecycle/SocketsFixture.java
+++ b/src/test/java/saffronferry/lifecycle/SocketsFixture.java
@@ -46,7 +46,8 @@
 
     @Before
     public void setUp() throws IOException {
-        discovery = closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
+        discovery =
+                closeAfterTest(new ScriptedServer(watchSending("{\"revision\":1,\"complete\":false,\"members\":[]}")));
         workerA = closeAfterTest(new ScriptedServer(ScriptedServer::serve));
         workerB = closeAfterTest(new ScriptedServer(ScriptedServer::serve));
         peer = closeAfterTest(new DatagramSocket(0, InetAddress.getByName("127.0.0.1")));
@@ -133,7 +134,8 @@
     }
 
     void start(DispatcherServer server) throws Exception {
-        closeAfterTest(() -> server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
+        closeAfterTest(
+                () -> server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS));
         server.start().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/saffronferry/lifecycle/UpgradeTest.java
+++ b/src/test/java/saffronferry/lifecycle/UpgradeTest.java
@@ -102,7 +102,8 @@
 
     private Process startNext(JSONObject configuration) throws IOException {
         Path file = Files.createTempFile(folder, "config", ".json");
-        Files.writeString(file, configuration.put("console", "127.0.0.1:" + freePort()).toString());
+        Files.writeString(
+                file, configuration.put("console", "127.0.0.1:" + freePort()).toString());
         return launch(file, 384, "saffronferry.cli.Main", "serve");
     }
 
@@ -181,7 +182,9 @@
             awaitReady();
             config.put("console", console);
             Thread.sleep(300); // three polls
-            assertTrue("the old process still serves clients", servedOf(20) <= 1); // one kept connection may get its last response
+            assertTrue(
+                    "the old process still serves clients",
+                    servedOf(20) <= 1); // one kept connection may get its last response
             assertTrue(call("GET", "/ops/readiness").startsWith("200"));
             replacement.destroyForcibly().waitFor();
             await(() -> {
--- a/src/test/java/saffronferry/ops/OpsTest.java
+++ b/src/test/java/saffronferry/ops/OpsTest.java
@@ -82,7 +82,8 @@
             usage.recordSample(s * 1_000, 650 + s, 1);
         }
         assertTrue(
-                usage.format().contains("\napp_control_core_percent 0.100\n"), "the burst is outside the rate window: " + usage.format());
+                usage.format().contains("\napp_control_core_percent 0.100\n"),
+                "the burst is outside the rate window: " + usage.format());
         assertTrue(usage.format().contains("\napp_control_bytes_per_second 0\n"), usage.format());
     }
 
--- a/src/test/java/saffronferry/rig/FaultRigTest.java
+++ b/src/test/java/saffronferry/rig/FaultRigTest.java
@@ -131,7 +131,8 @@
             Files.delete(file);
         }
         assertTrue(
-                result.toString(), result.getInt("requests") > 20 && result.getInt("served") > result.getInt("requests") / 2);
+                result.toString(),
+                result.getInt("requests") > 20 && result.getInt("served") > result.getInt("requests") / 2);
         assertTrue("the rules were evaluated: " + result, result.getInt("judged") > 2 * result.getInt("served"));
         assertTrue("datagrams crossed the relay: " + result, result.getInt("datagrams") > 50);
         assertEquals(result.toString(), 0, result.getInt("rules_broken"));
--- a/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
+++ b/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
@@ -13,7 +13,8 @@
     @Test
     public void eachProcessIsMeasuredBetweenTwoSnapshots() throws Exception {
         long before = ProcessHandle.current().children().count();
-        JSONObject result = FaultRig.run(ScenarioReader.parse("small.toml", """
+        JSONObject result =
+                FaultRig.run(ScenarioReader.parse("small.toml", """
                 length_s = 4
                 [fleet]
                 zones = ["a"]
@@ -41,7 +42,8 @@
             assertTrue("discovery sends keepalives: " + p, p.getDouble("bytes_per_s_lists_in") > 0);
             assertTrue("a rate of the console is not differentiated: " + p, !p.has("bytes_per_s_per_second"));
         }
-        JSONObject sum = FleetResourceUsage.summary(new JSONArray("[{\"dispatcher\":0,\"x\":1},{\"dispatcher\":1,\"x\":4}]"));
+        JSONObject sum =
+                FleetResourceUsage.summary(new JSONArray("[{\"dispatcher\":0,\"x\":1},{\"dispatcher\":1,\"x\":4}]"));
         assertEquals(2.5, sum.getDouble("x_mean"), 1e-9);
         assertEquals(4, sum.getDouble("x_most"), 1e-9);
         assertEquals(2, sum.length());
--- a/src/test/java/saffronferry/rig/HardCasesTest.java
+++ b/src/test/java/saffronferry/rig/HardCasesTest.java
@@ -109,7 +109,8 @@
         assertEquals(
                 "processes are left", before, ProcessHandle.current().children().count());
         assertTrue(
-                "asked: " + result, result.getInt("requests") > 60 && result.getInt("served") > result.getInt("requests") / 2);
+                "asked: " + result,
+                result.getInt("requests") > 60 && result.getInt("served") > result.getInt("requests") / 2);
         assertTrue(
                 "cold workers were present: " + result,
                 result.getJSONArray("cold_workers").length() >= 4);
--- a/src/test/java/saffronferry/rig/IdleDispatcherTest.java
+++ b/src/test/java/saffronferry/rig/IdleDispatcherTest.java
@@ -27,7 +27,9 @@
         JSONObject figures = result.getJSONObject("figures");
         assertEquals(result.toString(), 30, result.getInt("workers"));
         assertTrue("the list changed during the measurement: " + figures, figures.getInt("list_changes") > 0);
-        assertTrue("the bytes of the changes are counted: " + figures, figures.getLong("list_bytes_in") > 100 * figures.getInt("list_changes"));
+        assertTrue(
+                "the bytes of the changes are counted: " + figures,
+                figures.getLong("list_bytes_in") > 100 * figures.getInt("list_changes"));
         assertTrue(
                 "30 entries, or 31 while one drains: " + figures,
                 figures.getLong("list_whole_bytes") > 3_000 && figures.getLong("list_whole_bytes") < 6_000);
@@ -37,7 +39,8 @@
         assertTrue("CPU usage of the event loop is reported: " + figures, figures.getDouble("core_percent_loop") > 0);
         assertTrue(
                 "memory is plausible for a JVM: " + figures,
-                figures.getDouble("resident_mb") > 20 && figures.getDouble("resident_mb") <= figures.getDouble("resident_peak_mb"));
+                figures.getDouble("resident_mb") > 20
+                        && figures.getDouble("resident_mb") <= figures.getDouble("resident_peak_mb"));
         assertTrue("its timer wakes it: " + figures, figures.getDouble("wake_ups_per_s") > 1);
     }
 
--- a/src/test/java/saffronferry/scale/ScaleSimulationTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -1,9 +1,5 @@
 package saffronferry.scale;
 
-import saffronferry.BalancerAction;
-import saffronferry.BalancerEvent;
-import saffronferry.lab.policy.DispatchLogic;
-import saffronferry.lab.world.ClusterSimulation;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -22,14 +18,18 @@
 import java.util.stream.Stream;
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
+import saffronferry.BalancerAction;
+import saffronferry.BalancerEvent;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Request;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
+import saffronferry.lab.policy.DispatchLogic;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.Limits;
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioReader;
+import saffronferry.lab.world.ClusterSimulation;
 
 /** Scale simulation: lists are parsed from bytes, control messages are counted, and limits are checked. */
 class ScaleTest {
@@ -84,7 +84,8 @@
         // a changed byte changes the parsed list
         byte[] other = line.clone();
         other[new String(line, StandardCharsets.UTF_8).indexOf("10.0.0.0") + 7] = '9';
-        assertEquals("10.0.0.9:9100", lines.decode(other).entries().get(0).info().address());
+        assertEquals(
+                "10.0.0.9:9100", lines.decode(other).entries().get(0).info().address());
     }
 
     /** Records its inputs; answers each of them with one datagram and one probe. */
@@ -146,11 +147,15 @@
         for (int time = 0; time < 2; time++) {
             assertEquals(0, cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()]);
             instrumented = time == 0 ? instrumented : meter.wrap(new RecordingBrain(), 0); // a restart
-            instrumented.report(ClusterSimulation.LOAD_START_US + 1, new BalancerEvent.Resolved(ListKind.WHOLE, workers()));
+            instrumented.report(
+                    ClusterSimulation.LOAD_START_US + 1, new BalancerEvent.Resolved(ListKind.WHOLE, workers()));
         }
         assertEquals(whole, cost.bytes[CostMeter.MessageKind.LIST_IN.ordinal()]);
         assertEquals(whole, cost.wholeListBytes);
-        assertEquals(1, cost.decisions[CostMeter.DecisionKind.LIST.ordinal()], "the time of the first list is not counted either");
+        assertEquals(
+                1,
+                cost.decisions[CostMeter.DecisionKind.LIST.ordinal()],
+                "the time of the first list is not counted either");
         assertEquals(1, cost.parses);
         assertTrue(cost.startNanos > 0);
         assertEquals(whole, cost.startBytes);
@@ -161,8 +166,10 @@
     void onlyTheTimeUnderLoadIsCounted() throws Exception {
         CostMeter meter = new CostMeter(small(""), now -> {});
         DispatchLogic instrumented = meter.wrap(new RecordingBrain(), 0);
-        instrumented.report(ClusterSimulation.LOAD_START_US - 1, new BalancerEvent.PeerMessageReceived(1, new byte[10]));
-        instrumented.report(ClusterSimulation.LOAD_START_US + 3_000_000, new BalancerEvent.PeerMessageReceived(1, new byte[10]));
+        instrumented.report(
+                ClusterSimulation.LOAD_START_US - 1, new BalancerEvent.PeerMessageReceived(1, new byte[10]));
+        instrumented.report(
+                ClusterSimulation.LOAD_START_US + 3_000_000, new BalancerEvent.PeerMessageReceived(1, new byte[10]));
         CostMeter.DispatcherCost cost = meter.costs.get(0);
         assertEquals(0, cost.controlBytes());
         assertTrue(cost.startBytes > 10, "counted for the start: " + cost.startBytes);
@@ -178,7 +185,9 @@
         Map<String, Double> figures = deterministic(run(scenario).figures());
         assertEquals(figures, deterministic(run(scenario).figures()));
         assertNotEquals(
-                figures, deterministic(ScaleSimulation.run(scenario, Map.of(), 2, second -> {}).figures()));
+                figures,
+                deterministic(
+                        ScaleSimulation.run(scenario, Map.of(), 2, second -> {}).figures()));
         for (String figure : List.of(
                 "datagram_bytes_out_per_s",
                 "datagram_bytes_in_per_s",
@@ -213,7 +222,8 @@
 
     @Test
     void minimumAndMaximumLimitsAreChecked() throws Exception {
-        ScaleSimulation.Run run = run(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
+        ScaleSimulation.Run run =
+                run(small("[limits]\ncontrol_bytes_per_s = 10\ngoal_share = 1\ncold_multiple = 50\n"));
         assertEquals(2, run.violations().size(), run.violations().toString());
         assertTrue(
                 run.violations().get(0).matches("control_bytes_per_s [0-9.]+ over 10"),
@@ -241,7 +251,8 @@
             assertEquals(List.of(), run(regions(trouble)).violations(), trouble);
         }
         double served = figure(regions(lost), "served_share");
-        assertTrue(served < figure(regions(""), "served_share"), "clients of the lost region are not served: " + served);
+        assertTrue(
+                served < figure(regions(""), "served_share"), "clients of the lost region are not served: " + served);
     }
 
     /** Each example scenario, reduced to one dispatcher and four workers per zone. */
@@ -260,7 +271,9 @@
                 ScaleSimulation.Run run = run(ScenarioReader.read(file, overrides));
                 assertEquals(
                         List.of(),
-                        run.violations().stream().filter(b -> b.startsWith("rule")).toList(),
+                        run.violations().stream()
+                                .filter(b -> b.startsWith("rule"))
+                                .toList(),
                         file + "");
                 assertTrue(run.figures().get("served_share") > 0.5, file + ": " + run.figures());
                 assertFalse(
--- a/src/test/java/saffronferry/scale/fit/CapacityPage.java
+++ b/src/test/java/saffronferry/scale/fit/CapacityPage.java
@@ -138,13 +138,17 @@
         ModelComparison all = from.comparison(results);
         Fit fit = all.fit(from.model());
         expect(name + " best form", row.get("best form"), all.best().model().label());
-        expect(name + " measured over", row.get("measured over"), plain(fit.smallestSize()) + " to " + plain(fit.largestSize()));
+        expect(
+                name + " measured over",
+                row.get("measured over"),
+                plain(fit.smallestSize()) + " to " + plain(fit.largestSize()));
         if (from.size() > fit.largestSize()) {
             stretched.add(name);
         }
         if (from.size() != 0) {
             String far = from.size() > fit.largestSize()
-                    ? "stretched " + new BigDecimal(from.size() / fit.largestSize()).setScale(1, RoundingMode.HALF_UP) + " times"
+                    ? "stretched " + new BigDecimal(from.size() / fit.largestSize()).setScale(1, RoundingMode.HALF_UP)
+                            + " times"
                     : "within";
             expect(name + " stretch", row.get("stretch"), far);
             if (value.length != 2) {
--- a/src/test/java/saffronferry/scale/fit/FitTest.java
+++ b/src/test/java/saffronferry/scale/fit/FitTest.java
@@ -25,8 +25,12 @@
     /** Expected values computed from the least squares formulas, independently of the library. */
     @Test
     void lineFitHasSlopeErrorAndForecast() {
-        List<DataPoint> points =
-                List.of(new DataPoint(1, 2.2), new DataPoint(2, 2.8), new DataPoint(3, 3.6), new DataPoint(4, 4.5), new DataPoint(5, 5.1));
+        List<DataPoint> points = List.of(
+                new DataPoint(1, 2.2),
+                new DataPoint(2, 2.8),
+                new DataPoint(3, 3.6),
+                new DataPoint(4, 4.5),
+                new DataPoint(5, 5.1));
         Fit fit = Fit.of(GrowthModel.LINE, points);
         assertEquals(1.39, fit.intercept(), 1e-12);
         assertEquals(0.75, fit.slope(), 1e-12);
@@ -97,7 +101,8 @@
     /** Repeated runs at the same size do not count as further sizes. */
     @Test
     void twoSizesAreRejected() {
-        List<DataPoint> points = List.of(new DataPoint(1, 1), new DataPoint(2, 2), new DataPoint(1, 1.1), new DataPoint(2, 2.1));
+        List<DataPoint> points =
+                List.of(new DataPoint(1, 1), new DataPoint(2, 2), new DataPoint(1, 1.1), new DataPoint(2, 2.1));
         assertEquals(
                 "too few sizes: 2, needed 3",
                 assertThrows(IllegalArgumentException.class, () -> Fit.of(GrowthModel.LINE, points))
--- a/src/test/java/saffronferry/state/ResolverResultTest.java
+++ b/src/test/java/saffronferry/state/ResolverResultTest.java
@@ -46,7 +46,8 @@
         ResolverResult result = new ResolverResult();
         result.apply(whole(1, 0, 10));
         result.apply(whole(2, 2, 10));
-        result.apply(new ListUpdate(3, false, List.of(entry("w2", WorkerState.GONE), entry("d", WorkerState.DRAINING))));
+        result.apply(
+                new ListUpdate(3, false, List.of(entry("w2", WorkerState.GONE), entry("d", WorkerState.DRAINING))));
         for (String id : List.of("w0", "w1", "w2", "w9", "d")) {
             assertTrue(result.isKnown(id), id);
         }
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -29,8 +29,8 @@
 
 /** Table-driven tests of the parsers for data received from the network. */
 public class ParsersTest {
-    private static final RpcParser RPCS =
-            new RpcParser(List.of(jobClass("page", Idempotency.SAFE), jobClass("gift", Idempotency.KEYED)), List.of("acme"));
+    private static final RpcParser RPCS = new RpcParser(
+            List.of(jobClass("page", Idempotency.SAFE), jobClass("gift", Idempotency.KEYED)), List.of("acme"));
     private static final LoadReportParser LOADS = new LoadReportParser("x0");
 
     private static JobClass jobClass(String name, Idempotency effect) {
@@ -103,11 +103,7 @@
     public void loadReportsAreParsed() {
         assertEquals(new Report(7, 2, 3), LOADS.parse("inflight=7, queue=2,x0=3,x1=1.5,util=0.6\n"));
         assertEquals(new Report(Double.NaN, Double.NaN, 3), LOADS.parse("x0=3,x1=full,x"));
-        assertEquals(
-                "no free slot",
-                0,
-                LOADS.parse("load_share=0.9,x0=0,x1=0").freeSlots(),
-                0);
+        assertEquals("no free slot", 0, LOADS.parse("load_share=0.9,x0=0,x1=0").freeSlots(), 0);
         for (String nothing : new String[] {"", "util=0.5", "{}", "=,=", null, "tps=0,load_share=0,x0=0,x1=0"}) {
             assertNull(nothing, LOADS.parse(nothing));
         }
