--- a/src/main/java/saffronferry/scale/WorkerListCodec.java
+++ b/src/main/java/saffronferry/scale/WorkerListCodec.java
@@ -29,7 +29,7 @@
     private long revision;
 
     WorkerListCodec(Scenario scenario) {
-        kinds = scenario.kinds().stream().map(Scenario.Kind::name).toList();
+        kinds = scenario.kinds().stream().map(Scenario.WorkerKind::name).toList();
         zones = scenario.zones();
         parser = new ListParser(kinds, zones);
     }
