--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -104,7 +104,7 @@
      * closed before old incomplete calls.
      */
     private void makeRoomIfTight() {
-        if (!admission.gate().tight()) {
+        if (!admission.gate().isLow()) {
             return;
         }
         Long oldestSilentNanos = admission.pending().oldestConnectedNanos();
