--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -192,7 +192,7 @@
 
     /** The state for another process of this dispatcher that runs at the same time, during a replacement. */
     public HandoverState handoverState() {
-        return balancer.beside();
+        return balancer.handoverState();
     }
 
     public Bans bans() {
@@ -209,7 +209,7 @@
         return new Metrics.Snapshot(
                 unansweredCount,
                 resolverResult.size(),
-                resolverResult.bannedCount() + balancer.avoided(),
+                resolverResult.bannedCount() + balancer.avoidedWorkers(),
                 SharingMetrics.of(balancer.sharing()));
     }
 
@@ -220,7 +220,7 @@
 
     @Override
     public void progressed(CallAttempt attempt, boolean started) {
-        report(new BalancerEvent.AttemptMoved(attempt.rpcId, attempt.index, started));
+        report(new BalancerEvent.AttemptProgressed(attempt.rpcId, attempt.index, started));
     }
 
     @Override
@@ -290,11 +290,11 @@
             answerIfOpen(fail.rpc(), Result.ERRORS, Channel::failed);
         } else if (action instanceof BalancerAction.Probe probe) {
             probe(probe.subchannel());
-        } else if (action instanceof BalancerAction.TellPeer send) {
+        } else if (action instanceof BalancerAction.SendToPeer send) {
             outbound.sendToPeer(send.peer(), send.bytes());
-        } else if (action instanceof BalancerAction.Watch) {
+        } else if (action instanceof BalancerAction.WatchWorkerList) {
             outbound.watchList(resolverResult.revision());
-        } else if (action instanceof BalancerAction.WakeAfter wake) {
+        } else if (action instanceof BalancerAction.StartTimer wake) {
             outbound.schedule(wake.delay(), () -> tick(wake.token()));
         }
     }
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -12,8 +12,8 @@
 import saffronferry.BalancerEvent;
 import saffronferry.Contract.JobClass;
 import saffronferry.agree.Gossip;
-import saffronferry.limit.AttemptRoom;
-import saffronferry.limit.Descriptors;
+import saffronferry.limit.AttemptCapacity;
+import saffronferry.limit.DescriptorBudget;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Metrics;
 import saffronferry.state.CallAttempt;
@@ -65,7 +65,7 @@
             Options options,
             Balancer balancer,
             Metrics metrics,
-            Descriptors descriptors,
+            DescriptorBudget descriptors,
             BoundedTransport transport,
             BoundedLog log) {
         this.vertx = vertx;
@@ -74,8 +74,9 @@
         peerListen = options.peerListen();
         listPushed = options.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, metrics);
-        AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new BalancerEvent.Room(open)));
-        descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
+        AttemptCapacity room = new AttemptCapacity(
+                descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
+        descriptors.addReleaseListener(() -> room.update(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
                 vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
         discoveryWatch = new DiscoveryWatch(
@@ -167,7 +168,7 @@
         if (settingsListener != null && Gossip.isGossipDatagram(bytes)) {
             settingsListener.accept(peer, bytes);
         } else {
-            coordinator.report(new BalancerEvent.PeerSaid(peer, bytes));
+            coordinator.report(new BalancerEvent.PeerMessageReceived(peer, bytes));
         }
     }
 
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -44,7 +44,7 @@
     }
 
     private static byte[] hello(double p, double rate) {
-        return new PeerMessage(PeerMessage.Type.OFFERS, 0, p, p, rate, 50 * MS).bytes();
+        return new PeerMessage(PeerMessage.Type.OFFERS, 0, p, p, rate, 50 * MS).encode();
     }
 
     // ---- counters ----
@@ -99,7 +99,7 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (int i = 0; i < 70; i++) {
             int before = harness.subscriptions;
-            harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
+            harness.dispatcher.workerListFailed(harness.now, WatchEnd.ENDED);
             harness.advance(S);
             assertEquals(before + 1, harness.subscriptions);
         }
@@ -110,14 +110,14 @@
     void runningTimesStayFiniteHoweverManyJobsEnded() throws Exception {
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         LearnedEstimates estimates = (LearnedEstimates) get(harness.dispatcher, "estimates");
-        estimates.ended[0] = Integer.MAX_VALUE - 3;
+        estimates.endedJobs[0] = Integer.MAX_VALUE - 3;
         for (long id = 1; id <= 10; id++) {
             harness.request(id);
             harness.advance(200 * MS);
             harness.endAttempt(id, 0, Outcome.OK);
         }
-        assertTrue(estimates.ended[0] > 0, "the count has wrapped, and would become a divisor of 0");
-        double mean = estimates.mean[0];
+        assertTrue(estimates.endedJobs[0] > 0, "the count has wrapped, and would become a divisor of 0");
+        double mean = estimates.meanRunTime[0];
         assertTrue(mean >= 200 * MS && mean <= 500 * MS, "mean " + mean);
     }
 
@@ -126,7 +126,7 @@
     void blockingAClassBeyondTheSixtyFourthBlocksNoOther() {
         options.classes = IntStream.range(0, 66)
                 .mapToObj(c -> new JobClass(
-                        "c" + c, 300 * MS, 2, 5 * S, 1, 0.2, Effect.SAFE, Group.ALL, 7 * S, c == 64 ? 1 : 0))
+                        "c" + c, 300 * MS, 2, 5 * S, 1, 0.2, Idempotency.SAFE, DedupScope.ALL, 7 * S, c == 64 ? 1 : 0))
                 .toList();
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("a"), new WorkerInfo("b", WorkerState.IN_SERVICE, 1, 0, 0, 0));
@@ -150,8 +150,11 @@
             for (double r : edges) {
                 double w = Dispatcher.spillWeight(p, r);
                 assertTrue(w >= 0 && w <= 1, p + ", " + r + ": " + w);
-                PeerMessage m = PeerMessage.read(new PeerMessage(PeerMessage.Type.OFFERS, 0, p, r, 0, 0).bytes(), 0);
-                assertTrue(Math.abs(m.p - p) <= 1 / 255.0 && Math.abs(m.r - r) <= 1 / 510.0 + 1e-9, p + ", " + r);
+                PeerMessage m = PeerMessage.decode(new PeerMessage(PeerMessage.Type.OFFERS, 0, p, r, 0, 0).encode(), 0);
+                assertTrue(
+                        Math.abs(m.acceptance - p) <= 1 / 255.0
+                                && Math.abs(m.combinedAcceptance - r) <= 1 / 510.0 + 1e-9,
+                        p + ", " + r);
             }
         }
         assertEquals(1, Dispatcher.acceptanceProbability(0, 1));
@@ -162,9 +165,9 @@
     @Test
     void aPJustBelowOneStaysBelowOneInAMessage() {
         for (double p : new double[] {0.99, 0.999, 1 - 1e-9}) {
-            assertTrue(PeerMessage.read(hello(p, 1), 0).p < 1, "P " + p);
+            assertTrue(PeerMessage.decode(hello(p, 1), 0).acceptance < 1, "P " + p);
         }
-        assertEquals(1, PeerMessage.read(hello(1, 1), 0).p);
+        assertEquals(1, PeerMessage.decode(hello(1, 1), 0).acceptance);
     }
 
     private void traffic(DispatcherHarness harness, int perSecond, long span) {
@@ -247,7 +250,7 @@
             DispatcherHarness harness = new DispatcherHarness(options.settings())
                     .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
             harness.report("a", 3);
-            harness.dispatcher.probed(harness.now, "b", Outcome.OK, new Report(held, 0, freeSlots));
+            harness.dispatcher.probeEnded(harness.now, "b", Outcome.OK, new Report(held, 0, freeSlots));
             for (long id = 1; id <= 40; id++) {
                 harness.request(id);
             }
@@ -296,8 +299,8 @@
 
     private static void borrow(DispatcherHarness harness, int slots) {
         PeerMessage m = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 5, 50 * MS);
-        IntStream.range(0, 8).forEach(i -> m.add(new DispatcherState.Worker("w" + i, 0).hash, slots));
-        harness.dispatcher.peerMessage(harness.now, 1, m.bytes());
+        IntStream.range(0, 8).forEach(i -> m.addSlots(new DispatcherState.Worker("w" + i, 0).hash, slots));
+        harness.dispatcher.peerMessage(harness.now, 1, m.encode());
     }
 
     private static int peerSlots(DispatcherHarness harness) throws Exception {
@@ -357,7 +360,7 @@
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
-        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 5, 50 * MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 5, 50 * MS).encode();
         for (int i = 0; i < 6; i++) {
             harness.dispatcher.peerMessage(harness.now, 1, hello);
             harness.advance(500 * MS);
@@ -400,7 +403,7 @@
     @Test
     void repeatsOfJobsThatMayHaveRunAreBounded() {
         options.maxAttempts = 4;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(IntStream.range(0, 20)
                         .mapToObj(i -> DispatcherHarness.worker("w" + i))
@@ -411,7 +414,7 @@
             harness.request(id);
             for (; seen < harness.sends.size(); seen++) {
                 DispatcherHarness.Send s = harness.sends.get(seen);
-                harness.dispatcher.note(harness.now, s.id(), s.attempt(), true);
+                harness.dispatcher.jobProgress(harness.now, s.id(), s.attempt(), true);
                 harness.endAttempt(s.id(), s.attempt(), Outcome.RESET);
             }
             harness.advance(5 * MS);
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.ScenarioReader;
 import saffronferry.lab.world.ClusterSimulation;
@@ -44,7 +44,7 @@
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 2;
         options.tellsStart = true;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(
                         DispatcherHarness.worker("a"),
@@ -52,7 +52,7 @@
                         DispatcherHarness.worker("c"),
                         DispatcherHarness.worker("d"));
         harness.dispatcher.peerMessage(
-                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
@@ -62,8 +62,8 @@
                 .findFirst()
                 .orElseThrow();
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        offer.addSlots(new DispatcherState.Worker(foreign, 0).hash, 1);
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         DispatcherHarness.Send borrowed = harness.sends.stream()
                 .filter(s -> s.worker().equals(foreign))
                 .findFirst()
