--- a/src/main/java/saffronferry/adapter/SimulatorProtocol.java
+++ b/src/main/java/saffronferry/adapter/SimulatorProtocol.java
@@ -306,8 +306,8 @@
         int attempt = (int) in.readInteger("try");
         in.skipField();
         long tookUs = in.skipIfAbsent() ? 0 : in.readTime("timeTaken");
-        boolean isLast = !in.skipIfAbsent() && in.readInteger("final") != 0;
-        instance.dispatcher.attemptEnded(now, id, attempt, outcome, tookUs, isLast, readReport(instance));
+        boolean answered = !in.skipIfAbsent() && in.readInteger("final") != 0;
+        instance.dispatcher.attemptEnded(now, id, attempt, outcome, tookUs, answered, readReport(instance));
     }
 
     private Report readReport(DispatcherInstance instance) {
--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -1,6 +1,5 @@
 package saffronferry.cli;
 
-import saffronferry.lab.world.ClusterSimulation.RunResult;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -28,6 +27,7 @@
 import saffronferry.lab.scenario.Scenario;
 import saffronferry.lab.scenario.ScenarioException;
 import saffronferry.lab.scenario.ScenarioReader;
+import saffronferry.lab.world.ClusterSimulation.RunResult;
 
 /** The command {@code lab}: simulates scenarios in virtual time. */
 @Command(name = "lab", description = "Simulates scenarios in virtual time and compares policies.")
@@ -58,10 +58,10 @@
             throws Exception {
         Scenario scenario = readScenario(file, set);
         Policy chosen = Policy.of(policy);
-        List<RunResult> days = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
-        printTable(Map.of(chosen.label(), days));
-        writeResult(dir, Lab.json(scenario, chosen, days).toString(1));
-        return reportViolations(days);
+        List<RunResult> runs = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
+        printTable(Map.of(chosen.label(), runs));
+        writeResult(dir, Lab.json(scenario, chosen, runs).toString(1));
+        return reportViolations(runs);
     }
 
     @Command(
@@ -79,11 +79,11 @@
         Scenario scenario = readScenario(file, set);
         Map<Policy, List<RunResult>> all = new LinkedHashMap<>();
         for (String label : policies == null ? Policy.labels() : policies) {
-            Policy policyToRun = Policy.of(label);
-            all.put(policyToRun, Lab.run(scenario, policyToRun, parseSeeds(seeds), threadCount(threads)));
+            Policy policyUnderTest = Policy.of(label);
+            all.put(policyUnderTest, Lab.run(scenario, policyUnderTest, parseSeeds(seeds), threadCount(threads)));
         }
         Map<String, List<RunResult>> byLabel = new LinkedHashMap<>();
-        all.forEach((policyToRun, days) -> byLabel.put(policyToRun.label(), days));
+        all.forEach((policyUnderTest, runs) -> byLabel.put(policyUnderTest.label(), runs));
         printTable(byLabel);
         List<Policy> compared = List.copyOf(all.keySet());
         out().println();
@@ -121,7 +121,7 @@
             throws Exception {
         Policy chosen = Policy.of(policy);
         Map<String, List<RunResult>> all = new LinkedHashMap<>();
-        JSONArray plays = new JSONArray();
+        JSONArray runEntries = new JSONArray();
         List<List<String>> combinations = Sweep.parseSteps(set);
         if (result != null) {
             // Warm up the JIT compiler: otherwise the decisions of the first size would be timed before compilation.
@@ -129,14 +129,14 @@
         }
         for (List<String> values : combinations) {
             Scenario scenario = readScenario(file, values);
-            List<RunResult> days = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
-            all.put(String.join(" ", values), days);
-            days.forEach(day -> plays.put(Sweep.runEntry(scenario, day)));
+            List<RunResult> runs = Lab.run(scenario, chosen, parseSeeds(seeds), threadCount(threads));
+            all.put(String.join(" ", values), runs);
+            runs.forEach(run -> runEntries.put(Sweep.runEntry(scenario, run)));
         }
         printTable(all);
         if (result != null) {
             Files.writeString(
-                    result, Sweep.json(readScenario(file, List.of()).name(), plays).toString(1) + "\n");
+                    result, Sweep.json(readScenario(file, List.of()).name(), runEntries).toString(1) + "\n");
             out().println("wrote " + result);
         }
         return reportViolations(all.values().stream().flatMap(List::stream).toList());
@@ -242,41 +242,41 @@
                         "cold x",
                         "used",
                         "broken");
-        all.forEach((label, days) -> out().printf(
+        all.forEach((label, runs) -> out().printf(
                         Locale.ROOT,
                         "%-24s %5d %6.3f %6.3f %6.3f %6.3f %9.3f %8.2f %8.2f %9.1f %10.0f %6.2f %6.2f %7d%n",
                         label,
-                        days.size(),
-                        mean(days, "goal"),
-                        mean(days, "worth_served"),
-                        mean(days, "worst_10_s"),
-                        mean(days, "worst_tenant"),
-                        days.stream()
+                        runs.size(),
+                        mean(runs, "goal"),
+                        mean(runs, "worth_served"),
+                        mean(runs, "worst_10_s"),
+                        mean(runs, "worst_tenant"),
+                        runs.stream()
                                 .mapToDouble(
-                                        d -> d.json().getJSONObject("latency_s").getDouble("p99"))
+                                        run -> run.json().getJSONObject("latency_s").getDouble("p99"))
                                 .average()
                                 .orElse(0),
-                        sum(days, "attempts") / sum(days, "requests"),
-                        (sum(days, "datagrams") + sum(days, "probes")) / sum(days, "requests"),
-                        days.stream().mapToDouble(RunResult::decisionUsPerRequest).average().orElse(0),
-                        days.stream()
-                                .mapToDouble(d -> d.events() / d.wallSeconds())
+                        sum(runs, "attempts") / sum(runs, "requests"),
+                        (sum(runs, "datagrams") + sum(runs, "probes")) / sum(runs, "requests"),
+                        runs.stream().mapToDouble(RunResult::decisionUsPerRequest).average().orElse(0),
+                        runs.stream()
+                                .mapToDouble(run -> run.events() / run.wallSeconds())
                                 .average()
                                 .orElse(0),
-                        days.stream()
-                                .mapToDouble(d -> d.json().getDouble("cold_multiple"))
+                        runs.stream()
+                                .mapToDouble(run -> run.json().getDouble("cold_multiple"))
                                 .max()
                                 .orElse(0),
-                        mean(days, "cold_used"),
-                        days.stream().mapToInt(RunResult::violationCount).sum()));
+                        mean(runs, "cold_used"),
+                        runs.stream().mapToInt(RunResult::violationCount).sum()));
     }
 
-    private static double mean(List<RunResult> days, String key) {
-        return days.stream().mapToDouble(d -> d.json().getDouble(key)).average().orElse(0);
+    private static double mean(List<RunResult> runs, String key) {
+        return runs.stream().mapToDouble(run -> run.json().getDouble(key)).average().orElse(0);
     }
 
-    private static double sum(List<RunResult> days, String key) {
-        return days.stream().mapToDouble(d -> d.json().getDouble(key)).sum();
+    private static double sum(List<RunResult> runs, String key) {
+        return runs.stream().mapToDouble(run -> run.json().getDouble(key)).sum();
     }
 
     private void writeResult(Path dir, String json) throws IOException {
@@ -288,9 +288,9 @@
     }
 
     /** Prints the first violated rules, and returns the exit code. */
-    private int reportViolations(List<RunResult> days) {
+    private int reportViolations(List<RunResult> runs) {
         List<RuleChecker.Violation> all =
-                days.stream().flatMap(d -> d.violations().stream()).toList();
+                runs.stream().flatMap(run -> run.violations().stream()).toList();
         all.stream().limit(3).forEach(violation -> spec.commandLine().getErr().println(violation));
         return all.isEmpty() ? 0 : Main.EXIT_CHECK_FAILED;
     }
--- a/src/main/java/saffronferry/cli/RigCommand.java
+++ b/src/main/java/saffronferry/cli/RigCommand.java
@@ -1,7 +1,5 @@
 package saffronferry.cli;
 
-import saffronferry.rig.FaultRig;
-import saffronferry.rig.FleetResourceUsage;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -19,6 +17,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.rig.FaultRig;
+import saffronferry.rig.FleetResourceUsage;
 import saffronferry.rig.IdleDispatcher;
 
 /** The command {@code rig}: runs real dispatcher processes and injects faults. */
@@ -103,7 +103,7 @@
             throws IOException, InterruptedException {
         IdleDispatcher.Options options = new IdleDispatcher.Options(readStartCommand(deploy), changes, settle);
         Scenario scenario = LabCommand.readScenario(file, set);
-        JSONArray plays = new JSONArray();
+        JSONArray runEntries = new JSONArray();
         boolean held = true;
         out().printf(
                         Locale.ROOT,
@@ -119,14 +119,14 @@
         for (int workerCount : workers == null ? List.of(scenario.workers()) : workers) {
             List<String> values = new ArrayList<>(set == null ? List.of() : set);
             values.add("fleet.workers=" + workerCount);
-            JSONObject play = IdleDispatcher.run(LabCommand.readScenario(file, values), seed, options);
-            plays.put(play);
-            JSONObject figures = play.getJSONObject("figures");
+            JSONObject runEntry = IdleDispatcher.run(LabCommand.readScenario(file, values), seed, options);
+            runEntries.put(runEntry);
+            JSONObject figures = runEntry.getJSONObject("figures");
             out().printf(
                             Locale.ROOT,
                             "%8d %6d %8.2f %9.1f %9.1f %9.1f %9.1f %11d%n",
                             workerCount,
-                            play.getInt("zones"),
+                            runEntry.getInt("zones"),
                             figures.getDouble("core_percent"),
                             figures.getDouble("resident_mb"),
                             figures.getDouble("resident_peak_mb"),
@@ -142,7 +142,7 @@
                     new JSONObject()
                                     .put("scenario", scenario.name())
                                     .put("seed", seed)
-                                    .put("plays", plays)
+                                    .put("plays", runEntries)
                                     .toString(1) + "\n");
         }
         return held ? 0 : Main.EXIT_CHECK_FAILED;
@@ -187,7 +187,7 @@
             figures.put(name, result.getInt(name));
         }
         if (out != null) {
-            JSONObject play = new JSONObject()
+            JSONObject runEntry = new JSONObject()
                     .put("dispatchers", scenario.dispatchers())
                     .put("workers", scenario.workers())
                     .put("zones", scenario.zones().size())
@@ -200,7 +200,7 @@
                     new JSONObject()
                                     .put("scenario", scenario.name())
                                     .put("seed", seed)
-                                    .put("plays", new JSONArray().put(play))
+                                    .put("plays", new JSONArray().put(runEntry))
                                     .toString(1)
                             + "\n");
         }
--- a/src/main/java/saffronferry/cli/ScaleCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleCommand.java
@@ -1,7 +1,5 @@
 package saffronferry.cli;
 
-import saffronferry.scale.ScaleSimulation.Run;
-import saffronferry.scale.ScaleSimulation;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -20,6 +18,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import saffronferry.lab.scenario.Scenario;
+import saffronferry.scale.ScaleSimulation;
+import saffronferry.scale.ScaleSimulation.Run;
 
 /** The command {@code scale}: measures what each dispatcher of a large simulated fleet costs. */
 @Command(
@@ -65,24 +65,24 @@
                             .toList()));
         }
         printHeader();
-        List<Run> plays = new ArrayList<>();
+        List<Run> runs = new ArrayList<>();
         for (int i = 0; i < scenarios.size(); i++) {
-            Map<String, String> other = new LinkedHashMap<>(combinations.get(i));
-            other.keySet().removeAll(KEYS_IN_ROW);
-            String play = "play " + (i + 1) + " of " + scenarios.size();
-            plays.add(ScaleSimulation.run(scenarios.get(i), other, seed, progressPrinter(play, scenarios.get(i))));
-            printRow(plays.get(i));
+            Map<String, String> settings = new LinkedHashMap<>(combinations.get(i));
+            settings.keySet().removeAll(KEYS_IN_ROW);
+            String runLabel = "play " + (i + 1) + " of " + scenarios.size();
+            runs.add(ScaleSimulation.run(scenarios.get(i), settings, seed, progressPrinter(runLabel, scenarios.get(i))));
+            printRow(runs.get(i));
             // Write the file after each run, so that an interrupted sweep keeps its results.
             if (out != null) {
-                Files.writeString(out, ScaleSimulation.json(file.toString(), seed, plays).toString(1) + "\n");
+                Files.writeString(out, ScaleSimulation.json(file.toString(), seed, runs).toString(1) + "\n");
             }
         }
-        plays.forEach(play -> play.violations()
+        runs.forEach(run -> run.violations()
                 .forEach(line -> spec.commandLine()
                         .getErr()
-                        .println(play.scenario().dispatchers() + " dispatchers, "
-                                + play.scenario().workers() + " workers: " + line)));
-        return plays.stream().allMatch(play -> play.violations().isEmpty()) ? 0 : Main.EXIT_CHECK_FAILED;
+                        .println(run.scenario().dispatchers() + " dispatchers, "
+                                + run.scenario().workers() + " workers: " + line)));
+        return runs.stream().allMatch(run -> run.violations().isEmpty()) ? 0 : Main.EXIT_CHECK_FAILED;
     }
 
     /** Every combination of the keys' values, with the last key's changing fastest. */
@@ -107,7 +107,7 @@
     }
 
     /** Returns a printer of a progress line that is overwritten; it prints nothing if there is no terminal. */
-    private LongConsumer progressPrinter(String play, Scenario scenario) {
+    private LongConsumer progressPrinter(String runLabel, Scenario scenario) {
         if (System.console() == null) {
             return second -> {};
         }
@@ -120,7 +120,7 @@
                 err.printf(
                         Locale.ROOT,
                         CLEAR_LINE + "%s: %d dispatchers, %d workers, %d s of %d s%s",
-                        play,
+                        runLabel,
                         scenario.dispatchers(),
                         scenario.workers(),
                         Math.min(second, day),
@@ -159,8 +159,8 @@
         out().flush();
     }
 
-    private void printRow(Run play) {
-        Map<String, Double> figures = play.figures();
+    private void printRow(Run run) {
+        Map<String, Double> figures = run.figures();
         if (System.console() != null) {
             spec.commandLine().getErr().print(CLEAR_LINE);
             spec.commandLine().getErr().flush();
@@ -169,9 +169,9 @@
                         Locale.ROOT,
                         "%11d %7d %5d %6.3f %6.3f %6.2f %8.2f %8.1f %8.2f %9.1f %9.2f %6.2f %8.0f %8.0f %8.0f %6.2f"
                                 + " %7d%n",
-                        play.scenario().dispatchers(),
-                        play.scenario().workers(),
-                        play.scenario().zones().size(),
+                        run.scenario().dispatchers(),
+                        run.scenario().workers(),
+                        run.scenario().zones().size(),
                         figures.get("goal_share"),
                         figures.get("cold_used_share"),
                         figures.get("cold_multiple"),
@@ -185,7 +185,7 @@
                         figures.get("control_bytes_worst_per_s"),
                         figures.get("start_control_bytes") / 1e3,
                         figures.get("heap_mb_per_dispatcher"),
-                        play.violations().size());
+                        run.violations().size());
         out().flush();
     }
 }
--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -1,9 +1,5 @@
 package saffronferry.cli;
 
-import saffronferry.scale.fit.DataPoint;
-import saffronferry.scale.fit.FigureSource;
-import saffronferry.scale.fit.GrowthModel;
-import saffronferry.scale.fit.ModelComparison;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -18,7 +14,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import saffronferry.scale.fit.DataPoint;
+import saffronferry.scale.fit.FigureSource;
 import saffronferry.scale.fit.Fit;
+import saffronferry.scale.fit.GrowthModel;
+import saffronferry.scale.fit.ModelComparison;
 import saffronferry.scale.fit.ResultFile;
 
 /** The command {@code scale-fit}: fits growth forms to measured figures, forecasts, and compares the forms. */
