--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -125,7 +125,11 @@
         List<List<String>> combinations = Sweep.parseSteps(set);
         if (result != null) {
             // Warm up the JIT compiler: otherwise the decisions of the first size would be timed before compilation.
-            Lab.run(readScenario(file, combinations.get(0)), chosen, parseSeeds(seeds).subList(0, 1), 1);
+            Lab.run(
+                    readScenario(file, combinations.get(0)),
+                    chosen,
+                    parseSeeds(seeds).subList(0, 1),
+                    1);
         }
         for (List<String> values : combinations) {
             Scenario scenario = readScenario(file, values);
@@ -136,7 +140,8 @@
         printTable(all);
         if (result != null) {
             Files.writeString(
-                    result, Sweep.json(readScenario(file, List.of()).name(), runEntries).toString(1) + "\n");
+                    result,
+                    Sweep.json(readScenario(file, List.of()).name(), runEntries).toString(1) + "\n");
             out().println("wrote " + result);
         }
         return reportViolations(all.values().stream().flatMap(List::stream).toList());
@@ -149,15 +154,21 @@
                     + "an error.")
     int explore(
             @Option(names = "--depth", defaultValue = "8", description = "steps (${DEFAULT-VALUE})") int depth,
-            @Option(names = "--faults", defaultValue = "2", description = "at most, in one execution (${DEFAULT-VALUE})") int faults,
+            @Option(
+                            names = "--faults",
+                            defaultValue = "2",
+                            description = "at most, in one execution (${DEFAULT-VALUE})")
+                    int faults,
             @Option(names = "--states", defaultValue = "3000000", description = "at most (${DEFAULT-VALUE})")
                     int states) {
         boolean allAsExpected = true;
         for (SharesModel.Variant variant : SharesModel.Variant.values()) {
-            allAsExpected &= exploreModel(new SharesModel(variant, faults), depth, states, variant == SharesModel.Variant.AS_BUILT);
+            allAsExpected &= exploreModel(
+                    new SharesModel(variant, faults), depth, states, variant == SharesModel.Variant.AS_BUILT);
         }
         for (EscrowModel.Variant variant : EscrowModel.Variant.values()) {
-            allAsExpected &= exploreModel(new EscrowModel(variant), depth, states, variant == EscrowModel.Variant.AS_BUILT);
+            allAsExpected &=
+                    exploreModel(new EscrowModel(variant), depth, states, variant == EscrowModel.Variant.AS_BUILT);
         }
         return allAsExpected ? 0 : Main.EXIT_CHECK_FAILED;
     }
@@ -252,13 +263,16 @@
                         mean(runs, "worst_10_s"),
                         mean(runs, "worst_tenant"),
                         runs.stream()
-                                .mapToDouble(
-                                        run -> run.json().getJSONObject("latency_s").getDouble("p99"))
+                                .mapToDouble(run ->
+                                        run.json().getJSONObject("latency_s").getDouble("p99"))
                                 .average()
                                 .orElse(0),
                         sum(runs, "attempts") / sum(runs, "requests"),
                         (sum(runs, "datagrams") + sum(runs, "probes")) / sum(runs, "requests"),
-                        runs.stream().mapToDouble(RunResult::decisionUsPerRequest).average().orElse(0),
+                        runs.stream()
+                                .mapToDouble(RunResult::decisionUsPerRequest)
+                                .average()
+                                .orElse(0),
                         runs.stream()
                                 .mapToDouble(run -> run.events() / run.wallSeconds())
                                 .average()
@@ -272,7 +286,10 @@
     }
 
     private static double mean(List<RunResult> runs, String key) {
-        return runs.stream().mapToDouble(run -> run.json().getDouble(key)).average().orElse(0);
+        return runs.stream()
+                .mapToDouble(run -> run.json().getDouble(key))
+                .average()
+                .orElse(0);
     }
 
     private static double sum(List<RunResult> runs, String key) {
--- a/src/main/java/saffronferry/cli/ScaleCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleCommand.java
@@ -70,11 +70,13 @@
             Map<String, String> settings = new LinkedHashMap<>(combinations.get(i));
             settings.keySet().removeAll(KEYS_IN_ROW);
             String runLabel = "play " + (i + 1) + " of " + scenarios.size();
-            runs.add(ScaleSimulation.run(scenarios.get(i), settings, seed, progressPrinter(runLabel, scenarios.get(i))));
+            runs.add(
+                    ScaleSimulation.run(scenarios.get(i), settings, seed, progressPrinter(runLabel, scenarios.get(i))));
             printRow(runs.get(i));
             // Write the file after each run, so that an interrupted sweep keeps its results.
             if (out != null) {
-                Files.writeString(out, ScaleSimulation.json(file.toString(), seed, runs).toString(1) + "\n");
+                Files.writeString(
+                        out, ScaleSimulation.json(file.toString(), seed, runs).toString(1) + "\n");
             }
         }
         runs.forEach(run -> run.violations()
--- a/src/main/java/saffronferry/cli/ScaleFitCommand.java
+++ b/src/main/java/saffronferry/cli/ScaleFitCommand.java
@@ -105,7 +105,9 @@
 
     /** How far the forecast lies beyond the measured sizes; empty if it does not. */
     private String extrapolation(Fit line) {
-        return at <= line.largestSize() ? "" : String.format(Locale.ROOT, ", %.1f times the largest", at / line.largestSize());
+        return at <= line.largestSize()
+                ? ""
+                : String.format(Locale.ROOT, ", %.1f times the largest", at / line.largestSize());
     }
 
     private static String formatSize(double size) {
