--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -8,8 +8,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import saffronferry.BalancerAction;
 import saffronferry.BalancerEvent;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
@@ -110,16 +110,17 @@
     private WorkerView choose(long now, OpenRequest openRequest) {
         JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
         List<WorkerView> candidates = inService;
-        if (openRequest.possiblyRun != null && jobClass.effect() != Effect.SAFE) {
+        if (openRequest.possiblyRun != null && jobClass.idempotency() != Idempotency.SAFE) {
             WorkerView possiblyRunOn = openRequest.possiblyRun.worker();
-            boolean retryAllowed =
-                    jobClass.effect() == Effect.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
+            boolean retryAllowed = jobClass.idempotency() == Idempotency.KEYED
+                    && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
             candidates = !retryAllowed
                     ? List.of()
                     : inService.stream()
-                            .filter(w -> jobClass.group() == Group.ALL
+                            .filter(w -> jobClass.dedupScope() == DedupScope.ALL
                                     || w.zone == possiblyRunOn.zone
-                                            && (jobClass.group() == Group.ZONE || w.cell == possiblyRunOn.cell))
+                                            && (jobClass.dedupScope() == DedupScope.ZONE
+                                                    || w.cell == possiblyRunOn.cell))
                             .toList();
         }
         if (jobClass.kind() >= 0) {
@@ -128,9 +129,9 @@
         }
         for (int i = 0; i < MAX_CHOICES && !candidates.isEmpty(); i++) {
             WorkerView w = chooser.choose(candidates, random);
-            double age = (now - w.startedAt) / (double) Math.max(1, settings.cold());
+            double age = (now - w.startedAt) / (double) Math.max(1, settings.coldPeriod());
             boolean warm = w.startedAt == 0 || age >= 1;
-            if (warm || random.nextDouble() < settings.coldShare() + (1 - settings.coldShare()) * age) {
+            if (warm || random.nextDouble() < settings.coldCapacity() + (1 - settings.coldCapacity()) * age) {
                 return w;
             }
         }
@@ -141,8 +142,8 @@
         openRequests.remove(openRequest.request.id());
         JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
         boolean retryIsSafe = openRequest.possiblyRun == null
-                || jobClass.effect() == Effect.SAFE
-                || jobClass.effect() == Effect.KEYED && jobClass.group() == Group.ALL;
+                || jobClass.idempotency() == Idempotency.SAFE
+                || jobClass.idempotency() == Idempotency.KEYED && jobClass.dedupScope() == DedupScope.ALL;
         steps.add(
                 retryIsSafe
                         ? new BalancerAction.Refuse(openRequest.request.id(), 0)
@@ -158,10 +159,10 @@
             applyList(r);
             if (!watchRequested) {
                 watchRequested = true;
-                steps.add(new BalancerAction.Watch());
+                steps.add(new BalancerAction.WatchWorkerList());
             }
         } else if (news instanceof BalancerEvent.WatchLost) {
-            steps.add(new BalancerAction.WakeAfter(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
+            steps.add(new BalancerAction.StartTimer(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
         } else if (news instanceof BalancerEvent.ClientGone g) {
             openRequests.remove(g.rpc());
         }
@@ -204,6 +205,6 @@
 
     @Override
     public List<BalancerAction> tick(long now, long token) {
-        return List.of(new BalancerAction.Watch());
+        return List.of(new BalancerAction.WatchWorkerList());
     }
 }
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -13,14 +13,14 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Tenant;
 import saffronferry.Contract.WorkerInfo;
 import saffronferry.Contract.WorkerState;
-import saffronferry.fleet.Owners;
+import saffronferry.fleet.RendezvousOwners;
 import saffronferry.fleet.WatchEnd;
 
 class DispatcherTest {
@@ -205,7 +205,7 @@
     /** With no worker left that may take it, a request is answered at once instead of near its deadline. */
     @Test
     void aRequestThatNoWorkerMayTakeEndsAtOnce() {
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.CELL));
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b", 1, WorkerState.IN_SERVICE, 0));
@@ -218,7 +218,7 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNotRepeated() {
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.UNSAFE, DedupScope.ALL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("b"));
         harness.request(1);
@@ -232,7 +232,7 @@
     @Test
     void aKeyedRequestIsRepeatedOnlyInItsGroupAndWindow() {
         options.zones = 2;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.KEYED, Group.CELL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.CELL));
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("a"), new Contract.WorkerInfo("b", WorkerState.IN_SERVICE, 0, 0, 0, 9));
         harness.request(1);
@@ -336,7 +336,7 @@
                         DispatcherHarness.worker("c"),
                         DispatcherHarness.worker("d"));
         PeerMessage hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
-        harness.dispatcher.peerMessage(harness.now, 1, hello.bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, hello.encode());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
@@ -348,12 +348,12 @@
                 .findFirst()
                 .orElseThrow();
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
+        offer.addSlots(new DispatcherState.Worker(foreign, 0).hash, 1);
         harness.sentMessages.clear();
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         assertEquals(1, harness.sendCount(foreign));
         assertTrue(harness.sentMessages.stream()
-                .map(b -> PeerMessage.read(b, 0))
+                .map(b -> PeerMessage.decode(b, 0))
                 .anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
     }
 
@@ -366,10 +366,10 @@
         harness.list(
                 DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, harness.now));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker("far", 0).hash, 1);
+        offer.addSlots(new DispatcherState.Worker("far", 0).hash, 1);
         for (int after : new int[] {1, 6, 11}) { // often enough for the peer not to count as silent
             harness.advance((after == 1 ? 1 : 5) * S);
-            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+            harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
             for (long id = 100 * after; id < 100 * after + 20; id++) {
                 harness.request(id);
             }
@@ -384,8 +384,8 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("a"), DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker("far", 0).hash, 3);
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        offer.addSlots(new DispatcherState.Worker("far", 0).hash, 3);
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         for (long id = 1; id <= 60; id++) {
             harness.request(id);
         }
@@ -394,8 +394,8 @@
         // the lender must be told, or it uses the slots too
         int last = harness.messageReceivers.lastIndexOf(1);
         assertTrue(harness.sentMessages.stream()
-                .map(b -> PeerMessage.read(b, 0))
-                .anyMatch(m -> m.type == PeerMessage.Type.BORROWS && m.count[0] == 3));
+                .map(b -> PeerMessage.decode(b, 0))
+                .anyMatch(m -> m.type == PeerMessage.Type.BORROWS && m.entryValues[0] == 3));
         assertEquals(1, harness.messageReceivers.get(last));
     }
 
@@ -407,7 +407,7 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         harness.dispatcher.peerMessage(
-                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).encode());
         harness.advance(S);
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
@@ -415,8 +415,8 @@
         assertEquals(0, harness.sends.size());
         for (int i = 0; i < 5; i++) {
             PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-            offer.add(new DispatcherState.Worker("far", 0).hash, 4);
-            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+            offer.addSlots(new DispatcherState.Worker("far", 0).hash, 4);
+            harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         }
         assertTrue(harness.sends.size() >= 4, harness.sends.size() + " sent"); // P is 1/9 at first
     }
@@ -433,18 +433,18 @@
                             DispatcherHarness.worker("c"),
                             DispatcherHarness.worker("d"));
             harness.dispatcher.peerMessage(
-                    harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+                    harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
             harness.advance(60 * MS);
             for (String own : List.of("a", "b", "c", "d")) {
                 PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
-                borrows.add(new DispatcherState.Worker(own, 0).hash, 2);
-                harness.dispatcher.peerMessage(harness.now, 1, borrows.bytes());
+                borrows.addSlots(new DispatcherState.Worker(own, 0).hash, 2);
+                harness.dispatcher.peerMessage(harness.now, 1, borrows.encode());
             }
             harness.request(1);
             assertEquals(0, harness.sends.size(), "all slots are in use by the peer's jobs");
             if (reportedAgain) {
                 harness.dispatcher.peerMessage(
-                        harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).bytes());
+                        harness.now, 1, new PeerMessage(PeerMessage.Type.HOLDS, 0, 1, 1, 1, 50 * MS).encode());
             } else {
                 harness.advance(1_900 * MS);
             }
@@ -463,8 +463,8 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings())
                 .list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker("far", 0).hash, 4);
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        offer.addSlots(new DispatcherState.Worker("far", 0).hash, 4);
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         for (long id = 1; id <= 30; id++) {
             harness.request(id);
         }
@@ -474,9 +474,9 @@
         harness.sends.forEach(s -> harness.endAttempt(s.id(), 0, Outcome.OK));
         harness.advance(1_600 * MS);
         List<String> reports = harness.sentMessages.stream()
-                .map(b -> PeerMessage.read(b, 0))
+                .map(b -> PeerMessage.decode(b, 0))
                 .filter(m -> m.type == PeerMessage.Type.HOLDS)
-                .map(m -> m.entries == 0 ? "none" : Integer.toString(m.count[0]))
+                .map(m -> m.entryCount == 0 ? "none" : Integer.toString(m.entryValues[0]))
                 .toList();
         assertEquals(List.of(Integer.toString(borrowed), Integer.toString(borrowed), "none"), reports);
     }
@@ -484,7 +484,7 @@
     /** In the simulator one job of 14 s of work overloaded four cold workers, one after the other. */
     @Test
     void aJobThatEndedWithAResetIsNotSentToAColdWorker() {
-        options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Effect.SAFE, Group.ALL, 0, -1));
+        options.classes = List.of(new JobClass("c", 9 * S, 2, 30 * S, 1, 0.2, Idempotency.SAFE, DedupScope.ALL, 0, -1));
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         harness.request(1, 0, -1, 30 * S, false);
         harness.change(
@@ -502,9 +502,9 @@
 
     private static List<String> reportedBorrows(DispatcherHarness harness) {
         return harness.sentMessages.stream()
-                .map(b -> PeerMessage.read(b, 0))
+                .map(b -> PeerMessage.decode(b, 0))
                 .filter(m -> m.type == PeerMessage.Type.BORROWS)
-                .map(m -> m.hash[0] + " " + m.count[0])
+                .map(m -> m.workerHashes[0] + " " + m.entryValues[0])
                 .toList();
     }
 
@@ -520,7 +520,7 @@
         for (long id = 1; id <= 4; id++) {
             harness.request(id); // alone it owns both workers
         }
-        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode();
         harness.dispatcher.peerMessage(harness.now, 1, hello);
         harness.advance(40 * MS);
         int a = new DispatcherState.Worker("a", 0).hash;
@@ -539,7 +539,8 @@
     void jobsReportedForAWorkerThatChangedItsOwnerAreDropped() {
         options.peers = 3;
         // a deadline so long that no job counts as ended by its age
-        options.classes = List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Effect.KEYED, Group.ALL, 7 * S, -1));
+        options.classes =
+                List.of(new JobClass("c", 300 * MS, 2, 90 * S, 1, 0.2, Idempotency.KEYED, DedupScope.ALL, 7 * S, -1));
         WorkerInfo[] all = {
             DispatcherHarness.worker("a"),
             DispatcherHarness.worker("b"),
@@ -550,17 +551,17 @@
                 .mapToInt(w -> new DispatcherState.Worker(w.address(), 0).hash)
                 .sorted()
                 .toArray();
-        int[] ownersOfTwo = Owners.share(hashes, new int[] {0, 2});
-        int[] ownersOfThree = Owners.share(hashes, new int[] {0, 1, 2});
+        int[] ownersOfTwo = RendezvousOwners.assign(hashes, new int[] {0, 2});
+        int[] ownersOfThree = RendezvousOwners.assign(hashes, new int[] {0, 1, 2});
         int moving = IntStream.range(0, 4)
                 .filter(i -> ownersOfTwo[i] == 0 && ownersOfThree[i] != 0)
                 .findFirst()
                 .orElseThrow();
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(all);
-        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes();
+        byte[] hello = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode();
         PeerMessage borrows = new PeerMessage(PeerMessage.Type.BORROWS, 0, 1, 1, 1, 50 * MS);
-        borrows.add(hashes[moving], 2);
-        harness.dispatcher.peerMessage(harness.now, 2, borrows.bytes());
+        borrows.addSlots(hashes[moving], 2);
+        harness.dispatcher.peerMessage(harness.now, 2, borrows.encode());
         harness.advance(40 * MS);
         harness.request(1);
         harness.request(2);
@@ -589,15 +590,15 @@
                 .list(DispatcherHarness.worker("far", 1, WorkerState.IN_SERVICE, 0));
         for (int peer = 2; peer <= 40; peer++) {
             harness.dispatcher.peerMessage(
-                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).bytes());
+                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS).encode());
         }
         for (long id = 1; id <= 8; id++) {
             harness.request(id);
         }
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 1, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker("far", 0).hash, 4);
+        offer.addSlots(new DispatcherState.Worker("far", 0).hash, 4);
         for (int i = 0; i < 5; i++) {
-            harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+            harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         }
         assertTrue(harness.sendCount("far") >= 4, harness.sendCount("far") + " sent");
     }
@@ -612,19 +613,19 @@
                         DispatcherHarness.worker("c"),
                         DispatcherHarness.worker("d"));
         harness.dispatcher.peerMessage(
-                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
         harness.advance(60 * MS);
         harness.sentMessages.clear();
         PeerMessage asking = new PeerMessage(PeerMessage.Type.OFFERS, 0, 0.5, 0.5, 1, 50 * MS);
-        harness.dispatcher.peerMessage(harness.now, 1, asking.bytes());
+        harness.dispatcher.peerMessage(harness.now, 1, asking.encode());
         assertEquals(1, harness.sentMessages.size());
-        assertTrue(PeerMessage.read(harness.sentMessages.get(0), 0).entries > 0);
+        assertTrue(PeerMessage.decode(harness.sentMessages.get(0), 0).entryCount > 0);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
         }
         harness.advance(500 * MS);
-        PeerMessage lastSent = PeerMessage.read(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
-        assertTrue(lastSent.entries == 0 && lastSent.p < 1);
+        PeerMessage lastSent = PeerMessage.decode(harness.sentMessages.get(harness.sentMessages.size() - 1), 0);
+        assertTrue(lastSent.entryCount == 0 && lastSent.acceptance < 1);
     }
 
     @Test
@@ -657,7 +658,7 @@
         options.onDemand = true;
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         assertEquals(1, harness.subscriptions);
-        harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
+        harness.dispatcher.workerListFailed(harness.now, WatchEnd.ENDED);
         harness.advance(S);
         assertEquals(2, harness.subscriptions);
     }
@@ -669,7 +670,7 @@
         DispatcherHarness harness = new DispatcherHarness(options.settings()).list(DispatcherHarness.worker("a"));
         for (int i = 1; i <= 8; i++) {
             assertEquals(i, harness.subscriptions);
-            harness.dispatcher.workersUnavailable(harness.now, WatchEnd.ENDED);
+            harness.dispatcher.workerListFailed(harness.now, WatchEnd.ENDED);
             harness.advance(S);
         }
     }
@@ -684,7 +685,7 @@
             harness.dispatcher.peerMessage(harness.now, 1, bytes);
         }
         harness.dispatcher.peerMessage(
-                harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).bytes());
+                harness.now, 99, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 0).encode());
         harness.request(1);
         assertFalse(harness.sends.isEmpty());
     }
--- a/src/test/java/saffronferry/ListClockTest.java
+++ b/src/test/java/saffronferry/ListClockTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import saffronferry.Contract.WorkerState;
-import saffronferry.fleet.CallPace;
+import saffronferry.fleet.DiscoveryBackoff;
 import saffronferry.fleet.WatchEnd;
 
 /**
@@ -62,11 +62,11 @@
                 DispatcherHarness harness = watching(peers, seed);
                 long last = harness.now;
                 long[] nextId = {1};
-                harness.advance(CallPace.SILENCE);
-                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.SILENT);
+                harness.advance(DiscoveryBackoff.WATCH_SILENCE_TIMEOUT_US);
+                harness.dispatcher.workerListFailed(harness.now, WatchEnd.SILENT);
                 nextCall(harness, nextId);
-                harness.advance(CallPace.FIRST_LIST);
-                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
+                harness.advance(DiscoveryBackoff.FIRST_LIST_TIMEOUT_US);
+                harness.dispatcher.workerListFailed(harness.now, WatchEnd.LATE);
                 nextCall(harness, nextId);
                 harness.advance(ANSWER_US);
                 harness.change(DispatcherHarness.worker("b", 0, WorkerState.DRAINING, 0));
@@ -100,14 +100,14 @@
                 DispatcherHarness harness = watching(peers, seed);
                 long last = harness.now;
                 long[] nextId = {1};
-                harness.advance(CallPace.SILENCE);
-                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.SILENT);
+                harness.advance(DiscoveryBackoff.WATCH_SILENCE_TIMEOUT_US);
+                harness.dispatcher.workerListFailed(harness.now, WatchEnd.SILENT);
                 long first = nextCall(harness, nextId);
                 assertTrue(
                         first - last + MAX_CALL_WAIT_US <= ANNOUNCED_US + STOP_US - MARGIN_US,
                         "answered after " + (first - last + MAX_CALL_WAIT_US));
                 harness.advance(MAX_CALL_WAIT_US);
-                harness.dispatcher.workersUnavailable(harness.now, WatchEnd.LATE);
+                harness.dispatcher.workerListFailed(harness.now, WatchEnd.LATE);
                 long second = nextCall(harness, nextId);
                 long announced = Math.max(last + ANNOUNCED_US, first + MAX_CALL_WAIT_US + AFTER_WAIT_US);
                 assertTrue(
--- a/src/test/java/saffronferry/lab/check/DispatcherHarness.java
+++ b/src/test/java/saffronferry/lab/check/DispatcherHarness.java
@@ -388,7 +388,7 @@
             if (random.nextInt(20) > 0) {
                 at(now + 1_000 + random.nextLong(30_000), () -> {
                     if (dispatchers.containsKey(peer)) {
-                        dispatchers.get(peer).ledger.report(new BalancerEvent.PeerSaid(number, bytes));
+                        dispatchers.get(peer).ledger.report(new BalancerEvent.PeerMessageReceived(number, bytes));
                     }
                 });
             }
