--- a/src/main/java/saffronferry/cli/RigCommand.java
+++ b/src/main/java/saffronferry/cli/RigCommand.java
@@ -104,7 +104,7 @@
             throws IOException, InterruptedException {
         IdleDispatcher.Options options = new IdleDispatcher.Options(readStartCommand(deploy), changes, settle);
         Scenario scenario = LabCommand.readScenario(file, set);
-        JSONArray plays = new JSONArray();
+        JSONArray runEntries = new JSONArray();
         boolean held = true;
         out().printf(
                         Locale.ROOT,
@@ -120,14 +120,14 @@
         for (int workerCount : workers == null ? List.of(scenario.workers()) : workers) {
             List<String> values = new ArrayList<>(set == null ? List.of() : set);
             values.add("fleet.workers=" + workerCount);
-            JSONObject play = IdleDispatcher.run(LabCommand.readScenario(file, values), seed, options);
-            plays.put(play);
-            JSONObject figures = play.getJSONObject("figures");
+            JSONObject runEntry = IdleDispatcher.run(LabCommand.readScenario(file, values), seed, options);
+            runEntries.put(runEntry);
+            JSONObject figures = runEntry.getJSONObject("figures");
             out().printf(
                             Locale.ROOT,
                             "%8d %6d %8.2f %9.1f %9.1f %9.1f %9.1f %11d%n",
                             workerCount,
-                            play.getInt("zones"),
+                            runEntry.getInt("zones"),
                             figures.getDouble("core_percent"),
                             figures.getDouble("resident_mb"),
                             figures.getDouble("resident_peak_mb"),
@@ -144,8 +144,9 @@
                     new JSONObject()
                                     .put("scenario", scenario.name())
                                     .put("seed", seed)
-                                    .put("plays", plays)
-                                    .toString(1) + "\n");
+                                    .put("plays", runEntries)
+                                    .toString(1)
+                            + "\n");
         }
         return held ? 0 : Main.EXIT_CHECK_FAILED;
     }
@@ -191,7 +192,7 @@
             figures.put(name, result.getInt(name));
         }
         if (out != null) {
-            JSONObject play = new JSONObject()
+            JSONObject runEntry = new JSONObject()
                     .put("dispatchers", scenario.dispatchers())
                     .put("workers", scenario.workers())
                     .put("zones", scenario.zones().size())
@@ -204,7 +205,7 @@
                     new JSONObject()
                                     .put("scenario", scenario.name())
                                     .put("seed", seed)
-                                    .put("plays", new JSONArray().put(play))
+                                    .put("plays", new JSONArray().put(runEntry))
                                     .toString(1)
                             + "\n");
         }
