--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -135,18 +135,18 @@
         harness.request(1);
         String failing = harness.lastWorkerOf(1);
         harness.endAttempt(1, 0, Outcome.ERROR);
-        assertNotEquals(bad, harness.lastWorkerOf(1));
-        long before = harness.sendCount(bad);
+        assertNotEquals(failing, harness.lastWorkerOf(1));
+        long before = harness.sendCount(failing);
         long id = 2;
-        while (harness.sendCount(bad) == before) {
+        while (harness.sendCount(failing) == before) {
             harness.request(id++);
         }
         harness.endAttempt(id - 1, 0, Outcome.ERROR);
-        before = harness.sendCount(bad);
+        before = harness.sendCount(failing);
         for (int i = 0; i < 12; i++) {
             harness.request(id++);
         }
-        assertEquals(before, harness.sendCount(bad));
+        assertEquals(before, harness.sendCount(failing));
     }
 
     @Test
--- a/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
+++ b/src/test/java/saffronferry/rig/FleetResourceUsageTest.java
@@ -9,7 +9,7 @@
 import saffronferry.lab.scenario.ScenarioReader;
 
 /** Measures the resource usage of each process of a small fleet under light load. */
-public class FleetUseTest {
+public class FleetResourceUsageTest {
     @Test
     public void eachProcessIsMeasuredBetweenTwoSnapshots() throws Exception {
         long before = ProcessHandle.current().children().count();
--- a/src/test/java/saffronferry/scale/ScaleSimulationTest.java
+++ b/src/test/java/saffronferry/scale/ScaleSimulationTest.java
@@ -262,7 +262,7 @@
                 int zones = whole.zones().size();
                 List<String> overrides = new ArrayList<>(
                         List.of("fleet.dispatchers=" + zones, "fleet.workers=" + 4 * zones, "length_s=4"));
-                for (int i = 0; i < whole.troubles().size(); i++) {
+                for (int i = 0; i < whole.faults().size(); i++) {
                     overrides.add("trouble[" + i + "].at_s=1");
                     overrides.add("trouble[" + i + "].length_s=2");
                 }
--- a/src/test/java/saffronferry/scale/fit/FitTest.java
+++ b/src/test/java/saffronferry/scale/fit/FitTest.java
@@ -95,7 +95,7 @@
                                 new DataPoint(192, 4.95),
                                 new DataPoint(384, 5.02)))
                         .best()
-                        .form());
+                        .model());
     }
 
     /** Repeated runs at the same size do not count as further sizes. */
