--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -96,18 +96,18 @@
 
     @Override
     public List<Transition<State>> transitions(State s) {
-        List<Transition<State>> steps = new ArrayList<>();
+        List<Transition<State>> transitions = new ArrayList<>();
         State later = s.copy();
         later.now += TICK_US;
         if (later.now - s.borrowerStartedAt >= OFFER_LIFETIME_US) {
             later.borrowerJobs = 0; // the offer expires
         }
-        steps.add(new Transition<>("time passes", later));
+        transitions.add(new Transition<>("time passes", later));
         if (s.lenderCanSend()) {
             State sends = s.copy();
             sends.debitLender();
             sends.jobsSent++;
-            steps.add(new Transition<>("the lender sends a job", sends));
+            transitions.add(new Transition<>("the lender sends a job", sends));
             if (s.now > s.lastLentAt && s.inFlight.size() < MAX_IN_FLIGHT) {
                 State lends = s.copy();
                 lends.lastLentAt = s.now;
@@ -116,16 +116,16 @@
                 if (variant != Variant.CREDIT_BEFORE_DEBIT) {
                     lends.debitLender();
                 }
-                steps.add(new Transition<>("the lender lends the budget of one job", lends));
+                transitions.add(new Transition<>("the lender lends the budget of one job", lends));
             }
         }
         for (int i = 0; i < s.inFlight.size(); i++) {
             State lost = s.copy();
             lost.inFlight.remove(i);
             String what = s.inFlight.get(i).returned ? "the return message" : "the offer";
-            steps.add(new Transition<>(what + " is lost", lost));
-            steps.add(new Transition<>(what + " arrives", deliver(lost.copy(), s.inFlight.get(i))));
-            steps.add(
+            transitions.add(new Transition<>(what + " is lost", lost));
+            transitions.add(new Transition<>(what + " arrives", deliver(lost.copy(), s.inFlight.get(i))));
+            transitions.add(
                     new Transition<>(what + " arrives, and a duplicate follows", deliver(s.copy(), s.inFlight.get(i))));
         }
         if (s.borrowerJobs > 0) {
@@ -135,22 +135,22 @@
             if (variant == Variant.CREDIT_BEFORE_DEBIT) { // the lender learns of it, or does not
                 State heard = sends.copy();
                 heard.debitLender();
-                steps.add(new Transition<>("the borrower sends a job, and the lender learns of it", heard));
+                transitions.add(new Transition<>("the borrower sends a job, and the lender learns of it", heard));
             }
-            steps.add(new Transition<>("the borrower sends a job", sends));
+            transitions.add(new Transition<>("the borrower sends a job", sends));
         }
         if (s.borrowerJobs > 0 && s.inFlight.size() < MAX_IN_FLIGHT && variant != Variant.CREDIT_BEFORE_DEBIT) {
             State returns = s.copy();
             returns.inFlight.add(new Transfer(s.lastAcceptedAt, true));
             returns.borrowerJobs -= variant == Variant.BACK_AND_USED ? 0 : 1;
-            steps.add(new Transition<>("the borrower returns the budget", returns));
+            transitions.add(new Transition<>("the borrower returns the budget", returns));
         }
         State restarted = s.copy();
         restarted.borrowerStartedAt = s.now;
         restarted.lastAcceptedAt = 0;
         restarted.borrowerJobs = 0;
-        steps.add(new Transition<>("the borrower restarts", restarted));
-        return steps;
+        transitions.add(new Transition<>("the borrower restarts", restarted));
+        return transitions;
     }
 
     /** Whether the lender's record of outstanding loans accepts the return of a transfer. */
--- a/src/main/java/saffronferry/lab/explore/SharesModel.java
+++ b/src/main/java/saffronferry/lab/explore/SharesModel.java
@@ -108,23 +108,23 @@
 
     @Override
     public List<Transition<State>> transitions(State s) {
-        List<Transition<State>> steps = new ArrayList<>();
-        steps.add(new Transition<>("time passes", tick(s, NO_LINK, 0)));
+        List<Transition<State>> transitions = new ArrayList<>();
+        transitions.add(new Transition<>("time passes", tick(s, NO_LINK, 0)));
         if (s.faults == 0) {
-            return steps;
+            return transitions;
         }
         for (int links = 0; links <= ALL_LINKS; links++) {
             if ((links & SELF_LINKS) == SELF_LINKS && links != s.links) {
                 State after = fault(s);
                 after.links = links;
-                steps.add(new Transition<>("working links: " + pairs(links), after));
+                transitions.add(new Transition<>("working links: " + pairs(links), after));
             }
         }
         for (int pair = 0; pair < DISPATCHERS * DISPATCHERS; pair++) {
             if (pair / DISPATCHERS != pair % DISPATCHERS) {
                 String of = (char) ('A' + pair / DISPATCHERS) + " to " + (char) ('A' + pair % DISPATCHERS);
-                steps.add(new Transition<>(of + " arrives late", tick(fault(s), pair, ARRIVES_LATE)));
-                steps.add(new Transition<>(of + " arrives twice", tick(fault(s), pair, ARRIVES_TWICE)));
+                transitions.add(new Transition<>(of + " arrives late", tick(fault(s), pair, ARRIVES_LATE)));
+                transitions.add(new Transition<>(of + " arrives twice", tick(fault(s), pair, ARRIVES_TWICE)));
             }
         }
         for (int i = 0; i < DISPATCHERS; i++) {
@@ -135,10 +135,10 @@
                 Arrays.fill(restarted.lastHeardAt[i], 0);
                 Arrays.fill(restarted.usesShare[i], false);
                 updateShares(restarted, i);
-                steps.add(new Transition<>(name + " restarts", restarted));
+                transitions.add(new Transition<>(name + " restarts", restarted));
                 State stopped = fault(s);
                 stopped.stopped = i;
-                steps.add(new Transition<>(name + " is suspended", stopped));
+                transitions.add(new Transition<>(name + " is suspended", stopped));
             } else if (s.stopped == i) {
                 State on = fault(s);
                 on.stopped = -1;
@@ -146,10 +146,10 @@
                     updateShares(on, i); // the leases are checked before any use
                 }
                 countDoubleUse(on);
-                steps.add(new Transition<>(name + " resumes", on));
+                transitions.add(new Transition<>(name + " resumes", on));
             }
         }
-        return steps;
+        return transitions;
     }
 
     private static State fault(State s) {
--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -87,24 +87,24 @@
     public List<BalancerAction> pick(long now, Request rpc) {
         OpenRequest openRequest = new OpenRequest(rpc);
         openRequests.put(rpc.id(), openRequest);
-        List<BalancerAction> steps = new ArrayList<>();
-        send(now, openRequest, steps);
-        return steps;
+        List<BalancerAction> actions = new ArrayList<>();
+        send(now, openRequest, actions);
+        return actions;
     }
 
-    private void send(long now, OpenRequest openRequest, List<BalancerAction> steps) {
+    private void send(long now, OpenRequest openRequest, List<BalancerAction> actions) {
         WorkerView worker =
                 openRequest.attempts.size() < settings.maxAttempts() && now < openRequest.request.validUntil()
                         ? choose(now, openRequest)
                         : null;
         if (worker == null) {
-            refuseOrFail(openRequest, steps);
+            refuseOrFail(openRequest, actions);
             return;
         }
         worker.outstanding++;
         openRequest.attemptsInFlight++;
         openRequest.attempts.add(new Attempt(worker, now));
-        steps.add(new BalancerAction.StartAttempt(openRequest.request.id(), worker.address));
+        actions.add(new BalancerAction.StartAttempt(openRequest.request.id(), worker.address));
     }
 
     private WorkerView choose(long now, OpenRequest openRequest) {
@@ -137,38 +137,38 @@
         return null;
     }
 
-    private void refuseOrFail(OpenRequest openRequest, List<BalancerAction> steps) {
+    private void refuseOrFail(OpenRequest openRequest, List<BalancerAction> actions) {
         openRequests.remove(openRequest.request.id());
         JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
         boolean retryIsSafe = openRequest.possiblyRun == null
                 || jobClass.effect() == Effect.SAFE
                 || jobClass.effect() == Effect.KEYED && jobClass.group() == Group.ALL;
-        steps.add(
+        actions.add(
                 retryIsSafe
                         ? new BalancerAction.Refuse(openRequest.request.id(), 0)
                         : new BalancerAction.Fail(openRequest.request.id()));
     }
 
     @Override
-    public List<BalancerAction> report(long now, BalancerEvent news) {
-        List<BalancerAction> steps = new ArrayList<>();
-        if (news instanceof BalancerEvent.AttemptEnded e) {
-            attemptEnded(now, e, steps);
-        } else if (news instanceof BalancerEvent.Resolved r) {
+    public List<BalancerAction> report(long now, BalancerEvent event) {
+        List<BalancerAction> actions = new ArrayList<>();
+        if (event instanceof BalancerEvent.AttemptEnded e) {
+            attemptEnded(now, e, actions);
+        } else if (event instanceof BalancerEvent.Resolved r) {
             applyList(r);
             if (!watchRequested) {
                 watchRequested = true;
-                steps.add(new BalancerAction.Watch());
+                actions.add(new BalancerAction.Watch());
             }
-        } else if (news instanceof BalancerEvent.WatchLost) {
-            steps.add(new BalancerAction.WakeAfter(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
-        } else if (news instanceof BalancerEvent.ClientGone g) {
+        } else if (event instanceof BalancerEvent.WatchLost) {
+            actions.add(new BalancerAction.WakeAfter(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
+        } else if (event instanceof BalancerEvent.ClientGone g) {
             openRequests.remove(g.rpc());
         }
-        return steps;
+        return actions;
     }
 
-    private void attemptEnded(long now, BalancerEvent.AttemptEnded e, List<BalancerAction> steps) {
+    private void attemptEnded(long now, BalancerEvent.AttemptEnded e, List<BalancerAction> actions) {
         OpenRequest openRequest = openRequests.get(e.rpc());
         if (openRequest == null) {
             return;
@@ -182,7 +182,7 @@
         if (e.answered() || e.outcome() == Outcome.OK) {
             openRequests.remove(e.rpc());
         } else if (openRequest.attemptsInFlight == 0) {
-            send(now, openRequest, steps);
+            send(now, openRequest, actions);
         }
     }
 
--- a/src/main/java/saffronferry/lab/policy/DispatchLogic.java
+++ b/src/main/java/saffronferry/lab/policy/DispatchLogic.java
@@ -16,7 +16,7 @@
     List<BalancerAction> pick(long now, Request rpc);
 
     /** Handles an event. */
-    List<BalancerAction> report(long now, BalancerEvent news);
+    List<BalancerAction> report(long now, BalancerEvent event);
 
     /** Handles the timer of a {@link BalancerAction.WakeAfter}. */
     List<BalancerAction> tick(long now, long token);
@@ -31,8 +31,8 @@
             }
 
             @Override
-            public List<BalancerAction> report(long now, BalancerEvent news) {
-                return balancer.report(now, news);
+            public List<BalancerAction> report(long now, BalancerEvent event) {
+                return balancer.report(now, event);
             }
 
             @Override
--- a/src/main/java/saffronferry/lab/world/EmulatedDispatcher.java
+++ b/src/main/java/saffronferry/lab/world/EmulatedDispatcher.java
@@ -288,32 +288,32 @@
     private void runDecision(Decision decision) {
         // CPU time of this thread: on a busy machine elapsed time would include the time slices of other processes
         long startNanos = THREADS.getCurrentThreadCpuTime();
-        List<BalancerAction> steps = decision.apply(logic);
+        List<BalancerAction> actions = decision.apply(logic);
         decisionNanos += THREADS.getCurrentThreadCpuTime() - startNanos;
         simulation.statistics.decisions++;
-        steps.forEach(this::perform);
+        actions.forEach(this::perform);
     }
 
-    private void perform(BalancerAction step) {
-        if (step instanceof BalancerAction.StartAttempt s) {
+    private void perform(BalancerAction action) {
+        if (action instanceof BalancerAction.StartAttempt s) {
             startAttempt(s);
-        } else if (step instanceof BalancerAction.CancelAttempt c) {
+        } else if (action instanceof BalancerAction.CancelAttempt c) {
             Rpc rpc = openRpcs.get(c.rpc());
             if (rpc != null && c.attempt() < rpc.attempts.size() && !rpc.attempts.get(c.attempt()).ended) {
                 cancelAtWorker(rpc.attempts.get(c.attempt()));
                 attemptEnded(c.rpc(), c.attempt(), Outcome.CANCELLED);
             }
-        } else if (step instanceof BalancerAction.Refuse r) {
+        } else if (action instanceof BalancerAction.Refuse r) {
             complete(r.rpc(), "refused", true, r.retryAfter());
-        } else if (step instanceof BalancerAction.Fail f) {
+        } else if (action instanceof BalancerAction.Fail f) {
             complete(f.rpc(), "failed", false, 0);
-        } else if (step instanceof BalancerAction.Probe p) {
+        } else if (action instanceof BalancerAction.Probe p) {
             probe(p.subchannel());
-        } else if (step instanceof BalancerAction.TellPeer t) {
+        } else if (action instanceof BalancerAction.TellPeer t) {
             simulation.sendDatagram(this, t.peer(), t.bytes());
-        } else if (step instanceof BalancerAction.Watch) {
+        } else if (action instanceof BalancerAction.Watch) {
             simulation.registry.watch(this, ++watchNumber);
-        } else if (step instanceof BalancerAction.WakeAfter w) {
+        } else if (action instanceof BalancerAction.WakeAfter w) {
             int currentIncarnation = incarnation;
             scheduler.after(w.delay(), () -> {
                 if (up && currentIncarnation == incarnation) {
--- a/src/test/java/saffronferry/lab/LabTest.java
+++ b/src/test/java/saffronferry/lab/LabTest.java
@@ -123,10 +123,10 @@
             this.logic = logic;
         }
 
-        abstract List<BalancerAction> alter(long now, List<BalancerAction> steps);
+        abstract List<BalancerAction> alter(long now, List<BalancerAction> actions);
 
-        List<BalancerAction> alterPick(long now, Request rpc, List<BalancerAction> steps) {
-            return alter(now, steps);
+        List<BalancerAction> alterPick(long now, Request rpc, List<BalancerAction> actions) {
+            return alter(now, actions);
         }
 
         @Override
@@ -135,11 +135,11 @@
         }
 
         @Override
-        public List<BalancerAction> report(long now, BalancerEvent news) {
-            if (news instanceof BalancerEvent.Resolved r) {
+        public List<BalancerAction> report(long now, BalancerEvent event) {
+            if (event instanceof BalancerEvent.Resolved r) {
                 receivedWorkers.addAll(r.entries());
             }
-            return alter(now, logic.report(now, news));
+            return alter(now, logic.report(now, event));
         }
 
         @Override
@@ -167,8 +167,8 @@
         assertDetected(
                 violations("alumni-overload", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<BalancerAction> alter(long now, List<BalancerAction> steps) {
-                        return steps.stream()
+                    List<BalancerAction> alter(long now, List<BalancerAction> actions) {
+                        return actions.stream()
                                 .filter(s -> !(s instanceof BalancerAction.Refuse))
                                 .toList();
                     }
@@ -182,9 +182,9 @@
         assertDetected(
                 violations("alumni-overload", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<BalancerAction> alter(long now, List<BalancerAction> steps) {
-                        List<BalancerAction> all = new ArrayList<>(steps);
-                        steps.stream()
+                    List<BalancerAction> alter(long now, List<BalancerAction> actions) {
+                        List<BalancerAction> all = new ArrayList<>(actions);
+                        actions.stream()
                                 .filter(BalancerAction.Refuse.class::isInstance)
                                 .forEach(all::add);
                         return all;
@@ -199,9 +199,9 @@
         assertDetected(
                 violations("alumni-hosting", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<BalancerAction> alter(long now, List<BalancerAction> steps) {
-                        List<BalancerAction> all = new ArrayList<>(steps);
-                        steps.stream()
+                    List<BalancerAction> alter(long now, List<BalancerAction> actions) {
+                        List<BalancerAction> all = new ArrayList<>(actions);
+                        actions.stream()
                                 .filter(BalancerAction.StartAttempt.class::isInstance)
                                 .map(BalancerAction.StartAttempt.class::cast)
                                 .forEach(s -> receivedWorkers.stream()
@@ -222,19 +222,19 @@
         assertDetected(
                 violations("alumni-deploy", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<BalancerAction> alter(long now, List<BalancerAction> steps) {
-                        return steps;
+                    List<BalancerAction> alter(long now, List<BalancerAction> actions) {
+                        return actions;
                     }
 
                     @Override
-                    List<BalancerAction> alterPick(long now, Request rpc, List<BalancerAction> steps) {
+                    List<BalancerAction> alterPick(long now, Request rpc, List<BalancerAction> actions) {
                         return receivedWorkers.stream()
                                 .filter(w -> w.state() == WorkerState.DRAINING)
                                 .map(WorkerInfo::address)
                                 .sorted()
                                 .findFirst()
                                 .<List<BalancerAction>>map(a -> List.of(new BalancerAction.StartAttempt(rpc.id(), a)))
-                                .orElse(steps);
+                                .orElse(actions);
                     }
                 }),
                 "drain",
@@ -246,12 +246,12 @@
         assertDetected(
                 violations("alumni-deploy", logic -> new FaultyLogic(logic) {
                     @Override
-                    List<BalancerAction> alter(long now, List<BalancerAction> steps) {
-                        return steps;
+                    List<BalancerAction> alter(long now, List<BalancerAction> actions) {
+                        return actions;
                     }
 
                     @Override
-                    List<BalancerAction> alterPick(long now, Request rpc, List<BalancerAction> steps) {
+                    List<BalancerAction> alterPick(long now, Request rpc, List<BalancerAction> actions) {
                         return receivedWorkers.stream()
                                 .filter(w -> w.startedAt() > 0
                                         && w.state() == WorkerState.IN_SERVICE
@@ -260,7 +260,7 @@
                                 .sorted()
                                 .findFirst()
                                 .<List<BalancerAction>>map(a -> List.of(new BalancerAction.StartAttempt(rpc.id(), a)))
-                                .orElse(steps);
+                                .orElse(actions);
                     }
                 }),
                 "cold",
--- a/src/test/java/saffronferry/lab/check/HistoryTest.java
+++ b/src/test/java/saffronferry/lab/check/HistoryTest.java
@@ -49,10 +49,10 @@
         assertEquals(rule, verdict.violations().get(0).rule(), verdict.toString());
 
         History recorded = new History(name + ".history", text(name));
-        DispatcherHarness harness = new DispatcherHarness(recorded.scenario, 1);
-        harness.replay(recorded);
-        History.Verdict real = new History(name + " replayed", header(text(name)) + harness.output()).judge();
-        assertEquals(List.of(), real.violations(), harness.output());
+        RecordingSimulation simulation = new RecordingSimulation(recorded.scenario, 1);
+        simulation.replay(recorded);
+        History.Verdict real = new History(name + " replayed", header(text(name)) + simulation.output()).judge();
+        assertEquals(List.of(), real.violations(), simulation.output());
     }
 
     /** Every history file is listed above. */
@@ -71,12 +71,13 @@
         TreeMap<String, Long> seen = new TreeMap<>();
         int checkCount = 0;
         for (long seed = 1; seed <= 30; seed++) {
-            DispatcherHarness harness = new DispatcherHarness(new History("seeded", header).scenario, seed);
-            harness.runRandomLoad(2, 8, 10 + 5 * (seed % 7), 40);
-            History.Verdict verdict = new History("seed " + seed, header + harness.output()).judge();
+            RecordingSimulation simulation = new RecordingSimulation(new History("seeded", header).scenario, seed);
+            simulation.runRandomLoad(2, 8, 10 + 5 * (seed % 7), 40);
+            History.Verdict verdict = new History("seed " + seed, header + simulation.output()).judge();
             assertEquals(List.of(), verdict.violations(), "seed " + seed);
             checkCount += verdict.checkCount();
-            harness.output()
+            simulation
+                    .output()
                     .lines()
                     .map(l -> l.split(" "))
                     .forEach(p -> seen.merge(
@@ -103,8 +104,8 @@
     @Test
     void equalSeedsGiveEqualHistories() throws IOException {
         String header = header(text("lost"));
-        DispatcherHarness one = new DispatcherHarness(new History("seeded", header).scenario, 7);
-        DispatcherHarness two = new DispatcherHarness(new History("seeded", header).scenario, 7);
+        RecordingSimulation one = new RecordingSimulation(new History("seeded", header).scenario, 7);
+        RecordingSimulation two = new RecordingSimulation(new History("seeded", header).scenario, 7);
         one.runRandomLoad(2, 8, 20, 10);
         two.runRandomLoad(2, 8, 20, 10);
         assertEquals(one.output(), two.output());
--- a/src/test/java/saffronferry/lab/check/DispatcherHarness.java
+++ b/src/test/java/saffronferry/lab/check/RecordingSimulation.java
@@ -28,7 +28,7 @@
 import saffronferry.state.RpcInfo;
 
 /** Runs the product's request state and balancers in virtual time and records all their inputs and outputs. */
-final class DispatcherHarness {
+final class RecordingSimulation {
     private static final long START_TIME_US = 1_000_000_000;
 
     final Scenario scenario;
@@ -42,7 +42,7 @@
     private long now;
     private int sequence;
 
-    DispatcherHarness(Scenario scenario, long seed) {
+    RecordingSimulation(Scenario scenario, long seed) {
         this.scenario = scenario;
         random = new SplittableRandom(seed);
     }
