--- a/src/test/java/saffronferry/BoundariesTest.java
+++ b/src/test/java/saffronferry/BoundariesTest.java
@@ -111,7 +111,9 @@
                 .check(ALL);
     }
 
-    /** The rig checks the program from outside: it uses scenarios, the rule checker and the types of the facade only. */
+    /**
+     * The rig checks the program from outside: it uses scenarios, the rule checker and the types of the facade only.
+     */
     @Test
     void theRigDoesNotUseTheDispatchersCode() {
         noClasses()
--- a/src/test/java/saffronferry/DispatcherTest.java
+++ b/src/test/java/saffronferry/DispatcherTest.java
@@ -357,7 +357,9 @@
                 .anyMatch(m -> m.type == PeerMessage.Type.BORROWS));
     }
 
-    /** A dispatcher that does not own a worker must time its warm-up too, or it never uses a slot offered there again. */
+    /**
+     * A dispatcher that does not own a worker must time its warm-up too, or it never uses a slot offered there again.
+     */
     @Test
     void anOfferedSlotOfAColdWorkerIsUsedOnceTheWorkerIsWarm() {
         options.peers = 2;
--- a/src/test/java/saffronferry/EdgesTest.java
+++ b/src/test/java/saffronferry/EdgesTest.java
@@ -161,7 +161,9 @@
         assertTrue(Dispatcher.acceptanceProbability(Integer.MAX_VALUE, 1) > 0);
     }
 
-    /** One held job beside a thousand slots gives a P just below 1. Rounded up to 1, it would no longer ask for slots. */
+    /**
+     * One held job beside a thousand slots gives a P just below 1. Rounded up to 1, it would no longer ask for slots.
+     */
     @Test
     void aPJustBelowOneStaysBelowOneInAMessage() {
         for (double p : new double[] {0.99, 0.999, 1 - 1e-9}) {
@@ -320,7 +322,9 @@
         assertEquals(0, peerSlots(harness));
     }
 
-    /** Jobs end with the worker's process, and the peer's message of it comes when the list no longer names the worker. */
+    /**
+     * Jobs end with the worker's process, and the peer's message of it comes when the list no longer names the worker.
+     */
     @Test
     void aWorkerThatReturnsHasNoBorrowedSlots() throws Exception {
         DispatcherHarness harness = withBorrowedSlots(1);
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -24,7 +24,10 @@
         assertThrows(AssertionError.class, test, "the fault is corrected: make this an ordinary test");
     }
 
-    /** 48 dispatchers that receive no peer messages broke rule 4 twelve times in this scenario: cold workers overloaded. */
+    /**
+     * 48 dispatchers that receive no peer messages broke rule 4 twelve times in this scenario: cold workers
+     * overloaded.
+     */
     @Test
     void dispatchersWithoutPeerMessagesOverloadNoColdWorker() throws Exception {
         var scenario = ScenarioReader.read(
@@ -38,7 +41,9 @@
                 "they are used: " + day.json().getDouble("cold_multiple"));
     }
 
-    /** Finding 16: only a worker's owner suspects it when it hangs, so a job on a borrowed slot waits for its deadline. */
+    /**
+     * Finding 16: only a worker's owner suspects it when it hangs, so a job on a borrowed slot waits for its deadline.
+     */
     @Test
     void aJobOnABorrowedSlotOfAWorkerThatHangsIsHedged() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -53,7 +53,9 @@
         }
     }
 
-    /** The figures for operators, in a fleet of four in which one peer of the zone and one of another zone are heard. */
+    /**
+     * The figures for operators, in a fleet of four in which one peer of the zone and one of another zone are heard.
+     */
     @Test
     void sharingReportsTheDispatchersThatAreHeard() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
