--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -8,8 +8,8 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import saffronferry.Contract.Actions;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
@@ -25,11 +25,11 @@
 import saffronferry.DispatcherState.JobMap;
 import saffronferry.DispatcherState.Peer;
 import saffronferry.DispatcherState.Worker;
-import saffronferry.fleet.CallPace;
 import saffronferry.fleet.ColdRate;
 import saffronferry.fleet.ColdShares;
-import saffronferry.fleet.Sharing;
-import saffronferry.fleet.TalkBudget;
+import saffronferry.fleet.DiscoveryBackoff;
+import saffronferry.fleet.PeerMessageBudget;
+import saffronferry.fleet.SharingStatus;
 import saffronferry.fleet.WatchEnd;
 
 /**
@@ -128,8 +128,8 @@
     private double requestRate;
     private double probeCredit;
     private final RetryBudget repeatBudget;
-    private final TalkBudget talkBudget;
-    private final CallPace discoveryPace;
+    private final PeerMessageBudget talkBudget;
+    private final DiscoveryBackoff discoveryPace;
     private final ColdShares coldShares;
     private final WorkerOwnership ownership;
     private final ColdRate coldRate;
@@ -161,8 +161,8 @@
         this.settings = settings;
         this.actions = actions;
         random = new SplittableRandom(settings.seed());
-        workerIndex = new WorkerIndex(settings.zones(), settings.kinds(), settings.zone());
-        zoneLastHeardAt = new long[settings.zones()];
+        workerIndex = new WorkerIndex(settings.zoneCount(), settings.kindCount(), settings.zone());
+        zoneLastHeardAt = new long[settings.zoneCount()];
         queues = new HeldQueue[settings.classes().size()][];
         for (int c = 0; c < queues.length; c++) {
             queues[c] = new HeldQueue[RANK_CONSTRAINED + 1];
@@ -170,22 +170,23 @@
                 queues[c][rank] = new HeldQueue();
             }
         }
-        peers = new Peer[settings.peers()];
+        peers = new Peer[settings.dispatcherCount()];
         for (int i = 0; i < peers.length; i++) {
             peers[i] = new Peer(i);
         }
-        coldShares = new ColdShares(settings.self(), settings.peers());
-        ownership = new WorkerOwnership(settings.zones(), settings.zone(), coldShares);
-        coldRate = new ColdRate(settings.fallMultiple(), settings.coldShare(), settings.cold());
-        repeatBudget = new RetryBudget(settings.peers());
-        discoveryPace = new CallPace(settings.listOnDemand() ? settings.peers() : 1, settings.mostUnasked());
-        talkBudget = new TalkBudget(
-                settings.peerPrice(), PeerMessage.MOST_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
-        estimates = new LearnedEstimates(settings.kinds(), settings.classes(), INITIAL_RUNNING_TIME_US);
+        coldShares = new ColdShares(settings.self(), settings.dispatcherCount());
+        ownership = new WorkerOwnership(settings.zoneCount(), settings.zone(), coldShares);
+        coldRate = new ColdRate(settings.overloadMultiple(), settings.coldCapacity(), settings.coldPeriod());
+        repeatBudget = new RetryBudget(settings.dispatcherCount());
+        discoveryPace = new DiscoveryBackoff(
+                settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
+        talkBudget = new PeerMessageBudget(
+                settings.peerPrice(), PeerMessage.MAX_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
+        estimates = new LearnedEstimates(settings.kindCount(), settings.classes(), INITIAL_RUNNING_TIME_US);
         classBlocked = new boolean[queues.length];
         allowances = new TenantTokenBuckets(settings.tenants());
-        fleetTrafficShare = 1.0 / settings.peers();
-        probing = settings.reports() && settings.mayProbe();
+        fleetTrafficShare = 1.0 / settings.dispatcherCount();
+        probing = settings.loadReports() && settings.canProbe();
     }
 
     // ---- ordinary path: place, hold, spill ----
@@ -194,9 +195,9 @@
         now = clock;
         JobClass spec = settings.classes().get(request.jobClass());
         arrivalsSinceTick++;
-        repeatBudget.asked();
+        repeatBudget.requestReceived();
         probeCredit = Math.min(probeCredit + PROBE_SPENDING_SHARE / Math.max(settings.probePrice(), 1e-3), 20);
-        Job job = new Job(request, spec, now, allowances.beyond(request.tenant()));
+        Job job = new Job(request, spec, now, allowances.exceedsAllowance(request.tenant()));
         jobs.put(job);
         jobsByDeadline.add(job);
         if (request.slots() > 1 && fitsNoWorker(job)) {
@@ -231,7 +232,7 @@
     private int rankOf(Job job) {
         // Refused clients retry at once, and most of their requests are late by then: served first, they would make
         // the new requests late in turn.
-        return job.request.repeat() ? RANK_LATE : job.overShare ? RANK_OVER_SHARE : RANK_IN_SHARE;
+        return job.request.clientRetry() ? RANK_LATE : job.overShare ? RANK_OVER_SHARE : RANK_IN_SHARE;
     }
 
     /** P = m / (N + m): N slots are asked by held jobs, and m is this dispatcher's share of the zone's slots. */
@@ -277,7 +278,7 @@
         // A dispatcher that receives no peer messages owns all workers, and always finds a warm one that looks free.
         // Its share of a cold worker's budget is small and lost when unused: the worker would stay idle.
         for (Worker worker : workerIndex.coldOwned()) {
-            if (worker.openIndex >= 0 && worker.coldBudget.small() && canTake(job, worker)) {
+            if (worker.openIndex >= 0 && worker.coldBudget.hasSmallShare() && canTake(job, worker)) {
                 return worker;
             }
         }
@@ -318,7 +319,7 @@
     private boolean fitsNoWorker(Job job) {
         int present = 0;
         for (int k = 0; k < workerIndex.kindGroups(); k++) {
-            boolean fits = estimates.weight[k] == 0 || 2 * estimates.ours(k) >= job.request.slots();
+            boolean fits = estimates.slotSamples[k] == 0 || 2 * estimates.availableSlots(k) >= job.request.slots();
             if (workerIndex.presentCount(k) > 0 && fits && (job.spec.kind() < 0 || job.spec.kind() == k)) {
                 return false;
             }
@@ -376,7 +377,8 @@
                 if (job == null || classBlocked[c] || !mayHaveSlot(job.spec.kind())) {
                     continue;
                 }
-                double score = overload ? job.spec.worth() / estimates.mean[c] : -(job.arrivedAt + (double) slackUs(c));
+                double score =
+                        overload ? job.spec.value() / estimates.meanRunTime[c] : -(job.arrivedAt + (double) slackUs(c));
                 if (best == null || score > bestScore) {
                     best = job;
                     bestScore = score;
@@ -394,7 +396,7 @@
         Job job = queues[jobClass][rank].head;
         while (job != null && job.arrivedAt + slackUs(jobClass) < now) {
             Job next = job.next;
-            boolean keep = job.attemptsInFlight > 0 || hasRoomForLate() && job.spec.lateWorth() > 0;
+            boolean keep = job.attemptsInFlight > 0 || hasRoomForLate() && job.spec.lateValue() > 0;
             // no slot will be idle for more late jobs, and an early refusal costs the client less than a late one
             if (keep) {
                 job.queue.moveTo(job, queues[jobClass][RANK_LATE]);
@@ -408,8 +410,8 @@
     /** How long a job of the class may wait and probably still be in time. */
     private long slackUs(int jobClass) {
         JobClass spec = settings.classes().get(jobClass);
-        double spare = (spec.stretch() * estimates.base[jobClass] - estimates.mean[jobClass]) / 2;
-        return (long) Math.max(spec.aim() + spare, spec.aim() * 0.3);
+        double spare = (spec.targetStretch() * estimates.bestRunTime[jobClass] - estimates.meanRunTime[jobClass]) / 2;
+        return (long) Math.max(spec.latencyTarget() + spare, spec.latencyTarget() * 0.3);
     }
 
     /** Sends the job to a neighbour drawn with weight 1 - (1 - R_y) / (1 - P); false if none has a slot for it. */
@@ -494,25 +496,25 @@
         worker.attempts.add(attempt);
         worker.localSlots += job.request.slots();
         if (worker.ownedLocally) {
-            worker.coldBudget.send(expectedSlotTimeUs(job, worker), settings.tellsStart() ? now : 0);
+            worker.coldBudget.sendJob(expectedSlotTimeUs(job, worker), settings.reportsJobStart() ? now : 0);
         }
         if (worker.suspect) {
             scheduleTrial(worker);
         }
         refresh(worker);
         reportToLender(worker);
-        actions.send(job.request.id(), worker.address);
+        actions.startAttempt(job.request.id(), worker.address);
         return true;
     }
 
     // ---- slot learning ----
     private int kindGroup(int kind) {
-        return kind < 0 ? estimates.slots.length - 1 : kind;
+        return kind < 0 ? estimates.slotEstimate.length - 1 : kind;
     }
 
     private double freeSlots(Worker worker) {
         // on trial a worker gets one job at a time
-        double slots = worker.failedTrials > 0 ? 1 : estimates.usable(kindGroup(worker.kind));
+        double slots = worker.failedTrials > 0 ? 1 : estimates.usableSlots(kindGroup(worker.kind));
         return slots - worker.localSlots - worker.peerSlots;
     }
 
@@ -541,14 +543,14 @@
         }
         refresh(worker);
         int kindGroup = kindGroup(worker.kind);
-        estimates.learnIdle(kindGroup, freeSlots);
+        estimates.recordFreeSlots(kindGroup, freeSlots);
         if (!Double.isNaN(report.held()) && !Double.isNaN(report.queued())) {
-            estimates.learnSlots(kindGroup, freeSlots + report.held() - report.queued());
+            estimates.recordSlots(kindGroup, freeSlots + report.held() - report.queued());
         } else if (worker.ownedLocally) { // only the owner knows of all jobs at a worker
             // The report is old by now. What it leaves out are the slots that were in use when it was made, not those
             // in use now; the average over a report's age stands for them.
             double total = freeSlots - (report.queued() > 0 ? report.queued() : 0) + worker.averageUsedSlots;
-            estimates.learnSlots(kindGroup, total);
+            estimates.recordSlots(kindGroup, total);
         }
         refresh(worker);
     }
@@ -565,7 +567,7 @@
     }
 
     @Override
-    public void probed(long clock, String address, Outcome outcome, Report report) {
+    public void probeEnded(long clock, String address, Outcome outcome, Report report) {
         now = clock;
         Worker worker = workerIndex.get(address);
         if (worker != null && outcome == Outcome.CONNECT_FAILED) {
@@ -574,7 +576,7 @@
         if (worker != null && report != null) {
             learnFromReport(worker, report);
         }
-        if (worker != null && report == null && estimates.weight[kindGroup(worker.kind)] == 0) {
+        if (worker != null && report == null && estimates.slotSamples[kindGroup(worker.kind)] == 0) {
             worker.lastProbeAt = now - MAX_EXCHANGE_PERIOD_US + PROBE_RETRY_US;
         }
         sendHeld();
@@ -584,8 +586,8 @@
     private PeerMessage newMessage(PeerMessage.Type type) {
         PeerMessage message =
                 new PeerMessage(type, settings.zone(), acceptance, combinedAcceptance, requestRate, exchangePeriod);
-        message.at = now;
-        message.cold = zoneHasCold;
+        message.timestamp = now;
+        message.knowsColdWorker = zoneHasCold;
         if (zoneHasCold || now < coldAnnouncedUntil) {
             Peer.attachMembership(peers, coldShares, settings.zone(), message);
         }
@@ -596,17 +598,17 @@
     private void exchange() {
         combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
         PeerMessage offer = newOffer();
-        sendToOwnZone(talkBudget.fan(peers.length, offer.size(), requestRate), offer);
+        sendToOwnZone(talkBudget.fanOut(peers.length, offer.size(), requestRate), offer);
         sendToNeighbourZone();
-        exchangePeriod = talkBudget.period(requestRate);
+        exchangePeriod = talkBudget.nextPeriod(requestRate);
     }
 
     private void sendToPeer(int peer, PeerMessage message) {
-        if (!settings.mayTell() || peer == settings.self()) {
+        if (!settings.peerMessages() || peer == settings.self()) {
             return;
         }
-        talkBudget.spent(message.size());
-        actions.tell(peer, message.bytes());
+        talkBudget.recordSent(message.size());
+        actions.sendToPeer(peer, message.encode());
     }
 
     /** Sends to at most {@code limit} peers of the zone in turn; first to guardians, which can lend cold budgets. */
@@ -632,11 +634,11 @@
      * budget for the peers of the own zone.
      */
     private void sendToNeighbourZone() {
-        lastToldZoneOffset = 1 + lastToldZoneOffset % Math.max(1, settings.zones() - 1);
-        int zone = (settings.zone() + lastToldZoneOffset) % settings.zones();
+        lastToldZoneOffset = 1 + lastToldZoneOffset % Math.max(1, settings.zoneCount() - 1);
+        int zone = (settings.zone() + lastToldZoneOffset) % settings.zoneCount();
         Peer peer = Peer.firstInZone(zone, peers, random.nextInt(peers.length));
         if (peer != null && peer.zone != settings.zone()) {
-            sendToPeer(peer.number, newOffer().undated());
+            sendToPeer(peer.number, newOffer().withoutGrant());
         }
     }
 
@@ -657,7 +659,7 @@
             for (int i = 0; i < Math.min(workerIndex.openCount(k), 3); i++) {
                 Worker worker = workerIndex.openWorker(k, random.nextInt(workerIndex.openCount(k)));
                 if (worker.coldSince == 0 && worker != last && worker.failedTrials == 0) {
-                    message.add(worker.hash, (int) (freeSlots(worker) + 1) / 2);
+                    message.addSlots(worker.hash, (int) (freeSlots(worker) + 1) / 2);
                     last = worker;
                 }
             }
@@ -667,7 +669,7 @@
 
     /** Adds loans of the budgets of owned cold workers to a message for a peer that asks for slots. */
     private PeerMessage addLoans(Peer peer, PeerMessage message) {
-        double share = Peer.roundUpToBudgetUnits(estimates.longest());
+        double share = Peer.roundUpToBudgetUnits(estimates.longestSlotTime());
         for (Worker worker :
                 peer.mayLend(message, now, settings.zone()) ? workerIndex.coldOwned() : List.<Worker>of()) {
             if (worker.openIndex >= 0 && coldBudgetCovers(worker, share, true)) {
@@ -694,7 +696,7 @@
             return;
         }
         PeerMessage message = newMessage(PeerMessage.Type.BORROWS);
-        message.add(worker.hash, worker.localSlots);
+        message.addSlots(worker.hash, worker.localSlots);
         sendToPeer(worker.lender, message);
         peers[worker.lender].scheduleHoldsReport(now);
     }
@@ -702,12 +704,12 @@
     @Override
     public void peerMessage(long clock, int peerNumber, byte[] bytes) {
         now = clock;
-        PeerMessage message = PeerMessage.read(bytes, now);
+        PeerMessage message = PeerMessage.decode(bytes, now);
         if (message == null
                 || peerNumber < 0
                 || peerNumber >= peers.length
                 || peerNumber == settings.self()
-                || message.zone >= settings.zones()) {
+                || message.zone >= settings.zoneCount()) {
             return;
         }
         Peer peer = peers[peerNumber];
@@ -719,21 +721,23 @@
         boolean firstMessage = peer.lastHeardAt == 0;
         peer.recordMessage(message, now, MAX_EXCHANGE_PERIOD_US);
         // the list here may be late, and not name a cold worker that the peer knows
-        if (message.cold && message.zone == settings.zone()) {
-            coldAnnouncedUntil = now + ColdShares.LEASE;
+        if (message.knowsColdWorker && message.zone == settings.zone()) {
+            coldAnnouncedUntil = now + ColdShares.LEASE_US;
         }
-        coldShares.says(
+        coldShares.receiveGrant(
                 peerNumber,
                 message.zone != settings.zone(),
-                message.word,
-                message.hears,
-                message.elsewhere,
-                message.at,
+                message.grantees,
+                message.heardPeers,
+                message.otherZonePeers,
+                message.timestamp,
                 now);
         zoneLastHeardAt[message.zone] = now;
         // with P < 1 the peer holds jobs, and without an offer of its own it asks for slots: answer with an offer
-        boolean asks =
-                message.type == PeerMessage.Type.OFFERS && message.entries == 0 && message.p < 1 && heldSlots == 0;
+        boolean asks = message.type == PeerMessage.Type.OFFERS
+                && message.entryCount == 0
+                && message.acceptance < 1
+                && heldSlots == 0;
         // a peer that is heard for the first time may have just started, and has to learn of this dispatcher too
         if (firstMessage || asks && workerIndex.hasOpen()) {
             PeerMessage answer = asks ? addLoans(peer, newOffer()) : newOffer();
@@ -744,20 +748,20 @@
         if (message.type == PeerMessage.Type.OFFERS) {
             returnUnusedLoan(peer, false); // the new offer replaces an earlier loan
             peer.recordOffers(named, message, now, startedAt, OFFER_LIFETIME_US);
-            zoneOffersValidUntil = peer.zone == settings.zone() && message.entries > 0
+            zoneOffersValidUntil = peer.zone == settings.zone() && message.entryCount > 0
                     ? now + OFFER_LIFETIME_US
                     : zoneOffersValidUntil;
         } else if (message.type == PeerMessage.Type.RETURNS) {
             peer.acceptReturnedBudget(named, message, now);
         } else if (message.type == PeerMessage.Type.HOLDS) {
-            peer.replaceHolds(named, message.count, now, this::refresh);
+            peer.replaceHolds(named, message.entryValues, now, this::refresh);
         } else {
-            peer.updateHolds(named, message.count, now, this::refresh);
+            peer.updateHolds(named, message.entryValues, now, this::refresh);
         }
         combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
         sendHeld();
         returnUnusedLoan(peer, heldSlots > 0);
-        if (isNeighbour(peer) && message.type == PeerMessage.Type.OFFERS && message.entries > 0) {
+        if (isNeighbour(peer) && message.type == PeerMessage.Type.OFFERS && message.entryCount > 0) {
             spillHeld();
         }
     }
@@ -795,10 +799,10 @@
         zoneSlots = 0;
         // Every dispatcher times the warm-up of all workers, not only of those it owns: one that took a worker for cold
         // for good would use no slot offered there. A worker that is warm passes from its guardian to its warm owner.
-        ownershipFingerprint = workerIndex.promoteWarm(now - settings.cold()) ? 0 : ownershipFingerprint;
+        ownershipFingerprint = workerIndex.promoteWarm(now - settings.coldPeriod()) ? 0 : ownershipFingerprint;
         zoneHasCold = workerIndex.hasCold();
         for (int k = 0; k < workerIndex.kindGroups(); k++) {
-            zoneSlots += workerIndex.availableCount(k) * estimates.ours(k);
+            zoneSlots += workerIndex.availableCount(k) * estimates.availableSlots(k);
         }
     }
 
@@ -828,15 +832,15 @@
             Job job = attempt.job;
             if (job.finished
                     || job.streaming
-                    || job.spec.effect() == Effect.UNSAFE
+                    || job.spec.idempotency() == Idempotency.UNSAFE
                     || job.attemptCount >= settings.maxAttempts()
                     || attempt.cancelled
                     || now > job.request.validUntil() - 3 * TICK_US) {
                 continue;
             }
-            if (settings.parallel() && job.queue == null && takeRepeat(job)) {
+            if (settings.parallelAttempts() && job.queue == null && takeRepeat(job)) {
                 hold(job, true);
-            } else if (!settings.parallel()) {
+            } else if (!settings.parallelAttempts()) {
                 cancel(attempt);
             }
         }
@@ -893,12 +897,12 @@
     }
 
     @Override
-    public void note(long clock, long id, int number, boolean started) {
+    public void jobProgress(long clock, long id, int number, boolean started) {
         now = clock;
         Attempt attempt = findAttempt(id, number);
         if (attempt != null) {
             if (started && attempt.startedAt == 0) {
-                attempt.worker.coldBudget.growth.started(now, attempt.sentAt);
+                attempt.worker.coldBudget.growth.jobStarted(now, attempt.sentAt);
             }
             attempt.startedAt = started ? now : attempt.startedAt;
             attempt.lastProgressAt = now;
@@ -960,9 +964,9 @@
                 worker.consecutiveFulls = attempt.sentAt > worker.lastFullAt ? 0 : worker.consecutiveFulls;
                 int jobClass = attempt.job.request.jobClass();
                 long ran = attempt.startedAt > 0 ? Math.max(1, now - attempt.startedAt) : Math.max(1, took);
-                estimates.ran(jobClass, kindGroup(worker.kind), ran);
+                estimates.recordRunTime(jobClass, kindGroup(worker.kind), ran);
                 worker.runningTimeRatio +=
-                        (Math.min(4, ran / estimates.mean[jobClass]) - worker.runningTimeRatio) * 0.05;
+                        (Math.min(4, ran / estimates.meanRunTime[jobClass]) - worker.runningTimeRatio) * 0.05;
                 recordSignOfLife(worker);
             }
             case ERROR -> {
@@ -979,7 +983,7 @@
                                 FIRST_FULL_BACKOFF_US << Math.min(worker.consecutiveFulls, MAX_FULL_BACKOFF_DOUBLINGS));
                 worker.consecutiveFulls = saturatingIncrement(worker.consecutiveFulls);
                 worker.lastFullAt = now;
-                worker.coldBudget.growth.waited(now);
+                worker.coldBudget.growth.jobWaited(now);
             }
             case CONNECT_FAILED -> handleBroken(worker, false);
             // One broken connection does not make a broken worker, whose jobs would all be moved. A broken one resets
@@ -998,7 +1002,7 @@
         if (job.queue != null) {
             return;
         }
-        boolean repeatable = job.spec.effect() != Effect.UNSAFE || job.provenNotRun();
+        boolean repeatable = job.spec.idempotency() != Idempotency.UNSAFE || job.provenNotRun();
         boolean retry = repeatable
                 && job.attemptCount < settings.maxAttempts()
                 && now < job.request.validUntil() - 3 * TICK_US
@@ -1012,7 +1016,7 @@
 
     /** Takes a repeat out of the budget already when a job is held for it: many may be held before one is sent. */
     private boolean takeRepeat(Job job) {
-        return job.provenNotRun() || repeatBudget.take();
+        return job.provenNotRun() || repeatBudget.tryTake();
     }
 
     private void endUnserved(Job job) {
@@ -1027,7 +1031,7 @@
     /** When a refused client should retry: once this dispatcher's share of the zone has run the jobs held now. */
     private long retryAfterUs(Job job) {
         double rounds = heldSlots / Math.max(zoneSlots * zoneTrafficShare, 1);
-        long minDelayUs = Math.max(TICK_US, (long) (rounds * estimates.mean[job.request.jobClass()]));
+        long minDelayUs = Math.max(TICK_US, (long) (rounds * estimates.meanRunTime[job.request.jobClass()]));
         return Math.min(settings.maxRetryAfter(), withJitter(minDelayUs));
     }
 
@@ -1048,9 +1052,9 @@
     }
 
     private void cancel(Attempt attempt) {
-        if (settings.mayCancel() && !attempt.ended && !attempt.cancelled) {
+        if (settings.canCancel() && !attempt.ended && !attempt.cancelled) {
             attempt.cancelled = true;
-            actions.cancel(attempt.job.request.id(), attempt.number);
+            actions.cancelAttempt(attempt.job.request.id(), attempt.number);
         }
     }
 
@@ -1066,9 +1070,9 @@
     // ---- what the rules allow ----
     /** Whether the client may be told that a retry does no harm. */
     private static boolean mayRefuse(Job job) {
-        return job.spec.effect() == Effect.SAFE
+        return job.spec.idempotency() == Idempotency.SAFE
                 || job.provenNotRun()
-                || job.spec.effect() == Effect.KEYED && job.spec.group() == Group.ALL;
+                || job.spec.idempotency() == Idempotency.KEYED && job.spec.dedupScope() == DedupScope.ALL;
     }
 
     /** Whether the rules allow sending the job to this worker now; checked before every attempt. */
@@ -1077,7 +1081,7 @@
                 || job.streaming
                 || job.attemptCount >= settings.maxAttempts()
                 || worker.state != WorkerState.IN_SERVICE
-                || job.attemptsInFlight > 0 && !settings.parallel()) {
+                || job.attemptsInFlight > 0 && !settings.parallelAttempts()) {
             return false;
         }
         for (int i = 0; i < job.attemptCount; i++) {
@@ -1089,12 +1093,12 @@
             if (attempt.workerReportedError && attempt.worker == worker && hasOtherWorker(job, worker)) {
                 return false;
             }
-            if (job.spec.effect() == Effect.UNSAFE || attempt.worker == worker && !attempt.ended) {
+            if (job.spec.idempotency() == Idempotency.UNSAFE || attempt.worker == worker && !attempt.ended) {
                 return false;
             }
-            if (job.spec.effect() == Effect.KEYED
+            if (job.spec.idempotency() == Idempotency.KEYED
                     && (now >= attempt.sentAt + job.spec.keyTtl() - TICK_US
-                            || !DispatcherState.sameGroup(job.spec.group(), attempt.worker, worker))) {
+                            || !DispatcherState.sameGroup(job.spec.dedupScope(), attempt.worker, worker))) {
                 return false;
             }
         }
@@ -1106,8 +1110,8 @@
             if (other != worker
                     && other.state == WorkerState.IN_SERVICE
                     && !other.suspect
-                    && (job.spec.effect() != Effect.KEYED
-                            || DispatcherState.sameGroup(job.spec.group(), worker, other))) {
+                    && (job.spec.idempotency() != Idempotency.KEYED
+                            || DispatcherState.sameGroup(job.spec.dedupScope(), worker, other))) {
                 return true;
             }
         }
@@ -1120,15 +1124,17 @@
      * cold workers first while warm ones have free slots.
      */
     private boolean coldBudgetCovers(Worker worker, double slotTimeUs, boolean jobsWait) {
-        double rate = coldRate.of(now - worker.coldSince) * estimates.whole(kindGroup(worker.kind)) / processCount;
-        double share = worker.coldBudget.part(coldShares, now, worker.hash, worker.zone == settings.zone());
-        share = jobsWait ? worker.coldBudget.growth.of(share, now) : share;
+        double rate = coldRate.perSlotAtAge(now - worker.coldSince)
+                * estimates.totalSlots(kindGroup(worker.kind))
+                / processCount;
+        double share = worker.coldBudget.share(coldShares, now, worker.hash, worker.zone == settings.zone());
+        share = jobsWait ? worker.coldBudget.growth.grow(share, now) : share;
         return worker.coldBudget.covers(slotTimeUs, now, share, rate, coldShares.phase(worker.hash));
     }
 
     /** Slot time that a job is expected to take at a worker if it runs there alone. */
     private double expectedSlotTimeUs(Job job, Worker worker) {
-        return estimates.cost(job.request, kindGroup(worker.kind));
+        return estimates.expectedSlotTime(job.request, kindGroup(worker.kind));
     }
 
     private void markCold(long restartedAt, Worker worker) {
@@ -1139,7 +1145,7 @@
 
     // ---- list of workers ----
     @Override
-    public void workers(long clock, ListKind kind, List<WorkerInfo> entries) {
+    public void workerList(long clock, ListKind kind, List<WorkerInfo> entries) {
         now = clock;
         boolean first = !listReceived;
         listReceived = true;
@@ -1157,7 +1163,7 @@
             start();
         }
         if (kind != ListKind.WARM_COPY) {
-            discoveryPace.served();
+            discoveryPace.listReceived();
         }
     }
 
@@ -1175,7 +1181,7 @@
         worker.state = entry.state();
         // cold is a worker whose start is recent, or that appears after the first list without a known start
         long started = entry.startedAt() > 0 ? entry.startedAt() : added && !firstList ? now : 0;
-        if (started > worker.coldSince && now - started < settings.cold()) {
+        if (started > worker.coldSince && now - started < settings.coldPeriod()) {
             markCold(started, worker);
             worker.suspect = false;
             worker.failedTrials = 0;
@@ -1197,9 +1203,9 @@
         int fingerprint = settled ? 1 : 0;
         for (Peer peer : peers) {
             if (peer.lastHeardAt > 0 && peer.zone >= 0) {
-                int zoneAndCounted = peer.zone + (coldShares.counts(peer.number, now) ? 0 : 1 << 20);
+                int zoneAndCounted = peer.zone + (coldShares.canDelegateTo(peer.number, now) ? 0 : 1 << 20);
                 fingerprint =
-                        (int) DispatcherState.mix(fingerprint, 1 + peer.number * settings.zones() + zoneAndCounted);
+                        (int) DispatcherState.mix(fingerprint, 1 + peer.number * settings.zoneCount() + zoneAndCounted);
             }
         }
         for (int z = 0; z < zoneLastHeardAt.length; z++) {
@@ -1222,7 +1228,7 @@
             servedZones.set(z, !settled || hasDispatchers(z));
         }
         int[] countedMembers = Arrays.stream(zoneMembers)
-                .filter(member -> coldShares.counts(member, now))
+                .filter(member -> coldShares.canDelegateTo(member, now))
                 .toArray();
         boolean ownershipChanged = ownership.update(zoneMembers, countedMembers, servedZones);
         for (Worker worker : workerIndex.reassign(ownership, ownershipChanged, estimates)) {
@@ -1263,34 +1269,34 @@
         for (Peer peer : peers) {
             sendToPeer(peer.number, newMessage(PeerMessage.Type.OFFERS));
         }
-        actions.timer(TICK_TOKEN, 1 + random.nextLong(TICK_US));
+        actions.startTimer(TICK_TOKEN, 1 + random.nextLong(TICK_US));
         probeCredit = Math.min(12, workerIndex.ownedCount());
         for (int i = 0; i < 3; i++) {
             probePosition = random.nextInt(1 << 20);
             sendProbes();
         }
         if (settings.listOnDemand()) {
-            subscribeAfter(discoveryPace.first(random));
+            subscribeAfter(discoveryPace.firstDelay(random));
         }
     }
 
     /** While attempts can't be opened none is sent: each would end at once and use up one of its job's attempts. */
     @Override
-    public void room(long clock, boolean open) {
+    public void attemptCapacityChanged(long clock, boolean available) {
         now = clock;
-        canOpenAttempts = open;
+        canOpenAttempts = available;
         sendHeld();
     }
 
     @Override
-    public void workersUnavailable(long clock, WatchEnd how) {
+    public void workerListFailed(long clock, WatchEnd reason) {
         now = clock;
-        subscribeAfter(discoveryPace.again(random, how));
+        subscribeAfter(discoveryPace.retryDelay(random, reason));
     }
 
     private void subscribeAfter(long delayUs) {
         if (delayUs > 0) {
-            actions.timer(SUBSCRIBE_TOKEN, discoveryPace.after(delayUs, now));
+            actions.startTimer(SUBSCRIBE_TOKEN, discoveryPace.schedule(delayUs, now));
         } else {
             actions.subscribe();
         }
@@ -1301,35 +1307,35 @@
     }
 
     @Override
-    public void allowances(long clock, List<Tenant> tenants) {
+    public void tenantsChanged(long clock, List<Tenant> tenants) {
         now = clock;
-        allowances.follow(tenants);
+        allowances.updateTenants(tenants);
     }
 
     @Override
-    public int avoided() {
+    public int avoidedWorkers() {
         return workerIndex.avoided();
     }
 
     @Override
-    public Sharing sharing() {
+    public SharingStatus sharing() {
         return workerIndex.sharing(peers, coldShares, now);
     }
 
     // ---- another process of this dispatcher, which replaces this one or is replaced by it ----
     @Override
-    public HandoverState beside() {
-        return new HandoverState(workerIndex.localSlotsByAddress(), estimates.told());
+    public HandoverState handoverState() {
+        return new HandoverState(workerIndex.localSlotsByAddress(), estimates.snapshot());
     }
 
     @Override
-    public void beside(long clock, HandoverState other) {
+    public void otherProcessState(long clock, HandoverState other) {
         now = clock;
-        estimates.take(other.learned());
-        processCount = other.equals(HandoverState.NOBODY) ? 1 : 2;
-        repeatBudget.share(processCount);
+        estimates.restore(other.learned());
+        processCount = other.equals(HandoverState.NONE) ? 1 : 2;
+        repeatBudget.shareAmong(processCount);
         for (Worker worker : workerIndex.all()) {
-            siblingProcess.setHold(worker, other.jobs().getOrDefault(worker.address, 0), now);
+            siblingProcess.setHold(worker, other.busySlots().getOrDefault(worker.address, 0), now);
             refresh(worker);
         }
         sendHeld();
@@ -1337,7 +1343,7 @@
 
     // ---- time ----
     @Override
-    public void timer(long clock, long token) {
+    public void timerFired(long clock, long token) {
         now = clock;
         if (token == SUBSCRIBE_TOKEN && discoveryPace.isDue(now)) {
             actions.subscribe();
@@ -1353,8 +1359,8 @@
                 * Math.min(1, seconds / Math.max(averagingS, 1e-3));
         arrivalsSinceTick = 0;
         lastTickAt = now;
-        allowances.fill(seconds, fleetTrafficShare);
-        repeatBudget.pass(seconds);
+        allowances.refill(seconds, fleetTrafficShare);
+        repeatBudget.refill(seconds);
         if (tickCount++ % 8 == 0 || now - startedAt < STARTUP_SETTLE_US / 2) {
             forgetSilentPeers();
             updateOwnership();
@@ -1378,13 +1384,13 @@
         spillPressed();
         sendProbes();
         acceptance = currentAcceptance();
-        if (settings.mayTell() && now >= nextExchangeAt) {
+        if (settings.peerMessages() && now >= nextExchangeAt) {
             exchange();
             lastExchangeAt = now;
             // only ever shorter than the period: an exchange that is due just after a tick waits for the next one
             nextExchangeAt = now + exchangePeriod - random.nextLong(exchangePeriod / 4);
         }
-        actions.timer(TICK_TOKEN, TICK_US);
+        actions.startTimer(TICK_TOKEN, TICK_US);
     }
 
     /** Draws held jobs for spilling again when half their slack is used up. */
@@ -1427,7 +1433,7 @@
     /** Whether no worker of the job's group is left; the client is then answered at once, not at the deadline. */
     private boolean hasNoPossibleWorker(Job job) {
         return job.attemptsInFlight == 0
-                && job.spec.effect() == Effect.KEYED
+                && job.spec.idempotency() == Idempotency.KEYED
                 && !job.provenNotRun()
                 && workerIndex.all().stream().noneMatch(worker -> maySend(job, worker));
     }
--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import saffronferry.fleet.ColdBudget;
-import saffronferry.fleet.Lent;
-import saffronferry.fleet.Loan;
+import saffronferry.fleet.IncomingTransfers;
+import saffronferry.fleet.OutgoingTransfers;
 
 /**
  * Model of the escrow protocol: a lender and a borrower share the budget of a cold worker. Transfers to the
@@ -78,7 +78,7 @@
                 if (entry[1] == 0) {
                     budget.spend(JOB_COST);
                 } else {
-                    budget.back(JOB_COST);
+                    budget.refund(JOB_COST);
                 }
             }
             return budget.covers(JOB_COST, now, 1, RATE, 0.5);
@@ -96,18 +96,18 @@
 
     @Override
     public List<Transition<State>> transitions(State s) {
-        List<Transition<State>> steps = new ArrayList<>();
+        List<Transition<State>> transitions = new ArrayList<>();
         State later = s.copy();
         later.now += TICK_US;
         if (later.now - s.borrowerStartedAt >= OFFER_LIFETIME_US) {
             later.borrowerJobs = 0; // the offer expires
         }
-        steps.add(new Transition<>("time passes", later));
+        transitions.add(new Transition<>("time passes", later));
         if (s.lenderCanSend()) {
             State sends = s.copy();
             sends.debitLender();
             sends.jobsSent++;
-            steps.add(new Transition<>("the lender sends a job", sends));
+            transitions.add(new Transition<>("the lender sends a job", sends));
             if (s.now > s.lastLentAt && s.inFlight.size() < MAX_IN_FLIGHT) {
                 State lends = s.copy();
                 lends.lastLentAt = s.now;
@@ -116,16 +116,16 @@
                 if (variant != Variant.CREDIT_BEFORE_DEBIT) {
                     lends.debitLender();
                 }
-                steps.add(new Transition<>("the lender lends the budget of one job", lends));
+                transitions.add(new Transition<>("the lender lends the budget of one job", lends));
             }
         }
         for (int i = 0; i < s.inFlight.size(); i++) {
             State lost = s.copy();
             lost.inFlight.remove(i);
             String what = s.inFlight.get(i).returned ? "the return message" : "the offer";
-            steps.add(new Transition<>(what + " is lost", lost));
-            steps.add(new Transition<>(what + " arrives", deliver(lost.copy(), s.inFlight.get(i))));
-            steps.add(
+            transitions.add(new Transition<>(what + " is lost", lost));
+            transitions.add(new Transition<>(what + " arrives", deliver(lost.copy(), s.inFlight.get(i))));
+            transitions.add(
                     new Transition<>(what + " arrives, and a duplicate follows", deliver(s.copy(), s.inFlight.get(i))));
         }
         if (s.borrowerJobs > 0) {
@@ -135,30 +135,30 @@
             if (variant == Variant.CREDIT_BEFORE_DEBIT) { // the lender learns of it, or does not
                 State heard = sends.copy();
                 heard.debitLender();
-                steps.add(new Transition<>("the borrower sends a job, and the lender learns of it", heard));
+                transitions.add(new Transition<>("the borrower sends a job, and the lender learns of it", heard));
             }
-            steps.add(new Transition<>("the borrower sends a job", sends));
+            transitions.add(new Transition<>("the borrower sends a job", sends));
         }
         if (s.borrowerJobs > 0 && s.inFlight.size() < MAX_IN_FLIGHT && variant != Variant.CREDIT_BEFORE_DEBIT) {
             State returns = s.copy();
             returns.inFlight.add(new Transfer(s.lastAcceptedAt, true));
             returns.borrowerJobs -= variant == Variant.BACK_AND_USED ? 0 : 1;
-            steps.add(new Transition<>("the borrower returns the budget", returns));
+            transitions.add(new Transition<>("the borrower returns the budget", returns));
         }
         State restarted = s.copy();
         restarted.borrowerStartedAt = s.now;
         restarted.lastAcceptedAt = 0;
         restarted.borrowerJobs = 0;
-        steps.add(new Transition<>("the borrower restarts", restarted));
-        return steps;
+        transitions.add(new Transition<>("the borrower restarts", restarted));
+        return transitions;
     }
 
     /** Whether the lender's record of outstanding loans accepts the return of a transfer. */
     private boolean acceptsReturn(State s, long at) {
-        Lent out = new Lent();
-        s.lendTimes.forEach(lent -> out.lent(0, lent, JOB_COST));
-        s.ledger.stream().filter(x -> x[1] == 1).forEach(x -> out.back(0, x[2], JOB_COST, x[0]));
-        return variant == Variant.EACH_BACK_COUNTS || out.back(0, at, JOB_COST, s.now) > 0;
+        OutgoingTransfers out = new OutgoingTransfers();
+        s.lendTimes.forEach(lent -> out.recordTransfer(0, lent, JOB_COST));
+        s.ledger.stream().filter(x -> x[1] == 1).forEach(x -> out.acceptReturn(0, x[2], JOB_COST, x[0]));
+        return variant == Variant.EACH_BACK_COUNTS || out.acceptReturn(0, at, JOB_COST, s.now) > 0;
     }
 
     private State deliver(State s, Transfer transfer) {
@@ -168,9 +168,9 @@
             }
             return s;
         }
-        Loan loan = new Loan();
-        loan.taken(s.lastAcceptedAt);
-        if (loan.counts(transfer.at, s.now, s.borrowerStartedAt, OFFER_LIFETIME_US)) {
+        IncomingTransfers loan = new IncomingTransfers();
+        loan.markUsed(s.lastAcceptedAt);
+        if (loan.isValid(transfer.at, s.now, s.borrowerStartedAt, OFFER_LIFETIME_US)) {
             s.lastAcceptedAt = transfer.at;
             s.borrowerJobs = 1; // a later offer replaces the previous one
         }
--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -8,8 +8,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import saffronferry.BalancerAction;
 import saffronferry.BalancerEvent;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
@@ -87,39 +87,40 @@
     public List<BalancerAction> pick(long now, Request rpc) {
         OpenRequest openRequest = new OpenRequest(rpc);
         openRequests.put(rpc.id(), openRequest);
-        List<BalancerAction> steps = new ArrayList<>();
-        send(now, openRequest, steps);
-        return steps;
+        List<BalancerAction> actions = new ArrayList<>();
+        send(now, openRequest, actions);
+        return actions;
     }
 
-    private void send(long now, OpenRequest openRequest, List<BalancerAction> steps) {
+    private void send(long now, OpenRequest openRequest, List<BalancerAction> actions) {
         WorkerView worker =
                 openRequest.attempts.size() < settings.maxAttempts() && now < openRequest.request.validUntil()
                         ? choose(now, openRequest)
                         : null;
         if (worker == null) {
-            refuseOrFail(openRequest, steps);
+            refuseOrFail(openRequest, actions);
             return;
         }
         worker.outstanding++;
         openRequest.attemptsInFlight++;
         openRequest.attempts.add(new Attempt(worker, now));
-        steps.add(new BalancerAction.StartAttempt(openRequest.request.id(), worker.address));
+        actions.add(new BalancerAction.StartAttempt(openRequest.request.id(), worker.address));
     }
 
     private WorkerView choose(long now, OpenRequest openRequest) {
         JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
         List<WorkerView> candidates = inService;
-        if (openRequest.possiblyRun != null && jobClass.effect() != Effect.SAFE) {
+        if (openRequest.possiblyRun != null && jobClass.idempotency() != Idempotency.SAFE) {
             WorkerView possiblyRunOn = openRequest.possiblyRun.worker();
-            boolean retryAllowed =
-                    jobClass.effect() == Effect.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
+            boolean retryAllowed = jobClass.idempotency() == Idempotency.KEYED
+                    && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
             candidates = !retryAllowed
                     ? List.of()
                     : inService.stream()
-                            .filter(w -> jobClass.group() == Group.ALL
+                            .filter(w -> jobClass.dedupScope() == DedupScope.ALL
                                     || w.zone == possiblyRunOn.zone
-                                            && (jobClass.group() == Group.ZONE || w.cell == possiblyRunOn.cell))
+                                            && (jobClass.dedupScope() == DedupScope.ZONE
+                                                    || w.cell == possiblyRunOn.cell))
                             .toList();
         }
         if (jobClass.kind() >= 0) {
@@ -128,47 +129,47 @@
         }
         for (int i = 0; i < MAX_CHOICES && !candidates.isEmpty(); i++) {
             WorkerView w = chooser.choose(candidates, random);
-            double age = (now - w.startedAt) / (double) Math.max(1, settings.cold());
+            double age = (now - w.startedAt) / (double) Math.max(1, settings.coldPeriod());
             boolean warm = w.startedAt == 0 || age >= 1;
-            if (warm || random.nextDouble() < settings.coldShare() + (1 - settings.coldShare()) * age) {
+            if (warm || random.nextDouble() < settings.coldCapacity() + (1 - settings.coldCapacity()) * age) {
                 return w;
             }
         }
         return null;
     }
 
-    private void refuseOrFail(OpenRequest openRequest, List<BalancerAction> steps) {
+    private void refuseOrFail(OpenRequest openRequest, List<BalancerAction> actions) {
         openRequests.remove(openRequest.request.id());
         JobClass jobClass = settings.classes().get(openRequest.request.jobClass());
         boolean retryIsSafe = openRequest.possiblyRun == null
-                || jobClass.effect() == Effect.SAFE
-                || jobClass.effect() == Effect.KEYED && jobClass.group() == Group.ALL;
-        steps.add(
+                || jobClass.idempotency() == Idempotency.SAFE
+                || jobClass.idempotency() == Idempotency.KEYED && jobClass.dedupScope() == DedupScope.ALL;
+        actions.add(
                 retryIsSafe
                         ? new BalancerAction.Refuse(openRequest.request.id(), 0)
                         : new BalancerAction.Fail(openRequest.request.id()));
     }
 
     @Override
-    public List<BalancerAction> report(long now, BalancerEvent news) {
-        List<BalancerAction> steps = new ArrayList<>();
-        if (news instanceof BalancerEvent.AttemptEnded e) {
-            attemptEnded(now, e, steps);
-        } else if (news instanceof BalancerEvent.Resolved r) {
+    public List<BalancerAction> report(long now, BalancerEvent event) {
+        List<BalancerAction> actions = new ArrayList<>();
+        if (event instanceof BalancerEvent.AttemptEnded e) {
+            attemptEnded(now, e, actions);
+        } else if (event instanceof BalancerEvent.Resolved r) {
             applyList(r);
             if (!watchRequested) {
                 watchRequested = true;
-                steps.add(new BalancerAction.Watch());
+                actions.add(new BalancerAction.WatchWorkerList());
             }
-        } else if (news instanceof BalancerEvent.WatchLost) {
-            steps.add(new BalancerAction.WakeAfter(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
-        } else if (news instanceof BalancerEvent.ClientGone g) {
+        } else if (event instanceof BalancerEvent.WatchLost) {
+            actions.add(new BalancerAction.StartTimer(WATCH_TOKEN, WATCH_RETRY_DELAY_US));
+        } else if (event instanceof BalancerEvent.ClientGone g) {
             openRequests.remove(g.rpc());
         }
-        return steps;
+        return actions;
     }
 
-    private void attemptEnded(long now, BalancerEvent.AttemptEnded e, List<BalancerAction> steps) {
+    private void attemptEnded(long now, BalancerEvent.AttemptEnded e, List<BalancerAction> actions) {
         OpenRequest openRequest = openRequests.get(e.rpc());
         if (openRequest == null) {
             return;
@@ -182,7 +183,7 @@
         if (e.answered() || e.outcome() == Outcome.OK) {
             openRequests.remove(e.rpc());
         } else if (openRequest.attemptsInFlight == 0) {
-            send(now, openRequest, steps);
+            send(now, openRequest, actions);
         }
     }
 
@@ -204,6 +205,6 @@
 
     @Override
     public List<BalancerAction> tick(long now, long token) {
-        return List.of(new BalancerAction.Watch());
+        return List.of(new BalancerAction.WatchWorkerList());
     }
 }
--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.lab.policy.Policy;
 import saffronferry.lab.scenario.ScenarioReader;
 import saffronferry.lab.world.ClusterSimulation;
@@ -26,7 +26,10 @@
         assertThrows(AssertionError.class, test, "the fault is corrected: make this an ordinary test");
     }
 
-    /** 48 dispatchers that receive no peer messages overload cold workers: they broke rule 4 twelve times here. */
+    /**
+     * 48 dispatchers that receive no peer messages broke rule 4 twelve times in this scenario: cold workers
+     * overloaded.
+     */
     @Test
     void dispatchersWithoutPeerMessagesOverloadNoColdWorker() throws Exception {
         var scenario = ScenarioReader.read(
@@ -40,17 +43,19 @@
                 "they are used: " + day.json().getDouble("cold_multiple"));
     }
 
-    /** Finding 16: only its owner suspects a worker that hangs, so a job on a borrowed slot waits for its deadline. */
+    /**
+     * Finding 16: only a worker's owner suspects it when it hangs, so a job on a borrowed slot waits for its deadline.
+     */
     @Test
     void aJobOnABorrowedSlotOfAWorkerThatHangsIsHedged() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 2;
         options.tellsStart = true;
-        options.classes = List.of(jobClass(Effect.SAFE, Group.ALL));
+        options.classes = List.of(jobClass(Idempotency.SAFE, DedupScope.ALL));
         DispatcherHarness harness =
                 new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
         harness.dispatcher.peerMessage(
-                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).bytes());
+                harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
         harness.advance(60 * MS);
         for (long id = 1; id <= 20; id++) {
             harness.request(id);
@@ -60,8 +65,8 @@
                 .findFirst()
                 .orElseThrow();
         PeerMessage offer = new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS);
-        offer.add(new DispatcherState.Worker(foreign, 0).hash, 1);
-        harness.dispatcher.peerMessage(harness.now, 1, offer.bytes());
+        offer.addSlots(new DispatcherState.Worker(foreign, 0).hash, 1);
+        harness.dispatcher.peerMessage(harness.now, 1, offer.encode());
         DispatcherHarness.Send borrowed = harness.sends.stream()
                 .filter(s -> s.worker().equals(foreign))
                 .findFirst()
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import saffronferry.fleet.ColdShares;
-import saffronferry.fleet.Sharing;
+import saffronferry.fleet.SharingStatus;
 
 class WorkerIndexTest {
     /** Each release replaces all workers; those that are gone must not fill the memory. */
@@ -40,12 +40,12 @@
             int taken = 0;
             for (int i = 0; i < n; i++) {
                 all[i] = new RetryBudget(n);
-                all[i].share(i % 2 + 1); // while two processes run, each has half
-                all[i].share(1);
+                all[i].shareAmong(i % 2 + 1); // while two processes run, each has half
+                all[i].shareAmong(1);
                 for (int t = 0; t < 100; t++) {
-                    all[i].pass(0.1);
-                    all[i].asked();
-                    while (all[i].take()) {
+                    all[i].refill(0.1);
+                    all[i].requestReceived();
+                    while (all[i].tryTake()) {
                         taken++;
                     }
                 }
@@ -55,7 +55,9 @@
         }
     }
 
-    /** The figures for operators, in a fleet of four that hears one peer of the zone and one of another zone. */
+    /**
+     * The figures for operators, in a fleet of four in which one peer of the zone and one of another zone are heard.
+     */
     @Test
     void sharingReportsTheDispatchersThatAreHeard() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
@@ -63,21 +65,24 @@
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
         harness.list(worker("old"), worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
-        assertEquals(Sharing.Fallback.ALONE, harness.dispatcher.sharing().fallback());
-        assertEquals(0.25, harness.dispatcher.sharing().part());
+        assertEquals(SharingStatus.Fallback.ALONE, harness.dispatcher.sharing().fallback());
+        assertEquals(0.25, harness.dispatcher.sharing().meanShare());
         for (int peer : new int[] {1, 2}) {
             harness.dispatcher.peerMessage(
-                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).bytes());
+                    harness.now, peer, new PeerMessage(PeerMessage.Type.OFFERS, peer - 1, 1, 1, 1, 50 * MS).encode());
         }
-        Sharing sharing = harness.dispatcher.sharing();
-        assertEquals(Sharing.Fallback.PARTS, sharing.fallback());
+        SharingStatus sharing = harness.dispatcher.sharing();
+        assertEquals(SharingStatus.Fallback.PARTS, sharing.fallback());
         assertEquals(
-                "4 3 2 1", sharing.peers() + " " + sharing.heard() + " " + sharing.counted() + " " + sharing.cold());
-        assertTrue(sharing.guarded() == 0 || sharing.part() == 1 / 3.0, "one is in another zone: " + sharing);
+                "4 3 2 1",
+                sharing.dispatchers() + " " + sharing.heard() + " " + sharing.delegates() + " "
+                        + sharing.coldWorkers());
+        assertTrue(
+                sharing.guardedWorkers() == 0 || sharing.meanShare() == 1 / 3.0, "one is in another zone: " + sharing);
     }
 
     private static final LearnedEstimates ESTIMATES =
-            new LearnedEstimates(2, List.of(jobClass(Contract.Effect.SAFE, Contract.Group.ALL)), 1);
+            new LearnedEstimates(2, List.of(jobClass(Contract.Idempotency.SAFE, Contract.DedupScope.ALL)), 1);
 
     /** Ownership of a single dispatcher, with zones that keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
--- a/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
+++ b/src/test/java/saffronferry/lifecycle/ProcessRegistryTest.java
@@ -92,14 +92,13 @@
 
     @Test
     public void onlyLiveProcessesAreSiblings() throws Exception {
-        assertEquals(0, registry.exchangeState(HandoverState.NOBODY).count());
+        assertEquals(0, registry.exchangeState(HandoverState.NONE).count());
         assertFalse(
                 "no sibling would read it",
                 Files.exists(file("d.told-" + ProcessHandle.current().pid())));
         Files.writeString(file("d.process-" + other.pid()), "");
         Files.writeString(file("d.process-rubbish"), "");
-        assertEquals(
-                new ProcessRegistry.Siblings(1, HandoverState.NOBODY), registry.exchangeState(HandoverState.NOBODY));
+        assertEquals(new ProcessRegistry.Siblings(1, HandoverState.NONE), registry.exchangeState(HandoverState.NONE));
         Files.writeString(file("d.told-" + other.pid()), "{\"jobs\":{\"w\":3,\"x\":-2},\"learned\":[1,2.5]}");
         HandoverState received = registry.exchangeState(new HandoverState(Map.of("y", 1), new double[] {7}))
                 .state();
@@ -112,11 +111,11 @@
             Files.writeString(file("d.told-" + other.pid()), damaged);
             assertEquals(
                     damaged,
-                    HandoverState.NOBODY,
-                    registry.exchangeState(HandoverState.NOBODY).state());
+                    HandoverState.NONE,
+                    registry.exchangeState(HandoverState.NONE).state());
         }
         other.destroyForcibly().waitFor();
-        assertEquals(0, registry.exchangeState(HandoverState.NOBODY).count());
+        assertEquals(0, registry.exchangeState(HandoverState.NONE).count());
         assertFalse("files of ended processes are deleted", Files.exists(file("d.told-" + other.pid())));
     }
 }
