--- a/src/main/java/saffronferry/Dispatcher.java
+++ b/src/main/java/saffronferry/Dispatcher.java
@@ -115,7 +115,7 @@
     /** Another process of this dispatcher, which replaces this one or is replaced by it. */
     private final Peer siblingProcess = new Peer(-1);
 
-    private final TenantTokenBuckets allowances;
+    private final TenantTokenBuckets tenantBuckets;
     private final boolean[] classBlocked; // classes for which no slot was found while held jobs were sent
     /** P: the probability with which another job is accepted here. */
     private double acceptance = 1;
@@ -127,9 +127,9 @@
     private double fleetTrafficShare;
     private double requestRate;
     private double probeCredit;
-    private final RetryBudget repeatBudget;
-    private final PeerMessageBudget talkBudget;
-    private final DiscoveryBackoff discoveryPace;
+    private final RetryBudget retryBudget;
+    private final PeerMessageBudget messageBudget;
+    private final DiscoveryBackoff discoveryBackoff;
     private final ColdShares coldShares;
     private final WorkerOwnership ownership;
     private final ColdRate coldRate;
@@ -177,14 +177,14 @@
         coldShares = new ColdShares(settings.self(), settings.dispatcherCount());
         ownership = new WorkerOwnership(settings.zoneCount(), settings.zone(), coldShares);
         coldRate = new ColdRate(settings.overloadMultiple(), settings.coldCapacity(), settings.coldPeriod());
-        repeatBudget = new RetryBudget(settings.dispatcherCount());
-        discoveryPace = new DiscoveryBackoff(
+        retryBudget = new RetryBudget(settings.dispatcherCount());
+        discoveryBackoff = new DiscoveryBackoff(
                 settings.listOnDemand() ? settings.dispatcherCount() : 1, settings.maxResubscribeDelay());
-        talkBudget = new PeerMessageBudget(
+        messageBudget = new PeerMessageBudget(
                 settings.peerPrice(), PeerMessage.MAX_BYTES, MIN_EXCHANGE_PERIOD_US, MAX_EXCHANGE_PERIOD_US);
         estimates = new LearnedEstimates(settings.kindCount(), settings.classes(), INITIAL_RUNNING_TIME_US);
         classBlocked = new boolean[queues.length];
-        allowances = new TenantTokenBuckets(settings.tenants());
+        tenantBuckets = new TenantTokenBuckets(settings.tenants());
         fleetTrafficShare = 1.0 / settings.dispatcherCount();
         probing = settings.loadReports() && settings.canProbe();
     }
@@ -195,9 +195,9 @@
         now = clock;
         JobClass spec = settings.classes().get(request.jobClass());
         arrivalsSinceTick++;
-        repeatBudget.requestReceived();
+        retryBudget.requestReceived();
         probeCredit = Math.min(probeCredit + PROBE_SPENDING_SHARE / Math.max(settings.probePrice(), 1e-3), 20);
-        Job job = new Job(request, spec, now, allowances.exceedsAllowance(request.tenant()));
+        Job job = new Job(request, spec, now, tenantBuckets.exceedsAllowance(request.tenant()));
         jobs.put(job);
         jobsByDeadline.add(job);
         if (request.slots() > 1 && fitsNoWorker(job)) {
@@ -589,7 +589,7 @@
         message.timestamp = now;
         message.knowsColdWorker = zoneHasCold;
         if (zoneHasCold || now < coldAnnouncedUntil) {
-            Peer.attachMembership(peers, coldShares, settings.zone(), message);
+            Peer.attachGrant(peers, coldShares, settings.zone(), message);
         }
         return message;
     }
@@ -598,16 +598,16 @@
     private void exchange() {
         combinedAcceptance = 1 - (1 - acceptance) * neighboursRejectProbability();
         PeerMessage offer = newOffer();
-        sendToOwnZone(talkBudget.fanOut(peers.length, offer.size(), requestRate), offer);
+        sendToOwnZone(messageBudget.fanOut(peers.length, offer.size(), requestRate), offer);
         sendToNeighbourZone();
-        exchangePeriod = talkBudget.nextPeriod(requestRate);
+        exchangePeriod = messageBudget.nextPeriod(requestRate);
     }
 
     private void sendToPeer(int peer, PeerMessage message) {
         if (!settings.peerMessages() || peer == settings.self()) {
             return;
         }
-        talkBudget.recordSent(message.size());
+        messageBudget.recordSent(message.size());
         actions.sendToPeer(peer, message.encode());
     }
 
@@ -1016,7 +1016,7 @@
 
     /** Takes a repeat out of the budget already when a job is held for it: many may be held before one is sent. */
     private boolean takeRepeat(Job job) {
-        return job.provenNotRun() || repeatBudget.tryTake();
+        return job.provenNotRun() || retryBudget.tryTake();
     }
 
     private void endUnserved(Job job) {
@@ -1163,7 +1163,7 @@
             start();
         }
         if (kind != ListKind.WARM_COPY) {
-            discoveryPace.listReceived();
+            discoveryBackoff.listReceived();
         }
     }
 
@@ -1276,7 +1276,7 @@
             sendProbes();
         }
         if (settings.listOnDemand()) {
-            subscribeAfter(discoveryPace.firstDelay(random));
+            subscribeAfter(discoveryBackoff.firstDelay(random));
         }
     }
 
@@ -1291,12 +1291,12 @@
     @Override
     public void workerListFailed(long clock, WatchEnd reason) {
         now = clock;
-        subscribeAfter(discoveryPace.retryDelay(random, reason));
+        subscribeAfter(discoveryBackoff.retryDelay(random, reason));
     }
 
     private void subscribeAfter(long delayUs) {
         if (delayUs > 0) {
-            actions.startTimer(SUBSCRIBE_TOKEN, discoveryPace.schedule(delayUs, now));
+            actions.startTimer(SUBSCRIBE_TOKEN, discoveryBackoff.schedule(delayUs, now));
         } else {
             actions.subscribe();
         }
@@ -1309,7 +1309,7 @@
     @Override
     public void tenantsChanged(long clock, List<Tenant> tenants) {
         now = clock;
-        allowances.updateTenants(tenants);
+        tenantBuckets.updateTenants(tenants);
     }
 
     @Override
@@ -1333,7 +1333,7 @@
         now = clock;
         estimates.restore(other.learned());
         processCount = other.equals(HandoverState.NONE) ? 1 : 2;
-        repeatBudget.shareAmong(processCount);
+        retryBudget.shareAmong(processCount);
         for (Worker worker : workerIndex.all()) {
             siblingProcess.setHold(worker, other.busySlots().getOrDefault(worker.address, 0), now);
             refresh(worker);
@@ -1345,7 +1345,7 @@
     @Override
     public void timerFired(long clock, long token) {
         now = clock;
-        if (token == SUBSCRIBE_TOKEN && discoveryPace.isDue(now)) {
+        if (token == SUBSCRIBE_TOKEN && discoveryBackoff.isDue(now)) {
             actions.subscribe();
         }
         if (token != TICK_TOKEN) {
@@ -1359,8 +1359,8 @@
                 * Math.min(1, seconds / Math.max(averagingS, 1e-3));
         arrivalsSinceTick = 0;
         lastTickAt = now;
-        allowances.refill(seconds, fleetTrafficShare);
-        repeatBudget.refill(seconds);
+        tenantBuckets.refill(seconds, fleetTrafficShare);
+        retryBudget.refill(seconds);
         if (tickCount++ % 8 == 0 || now - startedAt < STARTUP_SETTLE_US / 2) {
             forgetSilentPeers();
             updateOwnership();
--- a/src/main/java/saffronferry/DispatcherState.java
+++ b/src/main/java/saffronferry/DispatcherState.java
@@ -252,18 +252,18 @@
         }
 
         /**
-         * How long the peer may be silent before it counts as failed. At least two leases, so that a membership
-         * announcement, which stands for one lease, never names a peer that is forgotten meanwhile.
+         * How long the peer may be silent before it counts as failed. At least two leases, so that a grant, which
+         * stands for one lease, never names a peer that is forgotten meanwhile.
          */
         long silenceTimeout() {
             return Math.max(MISSED_PERIODS_UNTIL_SILENT * messageInterval, 2 * ColdShares.LEASE_US);
         }
 
         /**
-         * Adds to an offer which dispatchers of the zone are heard, this one included. Only those are named that will
-         * not be forgotten within the lease for which the announcement stands.
+         * Adds to an offer which dispatchers of the zone are heard, this one included, and which of them are granted
+         * its share of cold workers. Only those are named that will not be forgotten within the lease of the grant.
          */
-        static void attachMembership(Peer[] peers, ColdShares shares, int zone, PeerMessage message) {
+        static void attachGrant(Peer[] peers, ColdShares shares, int zone, PeerMessage message) {
             if (message.type != PeerMessage.Type.OFFERS) {
                 return;
             }
