--- a/src/main/java/saffronferry/lab/policy/BaselineLogic.java
+++ b/src/main/java/saffronferry/lab/policy/BaselineLogic.java
@@ -1,7 +1,5 @@
 package saffronferry.lab.policy;
 
-import saffronferry.Contract.DedupScope;
-import saffronferry.Contract.Idempotency;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -10,6 +8,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import saffronferry.BalancerAction;
 import saffronferry.BalancerEvent;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.JobClass;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
@@ -112,14 +112,15 @@
         List<WorkerView> candidates = inService;
         if (openRequest.possiblyRun != null && jobClass.idempotency() != Idempotency.SAFE) {
             WorkerView possiblyRunOn = openRequest.possiblyRun.worker();
-            boolean retryAllowed =
-                    jobClass.idempotency() == Idempotency.KEYED && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
+            boolean retryAllowed = jobClass.idempotency() == Idempotency.KEYED
+                    && now < openRequest.possiblyRun.sentAt() + jobClass.keyTtl();
             candidates = !retryAllowed
                     ? List.of()
                     : inService.stream()
                             .filter(w -> jobClass.dedupScope() == DedupScope.ALL
                                     || w.zone == possiblyRunOn.zone
-                                            && (jobClass.dedupScope() == DedupScope.ZONE || w.cell == possiblyRunOn.cell))
+                                            && (jobClass.dedupScope() == DedupScope.ZONE
+                                                    || w.cell == possiblyRunOn.cell))
                             .toList();
         }
         if (jobClass.kind() >= 0) {
