--- a/src/main/java/saffronferry/adapter/SimulatorProtocol.java
+++ b/src/main/java/saffronferry/adapter/SimulatorProtocol.java
@@ -254,7 +254,7 @@
             switch (message) {
                 case CALL -> dispatchRequest(instance);
                 case RESULT -> dispatchAttemptResult(instance);
-                case TIMER -> instance.dispatcher.timer(now, in.readInteger("nonce"));
+                case TIMER -> instance.dispatcher.timerFired(now, in.readInteger("nonce"));
                 case PONG -> dispatchProbeResult(instance);
                 case MEMO ->
                     instance.dispatcher.peerMessage(now, (int) in.readInteger("author"), in.readBase64("bytes"));
@@ -310,8 +310,8 @@
         int attempt = (int) in.readInteger("try");
         in.skipField();
         long tookUs = in.skipIfAbsent() ? 0 : in.readTime("timeTaken");
-        boolean isLast = !in.skipIfAbsent() && in.readInteger("final") != 0;
-        instance.dispatcher.attemptEnded(now, id, attempt, outcome, tookUs, isLast, readReport(instance));
+        boolean answered = !in.skipIfAbsent() && in.readInteger("final") != 0;
+        instance.dispatcher.attemptEnded(now, id, attempt, outcome, tookUs, answered, readReport(instance));
     }
 
     private Report readReport(DispatcherInstance instance) {
@@ -338,14 +338,14 @@
         String worker = in.readText("worker");
         Outcome outcome = readOutcome();
         in.skipField();
-        instance.dispatcher.probed(now, worker, outcome, readReport(instance));
+        instance.dispatcher.probeEnded(now, worker, outcome, readReport(instance));
     }
 
     private void dispatchAttemptNote(DispatcherInstance instance) {
         long id = in.readInteger("ref");
         int attempt = (int) in.readInteger("try");
         in.skipField();
-        instance.dispatcher.note(now, id, attempt, in.readInteger("kind") == 1);
+        instance.dispatcher.jobProgress(now, id, attempt, in.readInteger("kind") == 1);
     }
 
     private void dispatchWorkerList(DispatcherInstance instance) {
@@ -356,13 +356,13 @@
             throw in.malformed("field kind is unknown");
         }
         if (kind == WATCH_LOST) {
-            instance.dispatcher.workersUnavailable(now, WatchEnd.ENDED);
+            instance.dispatcher.workerListFailed(now, WatchEnd.ENDED);
             return;
         }
         if (number < 0 || workerTables[number] == null) {
             throw in.malformed("field table names no list: " + number);
         }
-        instance.dispatcher.workers(
+        instance.dispatcher.workerList(
                 now, ListKind.values()[kind], resolve(workerTables[number], instance.settingsReader));
     }
 }
--- a/src/test/java/saffronferry/ModuleCost.java
+++ b/src/test/java/saffronferry/ModuleCost.java
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -56,17 +56,17 @@
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.zones = zones;
         options.peers = fleet ? 2 * zones : 1;
-        options.classes = List.of(DispatcherHarness.jobClass(Effect.SAFE, Group.ALL));
+        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
         settings = options.settings();
         dispatcher = new Dispatcher(settings, this);
         for (int i = 0; i < workers; i++) {
             list.add(info(i, WorkerState.IN_SERVICE));
         }
         nextWorkerNumber = workers;
-        dispatcher.workers(now, ListKind.WARM_COPY, list);
+        dispatcher.workerList(now, ListKind.WARM_COPY, list);
         receivePeerMessages();
         for (int i = 0; i < 400; i++) { // until ownership has settled and slots are learned
-            dispatcher.probed(
+            dispatcher.probeEnded(
                     now,
                     list.get(i % workers).address(),
                     Outcome.OK,
@@ -76,8 +76,8 @@
     }
 
     private WorkerInfo info(int number, WorkerState state) {
-        int zone = number % settings.zones();
-        int cell = number / settings.zones() / 40 * settings.zones() + zone;
+        int zone = number % settings.zoneCount();
+        int cell = number / settings.zoneCount() / 40 * settings.zoneCount() + zone;
         return new WorkerInfo(
                 "10." + (number >> 16) + "." + (number >> 8 & 255) + "." + (number & 255) + ":80",
                 state,
@@ -89,11 +89,11 @@
 
     private void receivePeerMessages() {
         peersHeardAt = now;
-        for (int peer = 1; peer < settings.peers(); peer++) {
+        for (int peer = 1; peer < settings.dispatcherCount(); peer++) {
             dispatcher.peerMessage(
                     now,
                     peer,
-                    new PeerMessage(PeerMessage.Type.OFFERS, peer % settings.zones(), 1, 1, 20, 500 * MS).bytes());
+                    new PeerMessage(PeerMessage.Type.OFFERS, peer % settings.zoneCount(), 1, 1, 20, 500 * MS).encode());
         }
     }
 
@@ -104,7 +104,7 @@
             receivePeerMessages();
         }
         long start = THREADS.getCurrentThreadCpuTime();
-        dispatcher.timer(now, tickToken);
+        dispatcher.timerFired(now, tickToken);
         return THREADS.getCurrentThreadCpuTime() - start;
     }
 
@@ -148,9 +148,9 @@
         int index = random.nextInt(list.size());
         WorkerInfo old = list.get(index);
         WorkerInfo replacement = info(
-                nextWorkerNumber - nextWorkerNumber % settings.zones() + settings.zones() + old.zone(),
+                nextWorkerNumber - nextWorkerNumber % settings.zoneCount() + settings.zoneCount() + old.zone(),
                 WorkerState.IN_SERVICE);
-        nextWorkerNumber += settings.zones();
+        nextWorkerNumber += settings.zoneCount();
         list.set(index, replacement);
         long cost = change(List.of(
                 replacement, new WorkerInfo(old.address(), WorkerState.GONE, old.kind(), old.zone(), 0, old.cell())));
@@ -162,14 +162,14 @@
 
     private long change(List<WorkerInfo> entries) {
         long start = THREADS.getCurrentThreadCpuTime();
-        dispatcher.workers(now, ListKind.CHANGES, entries);
+        dispatcher.workerList(now, ListKind.CHANGES, entries);
         return THREADS.getCurrentThreadCpuTime() - start;
     }
 
     /** Applies the whole list again, without any change; returns the cost in ns. */
     long applyWholeList() {
         long start = THREADS.getCurrentThreadCpuTime();
-        dispatcher.workers(now, ListKind.WHOLE, list);
+        dispatcher.workerList(now, ListKind.WHOLE, list);
         return THREADS.getCurrentThreadCpuTime() - start;
     }
 
@@ -248,12 +248,12 @@
     }
 
     @Override
-    public void send(long request, String worker) {
+    public void startAttempt(long request, String worker) {
         sent.add(request);
     }
 
     @Override
-    public void cancel(long request, int attempt) {}
+    public void cancelAttempt(long request, int attempt) {}
 
     @Override
     public void refuse(long request, long retryAfter) {
@@ -266,7 +266,7 @@
     }
 
     @Override
-    public void timer(long token, long delay) {
+    public void startTimer(long token, long delay) {
         tickToken = token;
         nextTick = now + delay;
     }
@@ -275,7 +275,7 @@
     public void probe(String worker) {}
 
     @Override
-    public void tell(int peer, byte[] bytes) {}
+    public void sendToPeer(int peer, byte[] bytes) {}
 
     @Override
     public void subscribe() {}
--- a/src/test/java/saffronferry/ModuleTrace.java
+++ b/src/test/java/saffronferry/ModuleTrace.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Report;
@@ -52,9 +52,9 @@
         options.parallel = random.nextInt(4) > 0;
         options.tellsStart = random.nextBoolean();
         options.classes = List.of(
-                DispatcherHarness.jobClass(Effect.SAFE, Group.ALL),
-                DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL),
-                DispatcherHarness.jobClass(Effect.KEYED, Group.values()[random.nextInt(3)]));
+                DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL),
+                DispatcherHarness.jobClass(Idempotency.UNSAFE, DedupScope.ALL),
+                DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.values()[random.nextInt(3)]));
         int workers = 4 << random.nextInt(7);
         for (int i = 0; i < workers; i++) {
             addWorker();
@@ -64,7 +64,7 @@
             options.zone = d % zones;
             options.seed = seed * 100 + d;
             DispatcherHarness harness = new DispatcherHarness(options.settings());
-            harness.dispatcher.workers(harness.now, ListKind.WARM_COPY, listed);
+            harness.dispatcher.workerList(harness.now, ListKind.WARM_COPY, listed);
             harnesses.add(harness);
             asked.add(new HashMap<>());
             running.add(new LinkedHashMap<>());
@@ -130,7 +130,7 @@
         } else if (what == 3) {
             other = addWorker();
         } else if (what == 4 && random.nextInt(8) == 0) {
-            harnesses.forEach(r -> r.dispatcher.workers(r.now, ListKind.WHOLE, listed));
+            harnesses.forEach(r -> r.dispatcher.workerList(r.now, ListKind.WHOLE, listed));
         } else if (what == 5 && random.nextInt(4) == 0) {
             other = new WorkerInfo(w.address(), w.state(), w.kind(), random.nextInt(zones), w.startedAt(), w.cell());
         }
@@ -183,11 +183,11 @@
                 Report report = random.nextInt(4) == 0 ? new Report(random.nextInt(3), 0, random.nextInt(6)) : null;
                 harness.dispatcher.attemptEnded(now, s.id(), s.attempt(), how, now - s.at(), over, report);
             } else if (random.nextInt(60) == 0) {
-                harness.dispatcher.note(now, s.id(), s.attempt(), random.nextBoolean());
+                harness.dispatcher.jobProgress(now, s.id(), s.attempt(), random.nextBoolean());
             }
         }
         if (random.nextInt(20) == 0 && !listed.isEmpty()) {
-            harness.dispatcher.probed(
+            harness.dispatcher.probeEnded(
                     now,
                     listed.get(random.nextInt(listed.size())).address(),
                     Outcome.OK,
--- a/src/test/java/saffronferry/RulesFuzzTest.java
+++ b/src/test/java/saffronferry/RulesFuzzTest.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import saffronferry.Contract.Effect;
-import saffronferry.Contract.Group;
+import saffronferry.Contract.DedupScope;
+import saffronferry.Contract.Idempotency;
 import saffronferry.Contract.ListKind;
 import saffronferry.Contract.Outcome;
 import saffronferry.Contract.Request;
@@ -57,14 +57,14 @@
             options.parallel = random.nextBoolean();
             options.tellsStart = random.nextBoolean();
             options.classes = List.of(
-                    DispatcherHarness.jobClass(Effect.SAFE, Group.ALL),
-                    DispatcherHarness.jobClass(Effect.UNSAFE, Group.ALL),
-                    DispatcherHarness.jobClass(Effect.KEYED, Group.values()[random.nextInt(3)]));
+                    DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL),
+                    DispatcherHarness.jobClass(Idempotency.UNSAFE, DedupScope.ALL),
+                    DispatcherHarness.jobClass(Idempotency.KEYED, DedupScope.values()[random.nextInt(3)]));
             harness = new DispatcherHarness(options.settings());
             for (int i = 0; i < 12; i++) {
                 put("w" + i, WorkerState.IN_SERVICE, 0);
             }
-            harness.dispatcher.workers(harness.now, ListKind.WARM_COPY, List.copyOf(listed.values()));
+            harness.dispatcher.workerList(harness.now, ListKind.WARM_COPY, List.copyOf(listed.values()));
         }
 
         WorkerInfo put(String address, WorkerState state, long startedAt) {
@@ -126,14 +126,14 @@
                         20,
                         50_000);
                 for (int k = 0; k < 4; k++) {
-                    m.add(new DispatcherState.Worker("w" + random.nextInt(14), 0).hash, random.nextInt(4));
+                    m.addSlots(new DispatcherState.Worker("w" + random.nextInt(14), 0).hash, random.nextInt(4));
                 }
-                harness.dispatcher.peerMessage(harness.now, random.nextInt(options.peers), m.bytes());
+                harness.dispatcher.peerMessage(harness.now, random.nextInt(options.peers), m.encode());
             } else if (event < 95) {
                 harness.report("w" + random.nextInt(14), random.nextInt(5));
             } else if (event < 97 && !inFlight.isEmpty()) {
                 SentAttempt t = inFlight.get(random.nextInt(inFlight.size()));
-                harness.dispatcher.note(harness.now, t.send.id(), t.send.attempt(), random.nextBoolean());
+                harness.dispatcher.jobProgress(harness.now, t.send.id(), t.send.attempt(), random.nextBoolean());
             } else if (!asked.isEmpty()) {
                 long id = 1 + random.nextLong(nextId - 1);
                 if (!harness.finals.containsKey(id)) {
@@ -184,10 +184,10 @@
                     if (t.ended && t.neverRan) {
                         continue;
                     }
-                    assertTrue(spec.effect() != Effect.UNSAFE, "an unsafe request was sent again");
-                    if (spec.effect() == Effect.KEYED) {
+                    assertTrue(spec.idempotency() != Idempotency.UNSAFE, "an unsafe request was sent again");
+                    if (spec.idempotency() == Idempotency.KEYED) {
                         assertTrue(DispatcherState.sameGroup(
-                                spec.group(), new PlacedWorker(t.worker).worker, new PlacedWorker(w).worker));
+                                spec.dedupScope(), new PlacedWorker(t.worker).worker, new PlacedWorker(w).worker));
                         assertTrue(s.at() < t.send.at() + spec.keyTtl());
                     }
                 }
@@ -204,8 +204,8 @@
         private void checkRefusal(long id) {
             Contract.JobClass spec = options.classes.get(asked.get(id).jobClass());
             if (!"refused".equals(harness.finals.get(id))
-                    || spec.effect() == Effect.SAFE
-                    || spec.effect() == Effect.KEYED && spec.group() == Group.ALL) {
+                    || spec.idempotency() == Idempotency.SAFE
+                    || spec.idempotency() == Idempotency.KEYED && spec.dedupScope() == DedupScope.ALL) {
                 return;
             }
             for (SentAttempt t : attempts.getOrDefault(id, List.of())) {
