--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -75,7 +75,7 @@
         namesInUse.add(rpc.name);
         unansweredCount++;
         rpc.deadlineTimer = outbound.schedule(Math.max(0, deadline - now), () -> expire(rpc));
-        Request request = new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(), info.repeat());
+        Request request = new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(), info.clientRetry());
         process(() -> {
             try {
                 return balancer.pick(clock.now(), request);
@@ -294,8 +294,8 @@
             outbound.sendToPeer(send.peer(), send.bytes());
         } else if (action instanceof BalancerAction.WatchWorkerList) {
             outbound.watchList(resolverResult.revision());
-        } else if (action instanceof BalancerAction.StartTimer wake) {
-            outbound.schedule(wake.delay(), () -> tick(wake.token()));
+        } else if (action instanceof BalancerAction.StartTimer timer) {
+            outbound.schedule(timer.delay(), () -> tick(timer.token()));
         }
     }
 
--- a/src/main/java/saffronferry/state/RpcInfo.java
+++ b/src/main/java/saffronferry/state/RpcInfo.java
@@ -10,9 +10,9 @@
  * @param tenant index of the tenant in the settings, -1 for none
  * @param remaining how long the client will wait, in microseconds
  * @param slots worker slots that the job takes
- * @param repeat whether the client has sent the request before
+ * @param clientRetry whether the client has sent the request before
  */
-public record RpcInfo(String name, int rpcClass, int tenant, long remaining, int slots, boolean repeat) {
+public record RpcInfo(String name, int rpcClass, int tenant, long remaining, int slots, boolean clientRetry) {
     /** Clients wait no longer than the deadline of the class; the factor leaves room for how they measure it. */
     private static final int MAX_DEADLINE_MULTIPLE = 2;
 
--- a/src/main/java/saffronferry/wire/ClientConnections.java
+++ b/src/main/java/saffronferry/wire/ClientConnections.java
@@ -51,7 +51,7 @@
         this.vertx = vertx;
         gate = transport.clientAdmission().gate();
         pending = transport.clientAdmission().pending();
-        pending.onSilent(this::makeRoomIfTight);
+        pending.onSilent(this::closeOldestIfScarce);
     }
 
     void add(HttpConnection connection) {
@@ -59,7 +59,7 @@
         connections.put(connection, client);
         startTimeout(client, Math.max(1, REQUEST_TIMEOUT_MS - ageMs(connection)));
         connection.closeHandler(v -> remove(client));
-        makeRoomIfTight();
+        closeOldestIfScarce();
         inFirstRequest.add(client);
     }
 
@@ -73,7 +73,7 @@
      * and send nothing cannot lock out others. If all connections have a request in progress, none is closed and the
      * gate admits no further ones.
      */
-    private void makeRoomIfTight() {
+    private void closeOldestIfScarce() {
         if (!gate.isLow() || pending.closeOldest()) {
             return;
         }
@@ -136,7 +136,7 @@
         if (client != null && !client.discardsInput) {
             idle.add(client);
             // connections may wait in the backlog, and no later event might let them in
-            makeRoomIfTight();
+            closeOldestIfScarce();
         }
     }
 
--- a/src/main/java/saffronferry/wire/ConsoleServer.java
+++ b/src/main/java/saffronferry/wire/ConsoleServer.java
@@ -65,7 +65,7 @@
         this.handler = handler;
         admission = new BoundedTransport.ListenerAdmission(
                 new AcceptGate(descriptors, Purpose.CONSOLE, DescriptorBudget.LOW_CONSOLE));
-        admission.pending().onSilent(this::makeRoomIfTight);
+        admission.pending().onSilent(this::closeOldestIfScarce);
     }
 
     /** Opens the listening socket; calls are answered from then on. */
@@ -103,7 +103,7 @@
      * block calls. Both kinds are compared by age: otherwise a new connection whose first byte is in transit would be
      * closed before old incomplete calls.
      */
-    private void makeRoomIfTight() {
+    private void closeOldestIfScarce() {
         if (!admission.gate().isLow()) {
             return;
         }
@@ -133,7 +133,7 @@
             connectedNanos = ((BoundedTransport.AcceptedConnection) channel).connectedNanos();
             timer = loop.schedule(this::onTimeout, CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             incomplete.add(this);
-            makeRoomIfTight();
+            closeOldestIfScarce();
         }
 
         @Override
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -74,11 +74,11 @@
         peerListen = options.peerListen();
         listPushed = options.listPushed();
         coordinator = new RpcCoordinator<>(balancer, new Clock(), this, metrics);
-        AttemptCapacity room = new AttemptCapacity(
+        AttemptCapacity attemptCapacity = new AttemptCapacity(
                 descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
-        descriptors.addReleaseListener(() -> room.update(System.nanoTime() / 1_000_000));
+        descriptors.addReleaseListener(() -> attemptCapacity.update(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
-                vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
+                vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, attemptCapacity, log);
         discoveryWatch = new DiscoveryWatch(
                 vertx,
                 options.discovery(),
--- a/src/main/java/saffronferry/wire/PendingConnections.java
+++ b/src/main/java/saffronferry/wire/PendingConnections.java
@@ -39,7 +39,7 @@
         this.gate = gate;
     }
 
-    /** Sets the callback for a connection found to be silent, upon which room may have to be made. */
+    /** Sets the callback for a connection found to be silent, upon which a connection may have to be closed. */
     void onSilent(Runnable listener) {
         onSilent = listener;
     }
--- a/src/main/java/saffronferry/wire/SubchannelClient.java
+++ b/src/main/java/saffronferry/wire/SubchannelClient.java
@@ -37,7 +37,7 @@
     private final Vertx vertx;
     private final Dialer attempts;
     private final Dialer probes;
-    private final AttemptCapacity room;
+    private final AttemptCapacity attemptCapacity;
     private final SubchannelResponseParser responseParser;
     private final LoadReportParser loads;
     private final BoundedLog log;
@@ -53,11 +53,11 @@
             double connectTimeout,
             LoadReportParser loads,
             DescriptorBudget descriptors,
-            AttemptCapacity room,
+            AttemptCapacity attemptCapacity,
             BoundedLog log) {
         this.vertx = vertx;
         this.loads = loads;
-        this.room = room;
+        this.attemptCapacity = attemptCapacity;
         this.log = log;
         responseParser = new SubchannelResponseParser(loads);
         int connectTimeoutMs = (int) Math.max(1, Math.round(connectTimeout * 1000));
@@ -91,7 +91,7 @@
         Exchange exchange = new Exchange(message, remainingMicros, attempt);
         attempts.dial(
                 message.method(), Address.parse(address), message.uri(), exchange::connected, exchange::connectFailed);
-        room.update(nowMs());
+        attemptCapacity.update(nowMs());
         return exchange::cancel;
     }
 
@@ -157,8 +157,8 @@
         /** No connection was opened. If this process lacks resources, the balancer must pause new attempts. */
         void connectFailed(Throwable cause) {
             if (Dialer.connectFailureOutcome(cause) == Outcome.NOT_SENT) {
-                room.openFailed(nowMs());
-                vertx.setTimer(AttemptCapacity.PAUSE_MS, t -> room.update(nowMs()));
+                attemptCapacity.openFailed(nowMs());
+                vertx.setTimer(AttemptCapacity.PAUSE_MS, t -> attemptCapacity.update(nowMs()));
             }
             writeFailed(cause);
         }
--- a/src/test/java/saffronferry/wire/ParsersTest.java
+++ b/src/test/java/saffronferry/wire/ParsersTest.java
@@ -50,7 +50,7 @@
     @Test
     public void wellFormedRequestsAreParsed() throws RejectedRequestException {
         Object[][] cases = {
-            // path, headers, class, tenant, microseconds, slots, repeat
+            // path, headers, class, tenant, microseconds, slots, client retry
             {"/page", "X-Txn:1;X-Lane:page;X-Org:acme;X-Remaining-Ms:480", 0, 0, 480_000L, 1, false},
             {"/gift", "X-Txn:a.B_3-:;X-Lane:gift;X-Remaining-Ms:0;Idempotency-Key:k", 1, -1, 0L, 1, false},
             {"/gift/7", "X-Txn:1;X-Remaining-Ms:5;Idempotency-Key:k", 1, -1, 5000L, 1, false},
@@ -61,7 +61,7 @@
             RpcInfo r = rpc((String) c[0], (String) c[1]);
             assertEquals(
                     List.of(c).subList(2, 7),
-                    List.<Object>of(r.rpcClass(), r.tenant(), r.remaining(), r.slots(), r.repeat()));
+                    List.<Object>of(r.rpcClass(), r.tenant(), r.remaining(), r.slots(), r.clientRetry()));
         }
     }
 
