--- a/src/main/java/saffronferry/agree/Gossip.java
+++ b/src/main/java/saffronferry/agree/Gossip.java
@@ -33,8 +33,8 @@
     private static final int MAX_PUSHES_PER_CHANGE = 10;
 
     /**
-     * The pushes of the changes of the last {@link #ACTIVE_DURATION_US} may use what the rate limit allows in this time;
-     * the rest is left to anti-entropy.
+     * Pushing the changes of the last {@link #ACTIVE_DURATION_US} may use what the rate limit allows in this time; the
+     * rest is left to anti-entropy.
      */
     private static final double PUSH_BUDGET_SECONDS = 1.5;
 
--- a/src/main/java/saffronferry/cli/LabCommand.java
+++ b/src/main/java/saffronferry/cli/LabCommand.java
@@ -96,8 +96,7 @@
 
     @Command(
             name = "sweep",
-            description =
-                    "Simulates the same scenario with several values of one key, or of several keys that change together.")
+            description = "Simulates a scenario with several values of a key, or of several keys that change together.")
     int sweep(
             @Parameters(paramLabel = "SCENARIO.toml") Path file,
             @Option(
--- a/src/test/java/saffronferry/agree/SimulatedFleet.java
+++ b/src/test/java/saffronferry/agree/SimulatedFleet.java
@@ -277,7 +277,7 @@
         }
     }
 
-    /** Quantile of the tracked changes' time to the last node, in seconds; infinite for one that has not reached all. */
+    /** Quantile of the time from a tracked change to its last node, in seconds; infinite if it has not reached all. */
     double propagationSeconds(double quantile) {
         double[] all = propagations.stream()
                 .mapToDouble(p -> p.missing > 0 ? Double.POSITIVE_INFINITY : (p.completedAt - p.changedAt) / 1e6)
