--- a/src/main/java/saffronferry/WorkerIndex.java
+++ b/src/main/java/saffronferry/WorkerIndex.java
@@ -15,7 +15,7 @@
 import saffronferry.DispatcherState.Peer;
 import saffronferry.DispatcherState.Worker;
 import saffronferry.fleet.ColdShares;
-import saffronferry.fleet.Sharing;
+import saffronferry.fleet.SharingStatus;
 
 /**
  * The known workers, indexed by zone, owner, kind and state, so that frequent events look at few of them however long
@@ -134,7 +134,7 @@
     }
 
     /** The present sharing of this zone's workers with other dispatchers, for operators. */
-    Sharing sharing(Peer[] peers, ColdShares shares, long now) {
+    SharingStatus sharing(Peer[] peers, ColdShares shares, long now) {
         int heard = 0;
         int counted = 0;
         long lent = 0;
@@ -143,7 +143,8 @@
         for (Peer peer : peers) {
             boolean self = shares.isSelf(peer.number);
             heard += self || peer.lastHeardAt > 0 ? 1 : 0;
-            counted += self || peer.lastHeardAt > 0 && peer.zone == zone && shares.counts(peer.number, now) ? 1 : 0;
+            counted +=
+                    self || peer.lastHeardAt > 0 && peer.zone == zone && shares.canDelegateTo(peer.number, now) ? 1 : 0;
             lent += peer.totalLentUs;
             returned += peer.totalReturnedUs;
             borrowed += peer.totalBorrowedUs;
@@ -151,9 +152,9 @@
         int guarded = coldOwned.size();
         double shareSum = 0;
         for (Worker worker : coldOwned) {
-            shareSum += shares.part(now, worker.hash, worker.zone == zone);
+            shareSum += shares.share(now, worker.hash, worker.zone == zone);
         }
-        return new Sharing(
+        return new SharingStatus(
                 peers.length,
                 heard,
                 counted,
@@ -228,9 +229,9 @@
 
     /** The workers of a zone that a message names; null for those not on the list here. */
     Worker[] find(int zone, PeerMessage message) {
-        Worker[] named = new Worker[message.entries];
+        Worker[] named = new Worker[message.entryCount];
         for (int i = 0; i < named.length; i++) {
-            named[i] = find(zone, message.hash[i]);
+            named[i] = find(zone, message.workerHashes[i]);
         }
         return named;
     }
@@ -373,8 +374,8 @@
         boolean all = ownershipChanged || allChanged;
         boolean zoneChanged = all;
         // a new estimate of the slots of a kind opens or closes all its workers, also those without any event
-        if (seenUsableChanges != known.usableChanges) {
-            seenUsableChanges = known.usableChanges;
+        if (seenUsableChanges != known.usableSlotChanges) {
+            seenUsableChanges = known.usableSlotChanges;
             changedWorkers.addAll(Arrays.asList(ownedWorkers));
         }
         List<Worker> moved = sortedByHash(all ? byAddress.values() : changedWorkers);
--- a/src/main/java/saffronferry/lifecycle/DispatcherServer.java
+++ b/src/main/java/saffronferry/lifecycle/DispatcherServer.java
@@ -16,7 +16,7 @@
 import saffronferry.Contract.JobClass;
 import saffronferry.HandoverState;
 import saffronferry.limit.AcceptGate;
-import saffronferry.limit.Descriptors;
+import saffronferry.limit.DescriptorBudget;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Bans;
 import saffronferry.ops.DrainState;
@@ -59,7 +59,7 @@
     private final Vertx vertx;
     private final Context context;
     private final BoundedLog log;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final BoundedTransport transport;
     private final Metrics metrics;
     private final DrainState drain = new DrainState();
@@ -95,7 +95,7 @@
         this.log = log;
         descriptors = descriptors(config);
         transport = transports.apply(new AcceptGate(descriptors), log);
-        descriptors.onFree(transport::onDescriptorFreed);
+        descriptors.addReleaseListener(transport::onDescriptorFreed);
         metrics = new Metrics(
                 config.settings.settings.classes().stream().map(c -> c.name()).toList());
         vertx = new VertxBuilder(new VertxOptions()
@@ -117,13 +117,13 @@
         transport.onListenerLost(() -> fail("the listening socket is closed"));
     }
 
-    private static Descriptors descriptors(Config config) {
+    private static DescriptorBudget descriptors(Config config) {
         int processLimit = ProcessLimits.maxOpenFiles();
         String key = processLimit < config.maxDescriptors
                 ? "the process's own limit, below the key limits.sockets"
                 : "configuration key limits.sockets";
         try {
-            return new Descriptors(
+            return new DescriptorBudget(
                     Math.min(processLimit, config.maxDescriptors),
                     ProcessLimits.openFiles() + DESCRIPTORS_STILL_TO_OPEN);
         } catch (IllegalArgumentException e) {
@@ -180,7 +180,7 @@
                         settings.settings.classes(),
                         effectiveSettings == null ? settings.tenants : effectiveSettings.tenantNames(),
                         config.listParser,
-                        settings.fieldOf("free slots"),
+                        settings.reportField("free slots"),
                         settings.connectTimeout,
                         !settings.settings.listOnDemand()),
                 new Balancer(settings.settings),
@@ -212,10 +212,10 @@
 
     private void startSiblingMonitor() {
         if (siblingMonitor != null) {
-            siblingMonitor.start(wire.coordinator()::beside, new SiblingMonitor.Listener() {
+            siblingMonitor.start(wire.coordinator()::handoverState, new SiblingMonitor.Listener() {
                 @Override
                 public void siblingStateChanged(HandoverState state) {
-                    wire.coordinator().report(new BalancerEvent.RunsBeside(state));
+                    wire.coordinator().report(new BalancerEvent.OtherProcessState(state));
                 }
 
                 @Override
@@ -251,7 +251,7 @@
                 vertx,
                 wire.coordinator(),
                 metrics,
-                transport.controlSpend(),
+                transport.controlUsage(),
                 banFile,
                 new ConsoleHandler.ServerControl() {
                     @Override
@@ -273,7 +273,7 @@
                     }
                 },
                 log);
-        ProcessUsage.startSampling(vertx, transport.controlSpend());
+        ProcessUsage.startSampling(vertx, transport.controlUsage());
         return new ConsoleServer(vertx, descriptors, transport, consoleHandler).listen(config.console);
     }
 
--- a/src/main/java/saffronferry/wire/Dialer.java
+++ b/src/main/java/saffronferry/wire/Dialer.java
@@ -19,8 +19,8 @@
 import java.net.SocketException;
 import java.util.function.Consumer;
 import saffronferry.Contract.Outcome;
-import saffronferry.limit.Descriptors;
-import saffronferry.limit.Descriptors.Purpose;
+import saffronferry.limit.DescriptorBudget;
+import saffronferry.limit.DescriptorBudget.Purpose;
 import saffronferry.ops.ControlUsage;
 import saffronferry.ops.ControlUsage.Kind;
 
@@ -31,7 +31,7 @@
 
     private final EventLoop loop;
     private final HttpClient client;
-    private final Descriptors descriptors;
+    private final DescriptorBudget descriptors;
     private final Purpose purpose;
     /** Null if the traffic of these connections is not counted. */
     private final ByteCounter counter;
@@ -53,23 +53,23 @@
     /** Counts the bytes of a connection including HTTP heads; placed directly at the socket. */
     @ChannelHandler.Sharable
     private static final class ByteCounter extends ChannelDuplexHandler {
-        private final ControlUsage spend;
+        private final ControlUsage usage;
         private final Kind kind;
 
-        ByteCounter(ControlUsage spend, Kind kind) {
-            this.spend = spend;
+        ByteCounter(ControlUsage usage, Kind kind) {
+            this.usage = usage;
             this.kind = kind;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            spend.recordReceived(kind, size(bytes));
+            usage.recordReceived(kind, size(bytes));
             ctx.fireChannelRead(bytes);
         }
 
         @Override
         public void write(ChannelHandlerContext ctx, Object bytes, ChannelPromise promise) {
-            spend.recordSent(kind, size(bytes));
+            usage.recordSent(kind, size(bytes));
             ctx.write(bytes, promise);
         }
 
@@ -78,7 +78,7 @@
         }
     }
 
-    Dialer(Vertx vertx, HttpClient client, Descriptors descriptors, Purpose purpose) {
+    Dialer(Vertx vertx, HttpClient client, DescriptorBudget descriptors, Purpose purpose) {
         loop = ((VertxInternal) vertx).getOrCreateContext().nettyEventLoop();
         this.client = client;
         this.descriptors = descriptors;
@@ -87,7 +87,7 @@
         counter = !counted || purpose == Purpose.WORKERS
                 ? null
                 : new ByteCounter(
-                        ((BoundedTransport) ((VertxInternal) vertx).transport()).controlSpend(),
+                        ((BoundedTransport) ((VertxInternal) vertx).transport()).controlUsage(),
                         purpose == Purpose.DISCOVERY ? Kind.LISTS : Kind.PROBES);
     }
 
@@ -98,7 +98,7 @@
             String uri,
             Consumer<HttpClientRequest> opened,
             Consumer<Throwable> failed) {
-        if (!descriptors.take(purpose)) {
+        if (!descriptors.tryTake(purpose)) {
             failed.accept(NO_DESCRIPTOR_LEFT);
             return;
         }
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -12,8 +12,8 @@
 import saffronferry.BalancerEvent;
 import saffronferry.Contract.JobClass;
 import saffronferry.agree.Gossip;
-import saffronferry.limit.AttemptRoom;
-import saffronferry.limit.Descriptors;
+import saffronferry.limit.AttemptCapacity;
+import saffronferry.limit.DescriptorBudget;
 import saffronferry.log.BoundedLog;
 import saffronferry.ops.Metrics;
 import saffronferry.state.CallAttempt;
@@ -64,8 +64,8 @@
             Vertx vertx,
             Options options,
             Balancer balancer,
-            Metrics figures,
-            Descriptors descriptors,
+            Metrics metrics,
+            DescriptorBudget descriptors,
             BoundedTransport transport,
             BoundedLog log) {
         this.vertx = vertx;
@@ -73,9 +73,10 @@
         this.transport = transport;
         peerListen = options.peerListen();
         listPushed = options.listPushed();
-        coordinator = new RpcCoordinator<>(balancer, new Clock(), this, figures);
-        AttemptRoom room = new AttemptRoom(descriptors, open -> coordinator.report(new BalancerEvent.Room(open)));
-        descriptors.onFree(() -> room.look(System.nanoTime() / 1_000_000));
+        coordinator = new RpcCoordinator<>(balancer, new Clock(), this, metrics);
+        AttemptCapacity room = new AttemptCapacity(
+                descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
+        descriptors.addReleaseListener(() -> room.update(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
                 vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, room, log);
         discoveryWatch = new DiscoveryWatch(
@@ -86,9 +87,10 @@
                 end -> coordinator.report(new BalancerEvent.WatchLost(end)),
                 descriptors,
                 log);
-        peerSocket = new PeerSocket(vertx, options.peers(), this::onDatagram, transport.controlSpend(), log);
+        peerSocket = new PeerSocket(
+                vertx, options.peers(), (peer, bytes) -> onDatagram(peer, bytes), transport.controlUsage(), log);
         channelServer = new ChannelServer(
-                vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, figures, log);
+                vertx, new RpcParser(options.classes(), options.tenants()), coordinator, transport, metrics, log);
     }
 
     /** Opens the peer socket, which the first decisions already use, and then applies the known list. */
@@ -157,7 +159,7 @@
         }
     }
 
-    /** Sets the listener for datagrams about settings; without one, they go to the balancer, which drops them unread. */
+    /** Sets the listener for datagrams about settings; without one, they go to the balancer, which drops them. */
     public void onSettingsDatagram(BiConsumer<Integer, byte[]> listener) {
         settingsListener = listener;
     }
@@ -166,7 +168,7 @@
         if (settingsListener != null && Gossip.isGossipDatagram(bytes)) {
             settingsListener.accept(peer, bytes);
         } else {
-            coordinator.report(new BalancerEvent.PeerSaid(peer, bytes));
+            coordinator.report(new BalancerEvent.PeerMessageReceived(peer, bytes));
         }
     }
 
