--- a/src/main/java/saffronferry/lab/explore/EscrowModel.java
+++ b/src/main/java/saffronferry/lab/explore/EscrowModel.java
@@ -155,10 +155,10 @@
 
     /** Whether the lender's record of outstanding loans accepts the return of a transfer. */
     private boolean acceptsReturn(State s, long at) {
-        OutgoingTransfers out = new OutgoingTransfers();
-        s.lendTimes.forEach(lent -> out.recordTransfer(0, lent, JOB_COST));
-        s.ledger.stream().filter(x -> x[1] == 1).forEach(x -> out.acceptReturn(0, x[2], JOB_COST, x[0]));
-        return variant == Variant.EACH_BACK_COUNTS || out.acceptReturn(0, at, JOB_COST, s.now) > 0;
+        OutgoingTransfers outgoing = new OutgoingTransfers();
+        s.lendTimes.forEach(lent -> outgoing.recordTransfer(0, lent, JOB_COST));
+        s.ledger.stream().filter(x -> x[1] == 1).forEach(x -> outgoing.acceptReturn(0, x[2], JOB_COST, x[0]));
+        return variant == Variant.EACH_BACK_COUNTS || outgoing.acceptReturn(0, at, JOB_COST, s.now) > 0;
     }
 
     private State deliver(State s, Transfer transfer) {
@@ -168,9 +168,9 @@
             }
             return s;
         }
-        IncomingTransfers loan = new IncomingTransfers();
-        loan.markUsed(s.lastAcceptedAt);
-        if (loan.isValid(transfer.at, s.now, s.borrowerStartedAt, OFFER_LIFETIME_US)) {
+        IncomingTransfers incoming = new IncomingTransfers();
+        incoming.markUsed(s.lastAcceptedAt);
+        if (incoming.isValid(transfer.at, s.now, s.borrowerStartedAt, OFFER_LIFETIME_US)) {
             s.lastAcceptedAt = transfer.at;
             s.borrowerJobs = 1; // a later offer replaces the previous one
         }
--- a/src/main/java/saffronferry/lab/explore/SharesModel.java
+++ b/src/main/java/saffronferry/lab/explore/SharesModel.java
@@ -63,7 +63,7 @@
         initial = s;
     }
 
-    private record Datagram(int from, int to, BitSet announced, BitSet heardPeers, long sentAt, long dueAt) {}
+    private record Datagram(int from, int to, BitSet grant, BitSet heardPeers, long sentAt, long dueAt) {}
 
     /** The state of all three dispatchers. */
     static final class State {
@@ -77,7 +77,7 @@
         /** Whether [i] uses the share of [k], as of the last update of i. */
         final boolean[][] usesShare = new boolean[DISPATCHERS][DISPATCHERS];
         /** When [k] last sent a message that grants its share to [i]. */
-        final long[][] releasedAt = new long[DISPATCHERS][DISPATCHERS];
+        final long[][] delegatedAt = new long[DISPATCHERS][DISPATCHERS];
 
         final int[] doubleUseTicks = new int[DISPATCHERS];
         final List<Datagram> inFlight = new ArrayList<>();
@@ -93,7 +93,7 @@
                 s.shares[i] = shares[i].copy();
                 s.lastHeardAt[i] = lastHeardAt[i].clone();
                 s.usesShare[i] = usesShare[i].clone();
-                s.releasedAt[i] = releasedAt[i].clone();
+                s.delegatedAt[i] = delegatedAt[i].clone();
                 s.doubleUseTicks[i] = doubleUseTicks[i];
             }
             s.inFlight.addAll(inFlight);
@@ -191,7 +191,7 @@
                 s.shares[d.to].receiveGrant(
                         d.from,
                         false,
-                        d.announced,
+                        d.grant,
                         d.heardPeers,
                         null,
                         variant == Variant.AGE_FROM_RECEIPT ? s.now : d.sentAt,
@@ -217,15 +217,15 @@
         for (int j = 0; j < DISPATCHERS; j++) {
             heardPeers.set(j, j == i || s.lastHeardAt[i][j] > 0 && s.now - s.lastHeardAt[i][j] <= ColdShares.LEASE_US);
         }
-        BitSet announced = s.shares[i].grant(heardPeers, s.now);
-        s.releasedAt[i][ColdShares.guardian(WORKER_HASH, announced)] = s.now;
+        BitSet grant = s.shares[i].grant(heardPeers, s.now);
+        s.delegatedAt[i][ColdShares.guardian(WORKER_HASH, grant)] = s.now;
         for (int j = 0; j < DISPATCHERS; j++) {
             int to = i * DISPATCHERS + j;
             if (j != i && (s.links >> to & 1) != 0) {
                 boolean late = to == pair && disturbance == ARRIVES_LATE;
-                datagrams.add(new Datagram(i, j, announced, heardPeers, s.now, late ? s.now + LATE_DELAY_US : s.now));
+                datagrams.add(new Datagram(i, j, grant, heardPeers, s.now, late ? s.now + LATE_DELAY_US : s.now));
                 if (to == pair && disturbance == ARRIVES_TWICE) {
-                    datagrams.add(new Datagram(i, j, announced, heardPeers, s.now, s.now + LATE_DELAY_US));
+                    datagrams.add(new Datagram(i, j, grant, heardPeers, s.now, s.now + LATE_DELAY_US));
                 }
             }
         }
@@ -243,8 +243,8 @@
         boolean guards = c.guardian(WORKER_HASH) == i;
         for (int k = 0; k < DISPATCHERS; k++) {
             boolean heard = s.lastHeardAt[i][k] > 0 && s.now - s.lastHeardAt[i][k] <= ColdShares.LEASE_US;
-            boolean released = variant == Variant.HEARD_IS_LEFT ? heard : c.isDelegatedToSelf(k, s.now, WORKER_HASH);
-            s.usesShare[i][k] = guards && (k == i || released);
+            boolean delegated = variant == Variant.HEARD_IS_LEFT ? heard : c.isDelegatedToSelf(k, s.now, WORKER_HASH);
+            s.usesShare[i][k] = guards && (k == i || delegated);
         }
     }
 
@@ -267,9 +267,9 @@
                 if (i != k
                         && i != s.stopped
                         && s.usesShare[i][k]
-                        && s.now - s.releasedAt[k][i] >= ColdShares.LEASE_US) {
+                        && s.now - s.delegatedAt[k][i] >= ColdShares.LEASE_US) {
                     return (char) ('A' + i) + " uses " + (char) ('A' + k) + "'s share, granted "
-                            + (s.now - s.releasedAt[k][i]) / 1e6 + " s ago";
+                            + (s.now - s.delegatedAt[k][i]) / 1e6 + " s ago";
                 }
             }
             if (s.doubleUseTicks[k] > MAX_DOUBLE_USE_TICKS) {
@@ -298,12 +298,12 @@
             for (int j = 0; j < DISPATCHERS; j++) {
                 key.append(',').append(Math.min(s.now - s.lastHeardAt[i][j], 3 * ColdShares.LEASE_US));
                 key.append(s.usesShare[i][j] ? 'u' : '.')
-                        .append(Math.min(s.now - s.releasedAt[i][j], LATE_DELAY_US + TICK_US));
+                        .append(Math.min(s.now - s.delegatedAt[i][j], LATE_DELAY_US + TICK_US));
             }
         }
         s.inFlight.forEach(d -> key.append(d.from)
                 .append(d.to)
-                .append(d.announced)
+                .append(d.grant)
                 .append(d.heardPeers)
                 .append(Math.min(s.now - d.sentAt, 2 * ColdShares.LEASE_US))
                 .append(':')
