--- a/src/main/java/saffronferry/state/RpcCoordinator.java
+++ b/src/main/java/saffronferry/state/RpcCoordinator.java
@@ -75,7 +75,8 @@
         namesInUse.add(rpc.name);
         unansweredCount++;
         rpc.deadlineTimer = outbound.schedule(Math.max(0, deadline - now), () -> expire(rpc));
-        Request request = new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(), info.clientRetry());
+        Request request =
+                new Request(id, info.rpcClass(), info.tenant(), rpc.deadline, info.slots(), info.clientRetry());
         process(() -> {
             try {
                 return balancer.pick(clock.now(), request);
--- a/src/main/java/saffronferry/wire/DispatcherNetwork.java
+++ b/src/main/java/saffronferry/wire/DispatcherNetwork.java
@@ -78,7 +78,12 @@
                 descriptors, open -> coordinator.report(new BalancerEvent.AttemptCapacityChanged(open)));
         descriptors.addReleaseListener(() -> attemptCapacity.update(System.nanoTime() / 1_000_000));
         subchannelClient = new SubchannelClient(
-                vertx, options.connectTimeout(), new LoadReportParser(options.freeSlots()), descriptors, attemptCapacity, log);
+                vertx,
+                options.connectTimeout(),
+                new LoadReportParser(options.freeSlots()),
+                descriptors,
+                attemptCapacity,
+                log);
         discoveryWatch = new DiscoveryWatch(
                 vertx,
                 options.discovery(),
