--- a/src/test/java/saffronferry/OpenFindingsTest.java
+++ b/src/test/java/saffronferry/OpenFindingsTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.jobClass;
+import static saffronferry.DispatcherHarness.worker;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -24,7 +26,10 @@
         assertThrows(AssertionError.class, test, "the fault is corrected: make this an ordinary test");
     }
 
-    /** 48 dispatchers that receive no peer messages broke rule 4 twelve times in this scenario: cold workers overloaded. */
+    /**
+     * 48 dispatchers that receive no peer messages broke rule 4 twelve times in this scenario: cold workers
+     * overloaded.
+     */
     @Test
     void dispatchersWithoutPeerMessagesOverloadNoColdWorker() throws Exception {
         var scenario = ScenarioReader.read(
@@ -38,19 +43,17 @@
                 "they are used: " + day.json().getDouble("cold_multiple"));
     }
 
-    /** Finding 16: only a worker's owner suspects it when it hangs, so a job on a borrowed slot waits for its deadline. */
+    /**
+     * Finding 16: only a worker's owner suspects it when it hangs, so a job on a borrowed slot waits for its deadline.
+     */
     @Test
     void aJobOnABorrowedSlotOfAWorkerThatHangsIsHedged() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 2;
         options.tellsStart = true;
-        options.classes = List.of(DispatcherHarness.jobClass(Idempotency.SAFE, DedupScope.ALL));
-        DispatcherHarness harness = new DispatcherHarness(options.settings())
-                .list(
-                        DispatcherHarness.worker("a"),
-                        DispatcherHarness.worker("b"),
-                        DispatcherHarness.worker("c"),
-                        DispatcherHarness.worker("d"));
+        options.classes = List.of(jobClass(Idempotency.SAFE, DedupScope.ALL));
+        DispatcherHarness harness =
+                new DispatcherHarness(options.settings()).list(worker("a"), worker("b"), worker("c"), worker("d"));
         harness.dispatcher.peerMessage(
                 harness.now, 1, new PeerMessage(PeerMessage.Type.OFFERS, 0, 1, 1, 1, 50 * MS).encode());
         harness.advance(60 * MS);
--- a/src/test/java/saffronferry/WorkerIndexTest.java
+++ b/src/test/java/saffronferry/WorkerIndexTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saffronferry.DispatcherHarness.MS;
+import static saffronferry.DispatcherHarness.jobClass;
+import static saffronferry.DispatcherHarness.worker;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -53,16 +55,16 @@
         }
     }
 
-    /** The figures for operators, in a fleet of four in which one peer of the zone and one of another zone are heard. */
+    /**
+     * The figures for operators, in a fleet of four in which one peer of the zone and one of another zone are heard.
+     */
     @Test
     void sharingReportsTheDispatchersThatAreHeard() {
         DispatcherHarness.Options options = new DispatcherHarness.Options();
         options.peers = 4;
         options.zones = 2;
         DispatcherHarness harness = new DispatcherHarness(options.settings());
-        harness.list(
-                DispatcherHarness.worker("old"),
-                DispatcherHarness.worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
+        harness.list(worker("old"), worker("cold", 0, Contract.WorkerState.IN_SERVICE, harness.now - 1));
         assertEquals(SharingStatus.Fallback.ALONE, harness.dispatcher.sharing().fallback());
         assertEquals(0.25, harness.dispatcher.sharing().meanShare());
         for (int peer : new int[] {1, 2}) {
@@ -79,8 +81,8 @@
                 sharing.guardedWorkers() == 0 || sharing.meanShare() == 1 / 3.0, "one is in another zone: " + sharing);
     }
 
-    private static final LearnedEstimates ESTIMATES = new LearnedEstimates(
-            2, List.of(DispatcherHarness.jobClass(Contract.Idempotency.SAFE, Contract.DedupScope.ALL)), 1);
+    private static final LearnedEstimates ESTIMATES =
+            new LearnedEstimates(2, List.of(jobClass(Contract.Idempotency.SAFE, Contract.DedupScope.ALL)), 1);
 
     /** Ownership of a single dispatcher, with zones that keep their workers. */
     private static WorkerOwnership alone(int zones, int zone) {
